--- a/crates/measure/src/gateway.rs
+++ b/crates/benchmarks/src/gateway.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_standins::rig::capacity;
-use chutesaddle_standins::wire::State;
-use chutesaddle_standins::{client, Journal, Site, Wire};
+use chutesaddle_test_doubles::rig::capacity;
+use chutesaddle_test_doubles::wire::State;
+use chutesaddle_test_doubles::{client, Journal, Site, Wire};
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use chutesaddle_standins::load::{draw, play, Outcome};
-use chutesaddle_standins::program::{scheduler, Folder};
+use chutesaddle_test_doubles::load::{draw, play, Outcome};
+use chutesaddle_test_doubles::program::{scheduler, Folder};
 
 /// One way between the sites.
 const DELAY: (Duration, Duration) = (Duration::from_micros(5600), Duration::from_millis(10));
--- a/crates/measure/src/price.rs
+++ b/crates/benchmarks/src/price.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_standins::{Job, Journal, Site, Told, Wire};
+use chutesaddle_test_doubles::{Job, Journal, Site, Told, Wire};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -13,7 +13,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::gateway::{metric_is, operator};
-use chutesaddle_standins::program::{scheduler, Folder};
+use chutesaddle_test_doubles::program::{scheduler, Folder};
 
 /// Work of each job: so short that a site of a few boxes is never full.
 const WORK: Duration = Duration::from_millis(4);
@@ -104,7 +104,7 @@
 }
 
 async fn crossings(site: &Site) -> io::Result<u64> {
-    let text = chutesaddle_standins::client::ask(site.door, "METRICS").await?;
+    let text = chutesaddle_test_doubles::client::ask(site.door, "METRICS").await?;
     let line = text.lines().find_map(|line| line.strip_prefix("svc.gateway.crossed="));
     Ok(line.and_then(|n| n.parse().ok()).unwrap_or_default())
 }
--- a/crates/trials/src/agreement.rs
+++ b/crates/fault-injection/src/agreement.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use chutesaddle_agreement::{
+use chutesaddle_replicated_register::{
     Change, Config, Digest, Durable, Holder, MemberId, Message, Output, Stage, Stance, Verdict, Voter,
 };
 use rand::rngs::StdRng;
--- a/crates/trials/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_standins::discovery::Line;
-use chutesaddle_standins::render::Door;
-use chutesaddle_standins::rig::BOXES;
-use chutesaddle_standins::{config, Client, Discovery, Journal, RenderBox, Scheduler, Spec};
+use chutesaddle_test_doubles::discovery::Line;
+use chutesaddle_test_doubles::render::Door;
+use chutesaddle_test_doubles::rig::BOXES;
+use chutesaddle_test_doubles::{config, Client, Discovery, Journal, RenderBox, Scheduler, Spec};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use tokio::time::{sleep_until, Instant};
--- a/crates/trials/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chutesaddle_standins::program::{scheduler, Folder};
-use chutesaddle_trials::notes::{self, Report, Terms};
-use chutesaddle_trials::plan::Plan;
+use chutesaddle_fault_injection::notes::{self, Report, Terms};
+use chutesaddle_fault_injection::plan::Plan;
+use chutesaddle_test_doubles::program::{scheduler, Folder};
 use clap::{Parser, Subcommand};
 use serde::Serialize;
 use tokio::task::LocalSet;
@@ -85,7 +85,7 @@
     let arguments = match Arguments::parse().what {
         What::Notes(arguments) => arguments,
         What::AgreementNetwork(Seeds { seed, seeds }) => {
-            let report = chutesaddle_trials::agreement::play(seed, seeds);
+            let report = chutesaddle_fault_injection::agreement::play(seed, seeds);
             return match serde_json::to_string(&report) {
                 Ok(line) => {
                     println!("{line}");
--- a/crates/trials/src/notes.rs
+++ b/crates/fault-injection/src/notes.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_standins::load::{draw, Arrival};
-use chutesaddle_standins::rig::capacity;
-use chutesaddle_standins::Told;
+use chutesaddle_test_doubles::load::{draw, Arrival};
+use chutesaddle_test_doubles::rig::capacity;
+use chutesaddle_test_doubles::Told;
 use serde::Serialize;
 use serde_json::json;
 use tokio::task::spawn_local;
--- a/crates/trials/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use chutesaddle_operator::reader::Reader;
-use chutesaddle_operator::{duration, share, Mistake, Mistakes};
+use chutesaddle_operator_config::reader::Reader;
+use chutesaddle_operator_config::{duration, share, Mistake, Mistakes};
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/operator/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -24,7 +24,7 @@
     /// The knobs of the decisions, the peers' among them.
     pub decisions: Config,
     /// The knobs of the links.
-    pub link: chutesaddle_link::Config,
+    pub link: chutesaddle_site_link::Config,
 }
 
 /// Where a peer is.
@@ -87,7 +87,7 @@
         secret,
         peers: Vec::new(),
         decisions: Config::default(),
-        link: chutesaddle_link::Config::default(),
+        link: chutesaddle_site_link::Config::default(),
     };
     for node in nodes.all("peer") {
         peer(node, &mut file, reader);
@@ -156,7 +156,7 @@
     size(&nodes, "kept-bytes", &mut config.most_kept_bytes, reader);
 }
 
-fn link(nodes: &Nodes, config: &mut chutesaddle_link::Config, reader: &mut Reader) {
+fn link(nodes: &Nodes, config: &mut chutesaddle_site_link::Config, reader: &mut Reader) {
     let Some(node) = nodes.one("link", reader) else { return };
     let before = reader.mistakes.len();
     reader.bare(node);
--- a/crates/agreement/src/rules.rs
+++ b/crates/replicated-register/src/rules.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use chutesaddle_operator::reader::Reader;
-use chutesaddle_operator::{duration, Mistake, Mistakes};
+use chutesaddle_operator_config::reader::Reader;
+use chutesaddle_operator_config::{duration, Mistake, Mistakes};
 use kdl::{KdlDocument, KdlNode};
 
 /// The operators' rules, by the names that they use.
--- a/crates/agreement/tests/voters.rs
+++ b/crates/replicated-register/tests/voters.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use chutesaddle_agreement::{Change, Config, MemberId, Message, Output, Stage, Value, Verdict, Voter};
+use chutesaddle_replicated_register::{
+    Change, Config, MemberId, Message, Output, Stage, Value, Verdict, Voter,
+};
 
 /// Voters 0, 1 and 2, and 3 that does not vote yet.
 struct Net {
--- a/crates/link/tests/link.rs
+++ b/crates/site-link/tests/link.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::Known;
-use chutesaddle_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
+use chutesaddle_site_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(1);
--- a/src/bin/chutesaddle-drill.rs
+++ b/src/bin/chutesaddle-simulator.rs
@@ -3,14 +3,14 @@
 use std::io;
 use std::process::ExitCode;
 
-use chutesaddle::wire::Host;
+use chutesaddle::simulator::Host;
 
 fn main() -> ExitCode {
     let input = io::BufReader::new(io::stdin().lock());
     match Host::default().run(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("chutesaddle-drill: {error}");
+            eprintln!("chutesaddle-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -27,7 +27,7 @@
         return Ok(format!("scheduler {:?}, {classes} classes, {members} members known", config.name));
     }
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let operator = chutesaddle_operator::read(&file.display().to_string(), &text)
+    let operator = chutesaddle_operator_config::read(&file.display().to_string(), &text)
         .map_err(|mistakes| format!("{} mistakes\n{mistakes}\n{}", mistakes.count(), mistakes.drawn()))?;
     Ok(match operator.gateway {
         None => "nothing is switched on".to_owned(),
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_standins::{client, Job, Journal, Site, Told};
+use chutesaddle_test_doubles::{client, Job, Journal, Site, Told};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
@@ -52,7 +52,7 @@
     eprintln!("one site on loopback: four boxes of three kinds, a discovery, and the scheduler");
     let journal = Journal::default();
     let site = Site::start(&std::env::current_exe()?, folder, 0, None, &journal).await?;
-    let slots: usize = chutesaddle_standins::rig::BOXES.iter().map(|(slots, ..)| slots).sum();
+    let slots: usize = chutesaddle_test_doubles::rig::BOXES.iter().map(|(slots, ..)| slots).sum();
     eprintln!("{JOBS} jobs of two classes for {slots} slots; operators call at {}", site.door);
     let mut tasks = Vec::new();
     let (began, done) = (Instant::now(), Rc::new(std::cell::Cell::new(0)));
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 
 use chutesaddle::config::{Config, ConfigError};
-use chutesaddle::net::between::datagrams::{self, Datagrams};
-use chutesaddle::net::between::gateway::{new_instance, Sites};
-use chutesaddle::net::budget::Shares;
-use chutesaddle::net::counters::Counters;
-use chutesaddle::net::engine::Engine;
-use chutesaddle::net::front::Front;
-use chutesaddle::net::lifecycle::handover::{self, Handover};
-use chutesaddle::net::lifecycle::ops::Door;
-use chutesaddle::net::lifecycle::peers::Peers;
-use chutesaddle::net::lifecycle::reload::{operator, Reload};
-use chutesaddle::net::lifecycle::{Lifecycle, Phase};
-use chutesaddle::net::pool::discovery::Watch;
-use chutesaddle::net::pool::member::Dialer;
-use chutesaddle::net::pool::vigil::Vigil;
+use chutesaddle::server::descriptor_budget::Shares;
+use chutesaddle::server::discovery::watch::Watch;
+use chutesaddle::server::discovery::watch_supervisor::Vigil;
+use chutesaddle::server::engine::Engine;
+use chutesaddle::server::frontend::Front;
+use chutesaddle::server::lifecycle::handover::{self, Handover};
+use chutesaddle::server::lifecycle::operator_interface::Door;
+use chutesaddle::server::lifecycle::peer_processes::Peers;
+use chutesaddle::server::lifecycle::reload::{operator, Reload};
+use chutesaddle::server::lifecycle::{Lifecycle, Phase};
+use chutesaddle::server::metrics::Counters;
+use chutesaddle::server::peers::gossip_transport::{self, Datagrams};
+use chutesaddle::server::peers::site_links::{new_instance, Sites};
+use chutesaddle::server::workers::endpoint::Dialer;
 use chutesaddle_gateway::Gateway;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -100,7 +100,7 @@
     let dialer = Rc::new(Dialer::new(shares.members(), connect_timeout_s, conn_idle_s, Rc::clone(&counters)));
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&dialer), Rc::clone(&counters), peers.clone());
-    let (outbox, notes) = datagrams::outbox();
+    let (outbox, notes) = gossip_transport::outbox();
     let engine = engine.with_notes(outbox);
     let (engine, sites) = match said {
         Some(said) => {
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -77,7 +77,8 @@
 }
 
 fn time(text: &str) -> Result<Duration, String> {
-    chutesaddle_operator::duration(text).ok_or_else(|| "a duration such as \"90s\" or \"2min\"".to_owned())
+    chutesaddle_operator_config::duration(text)
+        .ok_or_else(|| "a duration such as \"90s\" or \"2min\"".to_owned())
 }
 
 #[derive(Debug, thiserror::Error)]
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,9 +7,13 @@
 use simd_json::prelude::*;
 use simd_json::tape::Value;
 
-use crate::api::Settings;
-use crate::listing::PoolUpdate;
-use crate::settings::SettingsError;
+use crate::config::endpoint_list::PoolUpdate;
+use crate::scheduling::interface::Settings;
+
+pub mod endpoint_list;
+pub mod settings;
+
+use self::settings::SettingsError;
 
 /// Why a scheduler cannot start.
 #[derive(Debug, thiserror::Error)]
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use crate::api::{Class, Effect, Group, ReportField, Settings, Tenant};
+use crate::scheduling::interface::{Class, Effect, Group, ReportField, Settings, Tenant};
 
 /// A known key whose value cannot be read.
 #[derive(Debug, thiserror::Error, PartialEq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,23 +1,8 @@
 #![doc = include_str!("../README.md")]
 
-pub mod api;
-mod cold;
 pub mod config;
+pub mod scheduling;
+pub mod server;
+pub mod simulator;
 
-mod chance;
-mod estimates;
-mod level;
-pub mod listing;
-mod mean;
-pub mod net;
-mod notes;
-mod objects;
-pub mod rules;
-pub mod settings;
-pub mod shares;
-pub mod slow_start;
-mod state;
-pub mod wire;
-
-pub use api::{Action, Event, Settings};
-pub use rules::Dispatcher;
+pub use scheduling::{Action, Dispatcher, Event, Settings};
--- a/src/objects.rs
+++ b/src/scheduling/affinity.rs
@@ -16,9 +16,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::WorkerId;
-use crate::chance::{chance, spread};
-use crate::mean::Mean;
+use crate::scheduling::decaying_mean::Mean;
+use crate::scheduling::interface::WorkerId;
+use crate::scheduling::random::{chance, spread};
 
 /// Objects counted at the most.
 const MOST: usize = 512;
--- a/src/rules.rs
+++ b/src/scheduling/dispatcher.rs
@@ -1,11 +1,11 @@
 //! All decisions and the estimates behind them. Read `src/api.rs` first, and `docs/design.md` for the why.
 
-use crate::api::*;
-use crate::chance::{chance, spread};
-use crate::estimates::*;
-use crate::objects::{self, Objects};
-use crate::state::*;
-use crate::{notes, notes::Notes};
+use crate::scheduling::affinity::{self, Objects};
+use crate::scheduling::estimates::*;
+use crate::scheduling::gossip::{self, Notes};
+use crate::scheduling::interface::*;
+use crate::scheduling::random::{chance, spread};
+use crate::scheduling::state::*;
 
 // Constants that no setting or observation supplies. Times in seconds unless said otherwise.
 const ROUND_PER_AIM: f64 = 0.06; // a round is short against the tightest aim
@@ -508,11 +508,11 @@
         if !self.s.notes || self.now < self.tell_at - self.s.tick_s {
             return; // not allowed, or not yet
         }
-        self.tell_at = self.now + notes::EVERY;
-        let held = |w: &Worker| (notes::key(w.info.tag), w.slots.mine.min(255.0) as u8);
+        self.tell_at = self.now + gossip::EVERY;
+        let held = |w: &Worker| (gossip::key(w.info.tag), w.slots.mine.min(255.0) as u8);
         let held = self.farm.workers.values().filter(|w| w.slots.mine >= 1.0).map(held).collect();
         out.extend(self.notes.tell(self.now, held).map(Action::Note));
-        out.push(Action::Timer { after_s: notes::EVERY, tag: NOTE });
+        out.push(Action::Timer { after_s: gossip::EVERY, tag: NOTE });
     }
 
     fn wake_in(&mut self, after_s: f64, out: &mut Vec<Action>) {
@@ -669,7 +669,7 @@
         let Some(w) = self.farm.workers.get_mut(&worker) else { return };
         job.held = false;
         let place = job.req.object.map(|object| self.objects.place(object, w.info.tag, &w.near));
-        job.req.object.into_iter().for_each(|object| objects::keep(&mut w.near, object));
+        job.req.object.into_iter().for_each(|object| affinity::keep(&mut w.near, object));
         job.attempts.push(Attempt::new(worker, self.now, self.s.tells_start, place));
         w.take(&job.req, !self.s.tells_start);
         w.sent = self.now;
--- a/src/estimates.rs
+++ b/src/scheduling/estimates.rs
@@ -1,13 +1,13 @@
 //! What is reckoned from the records of `src/state.rs`: run times, loads, how warm a worker is, how full the
 //! fleet. Nothing is decided here; `src/rules.rs` decides by it.
 
-use crate::api::*;
-use crate::level;
-use crate::mean::Mean;
-use crate::notes;
-use crate::rules::Dispatcher;
-use crate::shares;
-use crate::state::*;
+use crate::scheduling::decaying_mean::Mean;
+use crate::scheduling::dispatcher::Dispatcher;
+use crate::scheduling::gossip;
+use crate::scheduling::interface::*;
+use crate::scheduling::scheduler_share;
+use crate::scheduling::state::*;
+use crate::scheduling::water_filling;
 
 // Times in seconds unless said otherwise.
 pub(crate) const RECENT: f64 = 15.0; // class times fade with this time constant: a few tens of jobs
@@ -122,7 +122,7 @@
     /// Slots that the other dispatchers are thought to hold: what they told, and for those that told nothing
     /// lately their part of what was last learnt, fading to the usual.
     pub(crate) fn others(&self, w: &Worker) -> f64 {
-        let (told, tellers) = self.notes.held(self.now, notes::key(w.info.tag), self.fleet_run());
+        let (told, tellers) = self.notes.held(self.now, gossip::key(w.info.tag), self.fleet_run());
         let silent = 1.0 - tellers as f64 / (self.s.dispatchers as f64 - 1.0).max(1.0);
         told + silent.max(0.0) * self.learnt_of_others(w)
     }
@@ -130,7 +130,7 @@
     fn learnt_of_others(&self, w: &Worker) -> f64 {
         // Where crowds are unseen, most are met at warm workers: they tell nothing of those that warm up, to which
         // only some may send in each interval.
-        let few_may = !self.tells_crowds() && !shares::suffice(self.s.dispatchers);
+        let few_may = !self.tells_crowds() && !scheduler_share::suffice(self.s.dispatchers);
         let others = self.s.dispatchers > 1 && !(few_may && self.warmth(w, 0.0) < 1.0);
         let usual = f64::from(u8::from(others))
             * self.seen.busy.or(self.now, SOON, TRUST, 0.5)
@@ -150,7 +150,7 @@
         let warm = |w: &&Worker| w.suspect.is_none() && self.warmth(w, 0.0) >= 1.0;
         let warm = self.farm.ring.iter().map(|id| &self.farm.workers[id]).filter(warm);
         let loads = warm.map(|w| (w.slots.mine + w.slots.others, self.farm.slots_of(w))).collect();
-        level::fill(loads, (self.now - self.farm.told + LIST_AGE) / self.fleet_run())
+        water_filling::fill(loads, (self.now - self.farm.told + LIST_AGE) / self.fleet_run())
     }
 
     /// What a job counts for at a cold worker: no less than others of its class, whatever its hint says.
@@ -179,7 +179,7 @@
     pub(crate) fn cold_part(&self, w: &Worker) -> Option<f64> {
         let grown = self.warmth(w, self.s.overload_for_s) / self.warmth(w, f64::INFINITY);
         let salt = w.info.since.to_bits() ^ u64::from(w.info.cell);
-        shares::part(self.s.index, self.s.dispatchers, grown, salt)
+        scheduler_share::part(self.s.index, self.s.dispatchers, grown, salt)
     }
 
     /// Full load where no dispatcher sees it in its own queue: hardly any worker has a slot free.
--- a/src/notes.rs
+++ b/src/scheduling/gossip.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::chance::chance;
+use crate::scheduling::random::chance;
 
 /// The longest note, in bytes.
 pub(crate) const MOST_BYTES: usize = 256;
--- a/src/api.rs
+++ b/src/scheduling/interface.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use crate::state::{JobRecord, Learnt};
+pub use crate::scheduling::state::{JobRecord, Learnt};
 
 /// A client request, as the caller numbers it; never reused while the dispatcher lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/src/chance.rs
+++ b/src/scheduling/random.rs
@@ -1,6 +1,6 @@
 //! Numbers as good as random that are the same for the same seed, so that a dispatcher can be played again.
 
-use crate::api::WorkerId;
+use crate::scheduling::interface::WorkerId;
 
 /// A number that differs between dispatchers for the same worker.
 pub(crate) fn spread(seed: u64, id: WorkerId) -> u64 {
--- a/src/shares.rs
+++ b/src/scheduling/scheduler_share.rs
@@ -14,7 +14,7 @@
 //! dispatchers, drawn anew, may send one job. How many may is right on average and strays by no more than chance
 //! does; nothing is remembered, so who has just restarted keeps to it too.
 
-use crate::chance::chance;
+use crate::scheduling::random::chance;
 
 /// Of what a cold worker stands, a tenth is kept for what is not known of its size.
 const MARGIN: f64 = 0.9;
--- a/src/slow_start.rs
+++ b/src/scheduling/slow_start.rs
@@ -6,7 +6,7 @@
 //!
 //! With few schedulers each has a fixed share of the budget (`src/shares.rs`). With many, time is cut into intervals as
 //! long as the window; in each interval chance grants some schedulers a job, and the expected sum is
-//! [`shares::mean_grants`]. Three things kept that sum from being what it was meant to be, and felled workers on 1 in
+//! [`scheduler_share::mean_grants`]. Three things kept that sum from being what it was meant to be, and felled workers on 1 in
 //! 10 short days with 32 schedulers:
 //! - Grants were counted in jobs of the class at hand, so small classes were granted to more schedulers than large
 //!   ones, and the holders of either sent: up to four times the budget. Now a grant is worth a usual job, whatever the
@@ -15,12 +15,12 @@
 //! - All intervals began at the same moment, so that two of them met in one window. Now each scheduler has its own
 //!   phase.
 
-use crate::api::Settings;
-use crate::chance::chance;
-use crate::estimates::{KIND_RECENT, RECENT, TRUST};
-use crate::rules::Dispatcher;
-use crate::shares;
-use crate::state::Worker;
+use crate::scheduling::dispatcher::Dispatcher;
+use crate::scheduling::estimates::{KIND_RECENT, RECENT, TRUST};
+use crate::scheduling::interface::Settings;
+use crate::scheduling::random::chance;
+use crate::scheduling::scheduler_share;
+use crate::scheduling::state::Worker;
 
 /// What one scheduler may send one worker: `work` seconds in all, counted from `from` on.
 pub(crate) struct Allowance {
@@ -32,7 +32,7 @@
     /// What this scheduler may send the worker now, with a job that counts for `work` seconds; `None` where it has
     /// no part of the worker's budget.
     pub(crate) fn slow_start(&self, w: &Worker, work: f64) -> Option<Allowance> {
-        if shares::suffice(self.s.dispatchers) {
+        if scheduler_share::suffice(self.s.dispatchers) {
             self.fixed_share(w, work)
         } else {
             Some(self.granted(w, work))
@@ -49,12 +49,17 @@
 
     fn granted(&self, w: &Worker, work: f64) -> Allowance {
         let usual = self.seen.usual.or(self.now, KIND_RECENT, 1.0, work);
-        let jobs = shares::mean_grants(self.allowed(w, usual));
+        let jobs = scheduler_share::mean_grants(self.allowed(w, usual));
         let worth = work.max(usual);
         let salt = w.info.since.to_bits() ^ w.info.tag;
         let interval = Interval::at(self.now - w.info.since, salt, &self.s);
-        let mine =
-            shares::granted(self.s.index, self.s.dispatchers, jobs * usual / worth, salt, interval.number);
+        let mine = scheduler_share::granted(
+            self.s.index,
+            self.s.dispatchers,
+            jobs * usual / worth,
+            salt,
+            interval.number,
+        );
         Allowance { from: w.info.since + interval.began, work: mine * worth }
     }
 
--- a/src/state.rs
+++ b/src/scheduling/state.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::*;
-use crate::cold::Sends;
-use crate::mean::Mean;
-use crate::objects::{Objects, Place};
+use crate::scheduling::affinity::{Objects, Place};
+use crate::scheduling::decaying_mean::Mean;
+use crate::scheduling::interface::*;
+use crate::scheduling::recent_sends::Sends;
 
 /// Weights are rounded: a load under this is none.
 const LEAST_STEP: f64 = 0.04;
@@ -576,7 +576,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::objects::keep;
+    use crate::scheduling::affinity::keep;
 
     #[test]
     fn a_restarted_worker_keeps_nothing_of_before() {
--- a/src/net/end.rs
+++ b/src/server/attempt_end.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::Outcome;
+use crate::scheduling::interface::Outcome;
 
 /// Each way in which a server-side flow ends; no other type says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/net/pool/pace.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::chance::chance;
+use crate::scheduling::random::chance;
 
 /// Longest first and longest later wait where there are few schedulers.
 const WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
--- a/src/net/pool/discovery.rs
+++ b/src/server/discovery/watch.rs
@@ -11,13 +11,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-use crate::listing::PoolUpdate;
-use crate::net::counters::Counters;
-use crate::net::http::{Connection, HttpError};
-use crate::net::pool::clock::TOLD;
-use crate::net::pool::reading::{Piece, Reading};
-use crate::net::pool::vigil::{CallId, Vigil};
-use crate::net::queue::{Message, Queue};
+use crate::config::endpoint_list::PoolUpdate;
+use crate::server::discovery::deadlines::TOLD;
+use crate::server::discovery::stream_reader::{Piece, Reading};
+use crate::server::discovery::watch_supervisor::{CallId, Vigil};
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::http::{Connection, HttpError};
+use crate::server::metrics::Counters;
 
 /// A whole list that is older than what is known is passed over for this long, in which whoever serves it can catch
 /// up; discovery has then been set back. A second before what it has to tell counts as told, it is asked anew.
--- a/src/net/pool/vigil.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -10,9 +10,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::api::Settings;
-use crate::net::pool::clock::{BEAT, CALL, RELOADED, TOLD};
-use crate::net::pool::pace::Pace;
+use crate::scheduling::interface::Settings;
+use crate::server::discovery::deadlines::{BEAT, CALL, RELOADED, TOLD};
+use crate::server::discovery::poll_backoff::Pace;
 
 /// A line may be so late: delays of a network, and of a scheduler that is busy.
 const LATE: Duration = Duration::from_millis(400);
--- a/src/net/engine.rs
+++ b/src/server/engine.rs
@@ -2,9 +2,9 @@
 //! gives each transaction one [`Reply`]. Everything else reaches the module through its [`Queue`], whose
 //! messages know no protocol, so that another front can stand beside HTTP.
 
-mod crossing;
-mod moving;
-mod pool;
+mod migration;
+mod site_forwarding;
+mod worker_list;
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -18,23 +18,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
-use crossing::{Crossings, Travel};
-
-use crate::api::{Action, Ended, Event, Load, Request, RequestId, Settings, WorkerId};
-use crate::listing::PoolUpdate;
-use crate::net::between::datagrams::Outbox;
-use crate::net::counters::{Counters, Gauge, Gauged};
-use crate::net::end::ConnectionEnd;
-use crate::net::lifecycle::link::Frame;
-use crate::net::lifecycle::peers::Peers;
-use crate::net::pool::flow::Flow;
-use crate::net::pool::member::{Dialer, Member};
-use crate::net::pool::probe::probe;
-use crate::net::queue::{Message, Queue};
-use crate::net::report;
-use crate::net::words::{CallBack, News, Order, Passed, Payload, PeerId, Reply, Side, Transaction};
-use crate::rules::Dispatcher;
-use crate::state::NOTE;
+use site_forwarding::{Crossings, Travel};
+
+use crate::config::endpoint_list::PoolUpdate;
+use crate::scheduling::dispatcher::Dispatcher;
+use crate::scheduling::interface::{Action, Ended, Event, Load, Request, RequestId, Settings, WorkerId};
+use crate::scheduling::state::NOTE;
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::lifecycle::handover_frames::Frame;
+use crate::server::lifecycle::peer_processes::Peers;
+use crate::server::load_report;
+use crate::server::messages::{CallBack, News, Order, Passed, Payload, PeerId, Reply, Side, Transaction};
+use crate::server::metrics::{Counters, Gauge, Gauged};
+use crate::server::peers::gossip_transport::Outbox;
+use crate::server::workers::attempt::Flow;
+use crate::server::workers::capacity_probe::probe;
+use crate::server::workers::endpoint::{Dialer, Member};
 
 /// Kept connections are looked over this often.
 const HOUSEKEEPING: Duration = Duration::from_secs(1);
@@ -264,7 +264,8 @@
                 }
             }
             Message::FlowEnded(id, attempt, end, report) => {
-                let load = report.map(|report| self.load(&report::from_header(&report))).unwrap_or_default();
+                let load =
+                    report.map(|report| self.load(&load_report::from_header(&report))).unwrap_or_default();
                 self.ended(id, attempt, end, load);
             }
             Message::Probed(worker, end, report) => {
--- a/src/net/engine/moving.rs
+++ b/src/server/engine/migration.rs
@@ -6,14 +6,14 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::crossing::Travel;
+use super::site_forwarding::Travel;
 use super::{Attempt, Due, Engine, Live};
-use crate::api::{Event, RequestId, WorkerId};
-use crate::net::counters::Gauge;
-use crate::net::lifecycle::link::Frame;
-use crate::net::pool::flow::Flow;
-use crate::net::pool::member::Member;
-use crate::net::words::{CallBack, Moved, MovedAttempt, Passed, Reply};
+use crate::scheduling::interface::{Event, RequestId, WorkerId};
+use crate::server::lifecycle::handover_frames::Frame;
+use crate::server::messages::{CallBack, Moved, MovedAttempt, Passed, Reply};
+use crate::server::metrics::Gauge;
+use crate::server::workers::attempt::Flow;
+use crate::server::workers::endpoint::Member;
 
 /// A call-back that has been passed on so often belongs nowhere.
 const HOPS: u8 = 8;
--- a/src/net/engine/crossing.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -9,17 +9,17 @@
     self as gateway, Action, Answer, Candidate, CrossingId, Effect as Repeats, Event as News, Gateway,
     Instance, JobId, LinkId, Origin, Outcome, Pressure,
 };
-use chutesaddle_link::{Frame, Job};
+use chutesaddle_site_link::{Frame, Job};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
 use super::{Engine, Live};
-use crate::api::{Class, Effect, Event, Group, RequestId, Standing};
-use crate::net::between::sites::{Heard, LinkOutbox};
-use crate::net::counters::{Counters, LinkFigures};
-use crate::net::queue::Message;
-use crate::net::words::{object_of, Payload, Reply, Transaction};
-use crate::state::JobRecord;
+use crate::scheduling::interface::{Class, Effect, Event, Group, RequestId, Standing};
+use crate::scheduling::state::JobRecord;
+use crate::server::engine_queue::Message;
+use crate::server::messages::{object_of, Payload, Reply, Transaction};
+use crate::server::metrics::{Counters, LinkFigures};
+use crate::server::peers::site_messages::{Heard, LinkOutbox};
 
 /// How often to look how this site stands while something waits or slots run out, and while there is room.
 const LOOK: Duration = Duration::from_millis(10);
--- a/src/net/engine/pool.rs
+++ b/src/server/engine/worker_list.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use super::Engine;
-use crate::api::{Event, WorkerId, WorkerInfo, WorkerState};
-use crate::listing::{MemberState, PoolUpdate};
-use crate::net::pool::member::Member;
-use crate::net::words::stable_number;
+use crate::config::endpoint_list::{MemberState, PoolUpdate};
+use crate::scheduling::interface::{Event, WorkerId, WorkerInfo, WorkerState};
+use crate::server::messages::stable_number;
+use crate::server::workers::endpoint::Member;
 
 impl Engine {
     /// The number of the member of this name.
--- a/src/net/queue.rs
+++ b/src/server/engine_queue.rs
@@ -5,12 +5,12 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use crate::api::{Learnt, RequestId, Settings, WorkerId};
-use crate::listing::PoolUpdate;
-use crate::net::between::sites::Heard;
-use crate::net::end::ConnectionEnd;
-use crate::net::report::Report;
-use crate::net::words::{CallBack, Moved, Passed, PeerId, Reply, Side, Transaction};
+use crate::config::endpoint_list::PoolUpdate;
+use crate::scheduling::interface::{Learnt, RequestId, Settings, WorkerId};
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::load_report::Report;
+use crate::server::messages::{CallBack, Moved, Passed, PeerId, Reply, Side, Transaction};
+use crate::server::peers::site_messages::Heard;
 
 /// What reaches the engine.
 pub enum Message {
--- a/src/net/front.rs
+++ b/src/server/frontend.rs
@@ -1,10 +1,10 @@
 //! The HTTP front: clients with their transactions, members with their call-backs, `/ready` and `/counters`
 //! on one listener. It turns HTTP into the engine's messages and replies into HTTP, and decides nothing.
 
-mod answer;
-mod passing;
-pub mod request;
-pub mod spare;
+pub mod connection_eviction;
+mod connection_handoff;
+pub mod request_parser;
+mod response;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,18 +17,18 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-use answer::Answer;
+use response::Answer;
 
-use crate::api::Settings;
-use crate::net::budget::{Budget, Share};
-use crate::net::counters::Counters;
-use crate::net::front::spare::{Spares, Worth};
-use crate::net::http::{Connection, Head, HttpError};
-use crate::net::lifecycle::link::Outbox;
-use crate::net::lifecycle::Lifecycle;
-use crate::net::queue::{Message, Pending, Queue};
-use crate::net::words::{Moved, Reply, Transaction};
-use request::Asked;
+use crate::scheduling::interface::Settings;
+use crate::server::descriptor_budget::{Budget, Share};
+use crate::server::engine_queue::{Message, Pending, Queue};
+use crate::server::frontend::connection_eviction::{Spares, Worth};
+use crate::server::http::{Connection, Head, HttpError};
+use crate::server::lifecycle::handover_frames::Outbox;
+use crate::server::lifecycle::Lifecycle;
+use crate::server::messages::{Moved, Reply, Transaction};
+use crate::server::metrics::Counters;
+use request_parser::Asked;
 
 /// A connection that stands idle for longer is closed.
 const IDLE: Duration = Duration::from_secs(120);
@@ -240,7 +240,7 @@
             let _waiting = Waiting::new(&self.waiting); // until the answer is written
             let settings = self.settings();
             let arrived = connection.taken_at();
-            let answer = match request::read(&head, &body, arrived, &settings) {
+            let answer = match request_parser::read(&head, &body, arrived, &settings) {
                 Ok(Asked::Job(transaction)) => match self.job(&mut connection, transaction, began).await {
                     JobEnd::Answer(answer) => {
                         worth = Worth::Idle;
@@ -403,7 +403,7 @@
     }
 
     fn call_back(&self, body: Bytes) -> Answer {
-        match request::read_call_back(body) {
+        match request_parser::read_call_back(body) {
             Some(call_back) => {
                 self.queue.send(Message::CallBack(call_back, None));
                 Answer::new("200 OK", "")
--- a/src/net/front/passing.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -9,11 +9,11 @@
 use tokio::time::Instant;
 
 use super::{Front, JobEnd, Waiting};
-use crate::net::front::spare::Worth;
-use crate::net::http::Connection;
-use crate::net::lifecycle::link::{Frame, Outbox};
-use crate::net::queue::Pending;
-use crate::net::words::Moved;
+use crate::server::engine_queue::Pending;
+use crate::server::frontend::connection_eviction::Worth;
+use crate::server::http::Connection;
+use crate::server::lifecycle::handover_frames::{Frame, Outbox};
+use crate::server::messages::Moved;
 
 impl Front {
     /// From now on that process accepts connections, and is passed those that stand idle here; or this one
--- a/src/net/front/request.rs
+++ b/src/server/frontend/request_parser.rs
@@ -7,11 +7,11 @@
 use simd_json::prelude::*;
 use tokio::time::Instant;
 
-use crate::api::{Effect, Settings};
-use crate::net::end::ConnectionEnd;
-use crate::net::http::Head;
-use crate::net::report;
-use crate::net::words::{object_of, CallBack, News, Payload, Transaction};
+use crate::scheduling::interface::{Effect, Settings};
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::http::Head;
+use crate::server::load_report;
+use crate::server::messages::{object_of, CallBack, News, Payload, Transaction};
 
 /// The longest wait that counts.
 const LONGEST_MS: u64 = 3_600_000;
@@ -201,6 +201,6 @@
         name: Bytes::copy_from_slice(value.get_str("id")?.as_bytes()),
         from: value.get_str("from")?.to_owned(),
         news,
-        load: report::from_load(&value),
+        load: load_report::from_load(&value),
     })
 }
--- a/src/net/front/answer.rs
+++ b/src/server/frontend/response.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 
-use crate::net::front::request::RequestError;
-use crate::net::words::Reply;
+use crate::server::frontend::request_parser::RequestError;
+use crate::server::messages::Reply;
 
 /// An answer to write.
 pub(super) struct Answer {
--- a/src/net/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -2,9 +2,9 @@
 //! Beside it, what changes a process or replaces it: the operators' door, SIGHUP, and upgrades.
 
 pub mod handover;
-pub mod link;
-pub mod ops;
-pub mod peers;
+pub mod handover_frames;
+pub mod operator_interface;
+pub mod peer_processes;
 pub mod reload;
 
 use std::cell::Cell;
--- a/src/net/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -16,14 +16,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::net::budget::Shares;
-use crate::net::counters::Counters;
-use crate::net::front::Front;
-use crate::net::lifecycle::link::{link, Frame, Inbox, Outbox};
-use crate::net::lifecycle::peers::Peers;
-use crate::net::lifecycle::Lifecycle;
-use crate::net::queue::{Message, Queue};
-use crate::net::words::{Passed, PeerId, Side};
+use crate::server::descriptor_budget::Shares;
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::frontend::Front;
+use crate::server::lifecycle::handover_frames::{link, Frame, Inbox, Outbox};
+use crate::server::lifecycle::peer_processes::Peers;
+use crate::server::lifecycle::Lifecycle;
+use crate::server::messages::{Passed, PeerId, Side};
+use crate::server::metrics::Counters;
 
 /// The name of the Unix socket in `$TMPDIR`, which is this scheduler's alone.
 const SOCKET: &str = "handover.sock";
--- a/src/net/lifecycle/link.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -18,9 +18,9 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-use crate::api::{Learnt, WorkerId};
-use crate::net::front::spare::Worth;
-use crate::net::words::{CallBack, Moved};
+use crate::scheduling::interface::{Learnt, WorkerId};
+use crate::server::frontend::connection_eviction::Worth;
+use crate::server::messages::{CallBack, Moved};
 
 /// The longest frame: a call-back with its result is the largest.
 const FRAME_BYTES: usize = 256 * 1024;
@@ -215,7 +215,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::words::News;
+    use crate::server::messages::News;
 
     /// Other builds read these bytes: what is written here may be added to and never changed.
     #[test]
--- a/src/net/lifecycle/ops.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -13,8 +13,8 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-use crate::net::counters::Counters;
-use crate::net::lifecycle::{Lifecycle, Unchanged};
+use crate::server::lifecycle::{Lifecycle, Unchanged};
+use crate::server::metrics::Counters;
 
 /// Callers served at a time. One more takes the place of the one that has been there for longest: an
 /// honest call is over within milliseconds.
--- a/src/net/lifecycle/peers.rs
+++ b/src/server/lifecycle/peer_processes.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 
-use crate::net::lifecycle::link::{Frame, Outbox};
-use crate::net::words::PeerId;
+use crate::server::lifecycle::handover_frames::{Frame, Outbox};
+use crate::server::messages::PeerId;
 
 struct Peer {
     id: PeerId,
--- a/src/net/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -7,13 +7,13 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::api::Settings;
 use crate::config::{Config, ConfigError, NoteAddresses};
-use crate::net::between::gateway::{Said, Sites};
-use crate::net::budget::Shares;
-use crate::net::front::Front;
-use crate::net::pool::member::Dialer;
-use crate::net::queue::{Message, Queue};
+use crate::scheduling::interface::Settings;
+use crate::server::descriptor_budget::Shares;
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::frontend::Front;
+use crate::server::peers::site_links::{Said, Sites};
+use crate::server::workers::endpoint::Dialer;
 
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
@@ -27,7 +27,7 @@
 pub mod operator {
     use std::path::{Path, PathBuf};
 
-    use crate::net::between::gateway::{read_secret, GatewayError, Said};
+    use crate::server::peers::site_links::{read_secret, GatewayError, Said};
 
     /// Why it cannot be used.
     #[derive(Debug, thiserror::Error)]
@@ -37,7 +37,7 @@
         File(PathBuf, std::io::Error),
         /// What is wrong with it, a mistake to a line.
         #[error("{0}")]
-        Mistakes(#[from] chutesaddle_operator::Mistakes),
+        Mistakes(#[from] chutesaddle_operator_config::Mistakes),
         /// What it names cannot be used.
         #[error(transparent)]
         Gateway(#[from] GatewayError),
@@ -50,7 +50,7 @@
     pub fn load(path: &Path) -> Result<Option<Said>, OperatorError> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|error| OperatorError::File(path.into(), error))?;
-        let file = chutesaddle_operator::read(&path.display().to_string(), &text)?;
+        let file = chutesaddle_operator_config::read(&path.display().to_string(), &text)?;
         let Some(file) = file.gateway else { return Ok(None) };
         let secret = read_secret(&file.secret)?;
         Ok(Some(Said { file, secret }))
--- a/src/net/words.rs
+++ b/src/server/messages.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::net::end::ConnectionEnd;
-use crate::state::JobRecord;
+use crate::scheduling::state::JobRecord;
+use crate::server::attempt_end::ConnectionEnd;
 
 /// A number for a name that is the same in every scheduler, whatever its build: what all choose by it, they
 /// choose alike.
--- a/src/net/counters.rs
+++ b/src/server/metrics.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::net::end::ConnectionEnd;
+use crate::server::attempt_end::ConnectionEnd;
 
 /// A number that only grows.
 #[derive(Default)]
--- a/src/net/between/datagrams.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -11,10 +11,10 @@
 use tokio::time::sleep;
 
 use crate::config::NoteAddresses;
-use crate::net::counters::Counters;
-use crate::net::lifecycle::Phase;
-use crate::net::queue::{Message, Queue};
-use crate::notes::{is_note, MOST_BYTES};
+use crate::scheduling::gossip::{is_note, MOST_BYTES};
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::lifecycle::Phase;
+use crate::server::metrics::Counters;
 
 /// Wait before the socket is tried again: the process that this one replaces may still have it.
 const TRY_AGAIN: Duration = Duration::from_millis(100);
--- a/src/net/between/gateway.rs
+++ b/src/server/peers/site_links.rs
@@ -11,17 +11,17 @@
 
 use bytes::BytesMut;
 use chutesaddle_gateway::{Instance, LinkId};
-use chutesaddle_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
-use chutesaddle_operator::GatewayFile;
+use chutesaddle_operator_config::GatewayFile;
+use chutesaddle_site_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
 use tokio::io::{split, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::net::between::sites::{Heard, LinkInbox, LinkOutbox};
-use crate::net::lifecycle::{Lifecycle, Phase};
-use crate::net::queue::{Message, Queue};
+use crate::server::engine_queue::{Message, Queue};
+use crate::server::lifecycle::{Lifecycle, Phase};
+use crate::server::peers::site_messages::{Heard, LinkInbox, LinkOutbox};
 
 /// Callers that may be greeting at a time; one more is closed at once.
 const GREETING: usize = 32;
--- a/src/net/between/sites.rs
+++ b/src/server/peers/site_messages.rs
@@ -1,12 +1,12 @@
-//! The words between the gateway's links and the engine. Like [`crate::net::words`], they lie below both.
+//! The words between the gateway's links and the engine. Like [`crate::server::messages`], they lie below both.
 
 use std::time::Duration;
 
 use chutesaddle_gateway::{Config, LinkId, Origin};
-use chutesaddle_link::Frame;
+use chutesaddle_site_link::Frame;
 use tokio::sync::mpsc;
 
-use crate::net::words::Reply;
+use crate::server::messages::Reply;
 
 /// Frames that may wait for a link's task. What waits behind it is bounded in bytes by the link.
 const FRAMES: usize = 4096;
--- a/src/net/pool/flow.rs
+++ b/src/server/workers/attempt.rs
@@ -9,11 +9,11 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use crate::net::counters::{ClassCounters, Counter, Counters};
-use crate::net::end::ConnectionEnd;
-use crate::net::http::{Head, HttpError};
-use crate::net::pool::member::{Member, MemberConnection, Use};
-use crate::net::words::{Order, Payload};
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::http::{Head, HttpError};
+use crate::server::messages::{Order, Payload};
+use crate::server::metrics::{ClassCounters, Counter, Counters};
+use crate::server::workers::endpoint::{Member, MemberConnection, Use};
 
 /// How long an answer of the member may still come once the engine needs it no more; until then the
 /// connection may become free again.
--- a/src/net/pool/probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::timeout;
 
-use crate::net::end::ConnectionEnd;
-use crate::net::http::{Connection, HttpError};
-use crate::net::pool::member::{Member, Use};
-use crate::net::report::{from_body, Report};
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::http::{Connection, HttpError};
+use crate::server::load_report::{from_body, Report};
+use crate::server::workers::endpoint::{Member, Use};
 
 /// Asks a member once, within the time in which a connection has to come up. The report is empty where it sends
 /// none. A connection that got no whole answer is closed.
--- a/src/net/pool/member.rs
+++ b/src/server/workers/endpoint.rs
@@ -7,10 +7,10 @@
 
 use tokio::time::{timeout, Instant};
 
-use crate::net::budget::{Budget, Share};
-use crate::net::counters::Counters;
-use crate::net::end::ConnectionEnd;
-use crate::net::http::Connection;
+use crate::server::attempt_end::ConnectionEnd;
+use crate::server::descriptor_budget::{Budget, Share};
+use crate::server::http::Connection;
+use crate::server::metrics::Counters;
 
 /// Kept connections to one member. More than these are seldom in use at once: each is free again as soon
 /// as the member has taken the job.
--- a/src/wire.rs
+++ b/src/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: frames of little-endian records, to and from the types of [`crate::api`].
+//! The simulator's wire: frames of little-endian records, to and from the types of [`crate::scheduling::interface`].
 //! Holds the instances of one process; it decides nothing.
 
 use std::collections::BTreeMap;
@@ -6,12 +6,12 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::api::{
+use crate::config::settings::SettingsError;
+use crate::scheduling::dispatcher::Dispatcher;
+use crate::scheduling::interface::{
     Action, Ended, Event, Load, Outcome, ReportField, Request, RequestId, Settings, WorkerId, WorkerInfo,
     WorkerState,
 };
-use crate::rules::Dispatcher;
-use crate::settings::SettingsError;
 
 /// Why a frame cannot be read. Offsets count from the first byte after the frame's length.
 #[derive(Debug, thiserror::Error)]
--- a/tests/objects.rs
+++ b/tests/affinity.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 use common::*;
 
 /// Settings of four dispatchers that hear of free slots in answers, and of a fleet that may be probed.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small builders that the tests share.
 #![allow(dead_code)]
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 use chutesaddle::Dispatcher;
 
 pub(crate) fn class(effect: Effect, group: Group) -> Class {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use chutesaddle::api::*;
+use chutesaddle::config::endpoint_list::MemberState;
 use chutesaddle::config::Config;
-use chutesaddle::listing::MemberState;
+use chutesaddle::scheduling::interface::*;
 use common::*;
 
 const TEXT: &str = r#"{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use chutesaddle::api::*;
-use chutesaddle::net::end::ConnectionEnd;
+use chutesaddle::scheduling::interface::*;
+use chutesaddle::server::attempt_end::ConnectionEnd;
 use common::*;
 use rstest::rstest;
 
--- a/tests/trials.rs
+++ b/tests/fault_injection.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chutesaddle_trials::agreement;
-use chutesaddle_trials::notes::{play, Terms};
-use chutesaddle_trials::plan::Plan;
+use chutesaddle_fault_injection::agreement;
+use chutesaddle_fault_injection::notes::{play, Terms};
+use chutesaddle_fault_injection::plan::Plan;
 
 /// Plays a plan in a folder of its own and fails if a promise is broken or the faults were not felt.
 fn keeps(name: &str, seed: u64, plan: &Plan) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 use common::*;
 
 fn many() -> Settings {
--- a/tests/notes.rs
+++ b/tests/gossip.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 use common::*;
 
 const DISPATCHERS: usize = 4;
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,6 +1,6 @@
 //! The HTTP connection by itself: what a whole program cannot be made to show at will.
 
-use chutesaddle::net::http::Connection;
+use chutesaddle::server::http::Connection;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
--- a/tests/rules.rs
+++ b/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 use common::*;
 
 fn fleet(n: u64) -> Vec<WorkerInfo> {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Options to settings.
 
-use chutesaddle::api::*;
+use chutesaddle::scheduling::interface::*;
 
 #[test]
 fn reads_what_a_deployment_states() {
--- a/tests/wire.rs
+++ b/tests/simulator.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use chutesaddle::wire::Host;
+use chutesaddle::simulator::Host;
 
 const OPTIONS: &str = "balancers=1\ntick_s=0.004\ngrades.count=1\ngrades.0.effect=repeatable\n\
     grades.0.slo_s=0.5\ngrades.0.deadline_s=5.0\nspecifics.tells_start=true\nallowed.send_cap=2\nkinds=a\n";
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -5,7 +5,7 @@
 
 use std::path::Path;
 
-use chutesaddle::net::lifecycle::link::Frame;
+use chutesaddle::server::lifecycle::handover_frames::Frame;
 
 /// The form byte of the frames at 84881d9.
 const FORM: u8 = 2;
