--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -185,7 +185,7 @@
             Event::RanHere { key, window } => {
                 self.keys.note(now, &key, Place::Here, window, self.config.most_keys);
             }
-            Event::Left(job) => self.left(job, out),
+            Event::ClientDisconnected(job) => self.left(job, out),
             Event::Drain(draining) => self.draining = draining,
             Event::Configure(config) => self.configure(config),
             Event::Tick => self.tick(now, out),
@@ -203,7 +203,7 @@
             Event::Written(link, id) => self.news(link, id, News::Written, out),
             Event::Taken(link, id) => self.news(link, id, News::Taken, out),
             Event::Returned(link, id) => self.news(link, id, News::Returned, out),
-            Event::Ended(link, id, outcome) => self.news(link, id, News::Ended(outcome), out),
+            Event::AttemptEnded(link, id, outcome) => self.news(link, id, News::Ended(outcome), out),
             Event::Told(link, id, known) => self.news(link, id, News::Told(known), out),
             Event::Joined { link, site, instance } => self.joined(now, link, site, instance, out),
             Event::Parted(link) => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -201,7 +201,7 @@
         window: Duration,
     },
     /// The client of a transaction has left.
-    Left(JobId),
+    ClientDisconnected(JobId),
     /// Whether this site empties itself: it sends nothing away and takes nothing in.
     Drain(bool),
     /// Other settings.
@@ -240,7 +240,7 @@
     /// The other side gives it back unstarted.
     Returned(LinkId, CrossingId),
     /// It has ended there.
-    Ended(LinkId, CrossingId, Outcome),
+    AttemptEnded(LinkId, CrossingId, Outcome),
     /// What the other side knows of it.
     Told(LinkId, CrossingId, Known),
 
--- a/crates/gateway/tests/pair.rs
+++ b/crates/gateway/tests/pair.rs
@@ -204,7 +204,7 @@
                 Word::Grant { epoch, limit, term } => Event::Granted { link, epoch, limit, term },
                 Word::Taken(id) => Event::Taken(link, id),
                 Word::GivenBack(id) => Event::Returned(link, id),
-                Word::Ended(id, outcome) => Event::Ended(link, id, outcome),
+                Word::Ended(id, outcome) => Event::AttemptEnded(link, id, outcome),
                 Word::Told(id, known) => Event::Told(link, id, known),
                 Word::Withdraw(id) => Event::Withdrawn(link, id),
                 Word::Ask(ids) => Event::Asked(link, ids),
@@ -482,7 +482,7 @@
         if cut {
             pair.cut(0);
         }
-        pair.tell(0, Event::Left(JobId(1)));
+        pair.tell(0, Event::ClientDisconnected(JobId(1)));
         if cut {
             pair.dial(0);
         }
@@ -655,7 +655,7 @@
             Step::Leave(n) => {
                 if let Some((&job, _)) = pair.sites[n].fates.iter().next_back() {
                     pair.sites[n].fates.get_mut(&job).unwrap().gone = true;
-                    pair.tell(n, Event::Left(job));
+                    pair.tell(n, Event::ClientDisconnected(job));
                 }
             }
             Step::Restart(n) => pair.restart(n),
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -96,7 +96,7 @@
 
     let settings = config.settings;
     let (shares, peers) = (Rc::new(Shares::new(config.sockets)), Peers::default());
-    let (connect_timeout_s, conn_idle_s) = (settings.connect_timeout_s, settings.conn_idle_s);
+    let (connect_timeout_s, conn_idle_s) = (settings.connect_timeout_s, settings.connection_idle_timeout_s);
     let dialer = Rc::new(Dialer::new(shares.members(), connect_timeout_s, conn_idle_s, Rc::clone(&counters)));
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&dialer), Rc::clone(&counters), peers.clone());
--- a/src/config.rs
+++ b/src/config.rs
@@ -109,8 +109,8 @@
         let settings = root.get("settings").ok_or(ConfigError::Field("settings"))?;
         let mut settings = read_settings(&settings)?;
         // Where none are allowed, what it says of ways is nobody's business.
-        let notes = if settings.notes { NoteAddresses::read(&root)? } else { None };
-        settings.notes = notes.is_some();
+        let notes = if settings.gossip_allowed { NoteAddresses::read(&root)? } else { None };
+        settings.gossip_allowed = notes.is_some();
         let known = root.get("known").map(|known| PoolUpdate::read(&known));
         Ok(Config {
             name: string("name")?.to_owned(),
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use crate::scheduling::interface::{Class, Effect, Group, ReportField, Settings, Tenant};
+use crate::scheduling::interface::{
+    DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant,
+};
 
 /// A known key whose value cannot be read.
 #[derive(Debug, thiserror::Error, PartialEq)]
@@ -63,17 +65,17 @@
         items.map(|item| item.parse().map_err(|_| bad(key, value))).collect()
     }
 
-    fn report_field(&self, name: &str) -> ReportField {
+    fn report_field(&self, name: &str) -> LoadReportField {
         let meaning = match name {
             "x0" => self.0.get("specifics.report_x0").copied().unwrap_or_default(),
             "x1" => self.0.get("specifics.report_x1").copied().unwrap_or_default(),
             other => other,
         };
         match meaning {
-            "free_slots" => ReportField::FreeSlots,
-            "queue" => ReportField::Queue,
-            "free_memory" => ReportField::FreeMemory,
-            _ => ReportField::Other,
+            "free_slots" => LoadReportField::FreeSlots,
+            "queue" => LoadReportField::Queue,
+            "free_memory" => LoadReportField::FreeMemory,
+            _ => LoadReportField::Other,
         }
     }
 }
@@ -86,24 +88,32 @@
         let d = Settings::default();
         let stretches: Vec<f64> = o.list("specifics.class_stretch")?;
         let tied: Vec<i64> = o.list("specifics.class_kind")?;
-        let effects = [("repeatable", Effect::Repeatable), ("by_key", Effect::Keyed), ("once", Effect::Once)];
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+        let effects = [
+            ("repeatable", Idempotency::Idempotent),
+            ("by_key", Idempotency::WithKey),
+            ("once", Idempotency::NonIdempotent),
+        ];
+        let groups = [
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
+        ];
         let mut classes = Vec::new();
         for i in 0..o.count("grades.count")? {
             let key = |field: &str| format!("grades.{i}.{field}");
             let aim_stretch = o.number(&key("aim_stretch"), 0.0)?;
             let deadline_s = o.number(&key("deadline_s"), 60.0)?;
-            classes.push(Class {
+            classes.push(RequestClass {
                 name: o.get(&key("name"), String::new())?,
-                aim_s: o.number(&key("slo_s"), deadline_s)?,
-                stretch: stretches.get(i).copied().unwrap_or(0.0).max(aim_stretch),
+                latency_objective_s: o.number(&key("slo_s"), deadline_s)?,
+                objective_per_work: stretches.get(i).copied().unwrap_or(0.0).max(aim_stretch),
                 deadline_s,
-                worth: o.number(&key("worth"), 1.0)?,
-                late_worth: o.number(&key("late_worth"), 0.0)?,
-                effect: o.one_of(&key("effect"), &effects, Effect::Once)?,
-                group: o.one_of(&key("group"), &groups, Group::Cell)?,
-                window_s: o.number(&key("window_s"), 0.0)?,
-                kind: tied.get(i).and_then(|&kind| usize::try_from(kind).ok()),
+                priority_weight: o.number(&key("worth"), 1.0)?,
+                weight_after_objective: o.number(&key("late_worth"), 0.0)?,
+                idempotency: o.one_of(&key("effect"), &effects, Idempotency::NonIdempotent)?,
+                deduplication_scope: o.one_of(&key("group"), &groups, DeduplicationScope::Cell)?,
+                deduplication_window_s: o.number(&key("window_s"), 0.0)?,
+                required_kind: tied.get(i).and_then(|&kind| usize::try_from(kind).ok()),
             });
         }
         let mut tenants = Vec::new();
@@ -115,36 +125,36 @@
         let hold_off = o.get("allowed.retry_after", false)?;
         let ask = [("on_request", true), ("pushed", false)];
         Ok(Settings {
-            index: o.get("index", d.index)?,
-            dispatchers: o.get("balancers", d.dispatchers)?.max(1),
+            scheduler_index: o.get("index", d.scheduler_index)?,
+            scheduler_count: o.get("balancers", d.scheduler_count)?.max(1),
             zone: o.get("zone", d.zone)?,
-            tick_s: o.number("tick_s", d.tick_s)?,
+            event_interval_s: o.number("tick_s", d.event_interval_s)?,
             classes,
             tenants,
-            over_share_worth: o.number("over_share_worth", d.over_share_worth)?,
-            report: fields.iter().map(|name| o.report_field(name)).collect(),
-            report_names: fields,
+            weight_over_quota: o.number("over_share_worth", d.weight_over_quota)?,
+            load_report_fields: fields.iter().map(|name| o.report_field(name)).collect(),
+            load_report_names: fields,
             zones: o.list("areas")?,
-            kinds: o.list("kinds")?,
+            worker_kinds: o.list("kinds")?,
             connect_timeout_s: o.number("allowed.connect_timeout_s", d.connect_timeout_s)?,
-            conn_idle_s: o.number("allowed.conn_idle_s", d.conn_idle_s)?,
+            connection_idle_timeout_s: o.number("allowed.conn_idle_s", d.connection_idle_timeout_s)?,
             answer_slack_s: o.number("contract.answer_slack_s", d.answer_slack_s)?,
-            tells_start: o.get("specifics.tells_start", d.tells_start)?,
-            progress_s: o.number("specifics.progress_s", d.progress_s)?,
+            starts_reported: o.get("specifics.tells_start", d.starts_reported)?,
+            progress_interval_s: o.number("specifics.progress_s", d.progress_interval_s)?,
             max_attempts: o.get("allowed.send_cap", d.max_attempts)?,
-            second_copies: o.get("allowed.second_copies", d.second_copies)?,
-            may_cancel: o.get("allowed.may_cancel", d.may_cancel)?,
-            probes: o.get("allowed.probes", d.probes)?,
-            notes: o.get("allowed.peer_messages", d.notes)?,
-            max_hold_off_s: if hold_off { o.number("allowed.max_retry_after_s", 0.0)? } else { 0.0 },
-            ask_for_list: o.one_of("membership_mode", &ask, d.ask_for_list)?,
-            live_weights: o.get("weights", String::new())? == "live",
-            ask_within_s: o.number("contract.ask_within_s", d.ask_within_s)?,
+            hedging_allowed: o.get("allowed.second_copies", d.hedging_allowed)?,
+            cancellation_allowed: o.get("allowed.may_cancel", d.cancellation_allowed)?,
+            capacity_probes_allowed: o.get("allowed.probes", d.capacity_probes_allowed)?,
+            gossip_allowed: o.get("allowed.peer_messages", d.gossip_allowed)?,
+            max_retry_after_s: if hold_off { o.number("allowed.max_retry_after_s", 0.0)? } else { 0.0 },
+            discovery_polled: o.one_of("membership_mode", &ask, d.discovery_polled)?,
+            weights_show_load: o.get("weights", String::new())? == "live",
+            max_poll_interval_s: o.number("contract.ask_within_s", d.max_poll_interval_s)?,
             drain_grace_s: o.number("contract.drain_grace_s", d.drain_grace_s)?,
-            cold_share: o.number("contract.cold_share", d.cold_share)?,
-            warm_within_s: o.number("contract.warm_within_s", d.warm_within_s)?,
-            fall_multiple: o.number("contract.fall_multiple", d.fall_multiple)?,
-            overload_for_s: o.number("contract.overload_for_s", d.overload_for_s)?,
+            slow_start_fraction: o.number("contract.cold_share", d.slow_start_fraction)?,
+            slow_start_duration_s: o.number("contract.warm_within_s", d.slow_start_duration_s)?,
+            collapse_multiple: o.number("contract.fall_multiple", d.collapse_multiple)?,
+            overload_window_s: o.number("contract.overload_for_s", d.overload_window_s)?,
         })
     }
 }
@@ -153,23 +163,24 @@
     /// These settings followed by `new` ones while the process runs. Classes, tenants, zones and kinds are
     /// known by number to what is under way, so each name keeps its number. What the new settings do not
     /// name any more stays until a restart; the second value says which lists that concerns.
-    pub fn followed_by(&self, new: Settings) -> (Settings, Vec<&'static str>) {
+    pub fn reconfigured(&self, new: Settings) -> (Settings, Vec<&'static str>) {
         let zone = new.zones.get(usize::from(new.zone)).cloned();
-        let kinds = new.kinds.clone();
+        let kinds = new.worker_kinds.clone();
         let mut kept = Vec::new();
         let mut settings = Settings {
             classes: follow(&self.classes, new.classes, |c| &c.name, "grades", &mut kept),
             tenants: follow(&self.tenants, new.tenants, |t| &t.name, "parties", &mut kept),
             zones: follow(&self.zones, new.zones, |name| name, "areas", &mut kept),
-            kinds: follow(&self.kinds, new.kinds, |name| name, "kinds", &mut kept),
+            worker_kinds: follow(&self.worker_kinds, new.worker_kinds, |name| name, "kinds", &mut kept),
             ..new
         };
         let number = |names: &[String], name: &String| names.iter().position(|known| known == name);
         let zone = zone.and_then(|zone| number(&settings.zones, &zone));
         settings.zone = zone.and_then(|zone| u16::try_from(zone).ok()).unwrap_or(settings.zone);
         for class in &mut settings.classes {
-            let name = class.kind.and_then(|kind| kinds.get(kind));
-            class.kind = name.and_then(|name| number(&settings.kinds, name)).or(class.kind);
+            let name = class.required_kind.and_then(|kind| kinds.get(kind));
+            class.required_kind =
+                name.and_then(|name| number(&settings.worker_kinds, name)).or(class.required_kind);
         }
         (settings, kept)
     }
--- a/src/scheduling/estimates.rs
+++ b/src/scheduling/estimates.rs
@@ -21,7 +21,7 @@
 
 impl Dispatcher {
     /// How it stands here, for whoever may carry work elsewhere.
-    pub fn standing(&self) -> Standing {
+    pub fn capacity_summary(&self) -> CapacitySummary {
         let ring = self.farm.ring.iter().map(|id| &self.farm.workers[id]);
         let fit = ring.filter(|w| w.suspect.is_none() && self.now >= w.full_until);
         let each = fit.map(|w| (self.farm.slots_of(w) * self.warmth(w, 0.0), self.free(w)));
@@ -31,11 +31,11 @@
         let held = self.jobs.held.iter().filter_map(|id| self.jobs.all.get(id));
         let work: f64 = held.filter(|job| job.held).map(|job| job.work).sum();
         let clear_s = work * self.usual_ratio() / slots.max(1.0);
-        Standing { slots, free, waiting: self.jobs.held.len(), clear_s }
+        CapacitySummary { slots, free, waiting: self.jobs.held.len(), backlog_s: clear_s }
     }
 
     /// Requests that wait and were sent nowhere yet, with the time by which each must start to be in time.
-    pub fn waiting(&self) -> impl Iterator<Item = (RequestId, f64)> + '_ {
+    pub fn waiting_requests(&self) -> impl Iterator<Item = (RequestId, f64)> + '_ {
         let jobs = self.jobs.held.iter().filter_map(|id| self.jobs.all.get(id));
         let jobs = jobs.filter(|job| job.held && !job.ended && job.attempts.is_empty());
         jobs.map(|job| (job.req.id, job.since + job.aim - job.work * self.usual_ratio()))
@@ -44,8 +44,8 @@
     /// When a request of this class must start to be in time, on a worker like most.
     pub fn latest_start(&self, class: usize, hint: Option<f64>, deadline: f64) -> f64 {
         let (longest, class) = (self.seen.longest_left[class], &self.s.classes[class]);
-        let work = hint.unwrap_or(class.aim_s);
-        let aim = (class.aim_s + class.stretch * work).min(class.deadline_s);
+        let work = hint.unwrap_or(class.latency_objective_s);
+        let aim = (class.latency_objective_s + class.objective_per_work * work).min(class.deadline_s);
         (deadline - longest).min(self.now) + aim - work * self.usual_ratio()
     }
 
@@ -55,10 +55,13 @@
 
     /// Share of its capacity that a worker has at the least, `back_s` ago.
     pub(crate) fn warmth(&self, w: &Worker, back_s: f64) -> f64 {
-        let age =
-            if w.info.since > 0.0 { (self.now - back_s - w.info.since).max(0.0) } else { f64::INFINITY };
-        let share = self.s.cold_share.clamp(0.01, 1.0);
-        (share + (1.0 - share) * age / self.s.warm_within_s.max(1e-3)).min(1.0)
+        let age = if w.info.started_at_s > 0.0 {
+            (self.now - back_s - w.info.started_at_s).max(0.0)
+        } else {
+            f64::INFINITY
+        };
+        let share = self.s.slow_start_fraction.clamp(0.01, 1.0);
+        (share + (1.0 - share) * age / self.s.slow_start_duration_s.max(1e-3)).min(1.0)
     }
 
     pub(crate) fn mean(&self, mean: &Mean, fallback: f64) -> f64 {
@@ -122,16 +125,16 @@
     /// Slots that the other dispatchers are thought to hold: what they told, and for those that told nothing
     /// lately their part of what was last learnt, fading to the usual.
     pub(crate) fn others(&self, w: &Worker) -> f64 {
-        let (told, tellers) = self.notes.held(self.now, gossip::key(w.info.tag), self.fleet_run());
-        let silent = 1.0 - tellers as f64 / (self.s.dispatchers as f64 - 1.0).max(1.0);
+        let (told, tellers) = self.notes.held(self.now, gossip::key(w.info.stable_id), self.fleet_run());
+        let silent = 1.0 - tellers as f64 / (self.s.scheduler_count as f64 - 1.0).max(1.0);
         told + silent.max(0.0) * self.learnt_of_others(w)
     }
 
     fn learnt_of_others(&self, w: &Worker) -> f64 {
         // Where crowds are unseen, most are met at warm workers: they tell nothing of those that warm up, to which
         // only some may send in each interval.
-        let few_may = !self.tells_crowds() && !scheduler_share::suffice(self.s.dispatchers);
-        let others = self.s.dispatchers > 1 && !(few_may && self.warmth(w, 0.0) < 1.0);
+        let few_may = !self.tells_crowds() && !scheduler_share::suffice(self.s.scheduler_count);
+        let others = self.s.scheduler_count > 1 && !(few_may && self.warmth(w, 0.0) < 1.0);
         let usual = f64::from(u8::from(others))
             * self.seen.busy.or(self.now, SOON, TRUST, 0.5)
             * self.farm.slots_of(w);
@@ -155,7 +158,12 @@
 
     /// What a job counts for at a cold worker: no less than others of its class, whatever its hint says.
     pub(crate) fn cold_work(&self, class: usize, work: f64) -> f64 {
-        work.max(self.seen.work[class].or(self.now, KIND_RECENT, 1.0, self.s.classes[class].aim_s))
+        work.max(self.seen.work[class].or(
+            self.now,
+            KIND_RECENT,
+            1.0,
+            self.s.classes[class].latency_objective_s,
+        ))
     }
 
     /// What a worker can do, for comparison with others: its size as listed, at the speed it has shown, as far
@@ -166,7 +174,7 @@
 
     /// Whether a connection to the worker is there from an earlier job.
     pub(crate) fn keeps(&self, w: &Worker) -> bool {
-        self.now - w.sent < KEPT * self.s.conn_idle_s
+        self.now - w.sent < KEPT * self.s.connection_idle_timeout_s
     }
 
     /// How many workers there are for each to which a connection is there.
@@ -177,9 +185,9 @@
 
     /// This dispatcher's part of a cold worker's budget, if it has one now.
     pub(crate) fn cold_part(&self, w: &Worker) -> Option<f64> {
-        let grown = self.warmth(w, self.s.overload_for_s) / self.warmth(w, f64::INFINITY);
-        let salt = w.info.since.to_bits() ^ u64::from(w.info.cell);
-        scheduler_share::part(self.s.index, self.s.dispatchers, grown, salt)
+        let grown = self.warmth(w, self.s.overload_window_s) / self.warmth(w, f64::INFINITY);
+        let salt = w.info.started_at_s.to_bits() ^ u64::from(w.info.cell);
+        scheduler_share::part(self.s.scheduler_index, self.s.scheduler_count, grown, salt)
     }
 
     /// Full load where no dispatcher sees it in its own queue: hardly any worker has a slot free.
@@ -189,6 +197,6 @@
 
     /// By how many usual runs a job on this object is shorter there than where nothing of it is kept.
     pub(crate) fn saves(&self, object: u64, w: &Worker) -> f64 {
-        self.objects.saves(self.now, self.objects.place(object, w.info.tag, &w.near))
+        self.objects.saves(self.now, self.objects.place(object, w.info.stable_id, &w.near))
     }
 }
--- a/src/scheduling/slow_start.rs
+++ b/src/scheduling/slow_start.rs
@@ -32,7 +32,7 @@
     /// What this scheduler may send the worker now, with a job that counts for `work` seconds; `None` where it has
     /// no part of the worker's budget.
     pub(crate) fn slow_start(&self, w: &Worker, work: f64) -> Option<Allowance> {
-        if scheduler_share::suffice(self.s.dispatchers) {
+        if scheduler_share::suffice(self.s.scheduler_count) {
             self.fixed_share(w, work)
         } else {
             Some(self.granted(w, work))
@@ -44,23 +44,23 @@
         let warmth = (self.warmth(w, 0.0) * shown).min(1.0);
         let part = self.cold_part(w)? * self.budget(w, warmth);
         // To the nearest whole job: parts are as often too large for their last job as too small.
-        Some(Allowance { from: self.now - self.s.overload_for_s, work: part + 0.5 * work })
+        Some(Allowance { from: self.now - self.s.overload_window_s, work: part + 0.5 * work })
     }
 
     fn granted(&self, w: &Worker, work: f64) -> Allowance {
         let usual = self.seen.usual.or(self.now, KIND_RECENT, 1.0, work);
         let jobs = scheduler_share::mean_grants(self.allowed(w, usual));
         let worth = work.max(usual);
-        let salt = w.info.since.to_bits() ^ w.info.tag;
-        let interval = Interval::at(self.now - w.info.since, salt, &self.s);
+        let salt = w.info.started_at_s.to_bits() ^ w.info.stable_id;
+        let interval = Interval::at(self.now - w.info.started_at_s, salt, &self.s);
         let mine = scheduler_share::granted(
-            self.s.index,
-            self.s.dispatchers,
+            self.s.scheduler_index,
+            self.s.scheduler_count,
             jobs * usual / worth,
             salt,
             interval.number,
         );
-        Allowance { from: w.info.since + interval.began, work: mine * worth }
+        Allowance { from: w.info.started_at_s + interval.began, work: mine * worth }
     }
 
     /// The requests of mean work that the worker may get within a window by the settings: as its size and the `usual`
@@ -77,14 +77,14 @@
         let ready = self.farm.kinds.iter().enumerate();
         let fleet: f64 = ready.map(|(kind, k)| k.ready * k.slots / speed(kind)).sum();
         let part = self.farm.slots_of(w) / speed(w.info.kind) / fleet.max(1e-9);
-        seen.min(self.s.fall_multiple * self.s.overload_for_s * warmth * quota * part)
+        seen.min(self.s.collapse_multiple * self.s.overload_window_s * warmth * quota * part)
     }
 
     /// Seconds of usual-speed work that the worker can be sent within a window before it is overdriven.
     fn budget(&self, w: &Worker, warmth: f64) -> f64 {
         let speed = self.kind_ratio(w.info.kind).exp().max(self.ratio(w, 2));
         let capacity = warmth * self.farm.slots_of(w).max(1.0) / speed;
-        self.s.fall_multiple * capacity * self.s.overload_for_s
+        self.s.collapse_multiple * capacity * self.s.overload_window_s
     }
 }
 
@@ -101,8 +101,8 @@
     /// The interval of the scheduler of these settings in which a worker of this age is. `salt` is the same for all
     /// schedulers and another one for each worker.
     pub fn at(age_s: f64, salt: u64, settings: &Settings) -> Self {
-        let length_s = settings.overload_for_s.max(1e-3);
-        let phase = chance(salt ^ (settings.index as u64 + 1).wrapping_mul(0xA24B_AED4_963E_E407));
+        let length_s = settings.overload_window_s.max(1e-3);
+        let phase = chance(salt ^ (settings.scheduler_index as u64 + 1).wrapping_mul(0xA24B_AED4_963E_E407));
         let number = (age_s.max(0.0) / length_s + phase).floor();
         Interval { number: number as u64, began: (number - phase) * length_s }
     }
--- a/src/scheduling/slow_start/tests.rs
+++ b/src/scheduling/slow_start/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn settings(index: usize) -> Settings {
-    Settings { index, overload_for_s: 3.0, ..Settings::default() }
+    Settings { scheduler_index: index, overload_window_s: 3.0, ..Settings::default() }
 }
 
 #[test]
--- a/src/scheduling/state.rs
+++ b/src/scheduling/state.rs
@@ -72,14 +72,14 @@
 
 /// What a dispatcher has learnt, for another process of it to start from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct LearnedState {
     seen: Seen,
     objects: Objects,
     kinds: Vec<Kind>,
     workers: Vec<Worker>,
 }
 
-impl Learnt {
+impl LearnedState {
     /// The workers that it knows something of.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.workers.iter().map(|w| w.info.id)
@@ -251,8 +251,8 @@
     }
 
     /// What is known of the workers, with what was seen of the traffic.
-    pub(crate) fn learnt(&self, seen: &Seen, objects: &Objects) -> Learnt {
-        Learnt {
+    pub(crate) fn learnt(&self, seen: &Seen, objects: &Objects) -> LearnedState {
+        LearnedState {
             seen: seen.clone(),
             objects: objects.clone(),
             kinds: self.kinds.clone(),
@@ -262,13 +262,13 @@
 
     /// Takes up what another process of this dispatcher has learnt of the workers that are listed here, but
     /// not what it holds there. Gives back what it has seen.
-    pub(crate) fn take_up(&mut self, learnt: Learnt) -> (Seen, Objects) {
+    pub(crate) fn take_up(&mut self, learnt: LearnedState) -> (Seen, Objects) {
         for (own, kind) in self.kinds.iter_mut().zip(learnt.kinds) {
             *own = Kind { ready: own.ready, ..kind };
         }
         for w in learnt.workers {
             let Some(own) = self.workers.get_mut(&w.info.id) else { continue };
-            if own.info.since == w.info.since {
+            if own.info.started_at_s == w.info.started_at_s {
                 let slots = Pool { mine: own.slots.mine, ..w.slots };
                 let memory = Pool { mine: own.memory.mine, ..w.memory };
                 let (info, cold_sends) = (own.info.clone(), std::mem::take(&mut own.cold_sends));
@@ -293,7 +293,7 @@
     pub(crate) fn report(
         &mut self,
         id: WorkerId,
-        load: Load,
+        load: LoadReport,
         weight: f64,
         (others, total): (f64, f64),
         now: f64,
@@ -301,7 +301,7 @@
         let Some(w) = self.workers.get_mut(&id) else { return };
         if let Some(free) = load.free_slots {
             w.slots.total = total.max(free.round());
-            let held = w.slots.total - free + load.queue.unwrap_or(0.0) - w.slots.mine;
+            let held = w.slots.total - free + load.queue_length.unwrap_or(0.0) - w.slots.mine;
             (w.slots.others, w.slots.at) = (others + weight * (held.max(0.0) - others), now);
             self.kinds[w.info.kind].slots = w.slots.total;
         }
@@ -367,7 +367,7 @@
             let kinds = self.kinds.len().max(info.kind + 1);
             self.kinds.resize_with(kinds, &kind);
             let w = self.workers.entry(info.id).or_insert_with(Worker::unknown);
-            if info.since > w.info.since {
+            if info.started_at_s > w.info.started_at_s {
                 // A new process: what was learnt of the old one's health and load is void.
                 *w = w.restarted();
             }
@@ -384,13 +384,13 @@
     }
 }
 
-impl Group {
+impl DeduplicationScope {
     /// Whether two workers drop each other's repeats.
     pub(crate) fn holds(self, a: &Worker, b: &Worker) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => a.info.zone == b.info.zone,
-            Group::Cell => a.info.cell == b.info.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => a.info.zone == b.info.zone,
+            DeduplicationScope::Cell => a.info.cell == b.info.cell,
         }
     }
 }
@@ -453,7 +453,8 @@
 
 impl Job {
     pub(crate) fn new(req: Request, work: f64, aim: f64, since: f64, priority: f64) -> Self {
-        let (attempts, held, ended, stream, keeps) = (Vec::new(), true, false, false, req.object.is_some());
+        let (attempts, held, ended, stream, keeps) =
+            (Vec::new(), true, false, false, req.affinity_key.is_some());
         Job { req, work, aim, since, priority, attempts, keeps, asks: 0, ask_at: 0.0, held, ended, stream }
     }
 
@@ -464,9 +465,9 @@
 
 /// What a dispatcher knows of a request, for another process of it to go on with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobRecord(pub(crate) Job);
+pub struct RequestRecord(pub(crate) Job);
 
-impl JobRecord {
+impl RequestRecord {
     /// Its tenant, and the slots and memory that it needs.
     pub fn needs(&self) -> (usize, f64, f64) {
         (self.0.req.tenant, self.0.req.slots, self.0.req.memory)
@@ -501,7 +502,7 @@
     }
 
     /// Gives up a request, with its attempts, to another process of this dispatcher.
-    pub(crate) fn hand_over(&mut self, id: RequestId, farm: &mut Farm) -> Option<JobRecord> {
+    pub(crate) fn hand_over(&mut self, id: RequestId, farm: &mut Farm) -> Option<RequestRecord> {
         let job = self.all.remove(&id)?;
         self.held.retain(|held| *held != id);
         for a in job.attempts.iter().filter(|a| a.out) {
@@ -510,7 +511,7 @@
                 .into_iter()
                 .for_each(|w| w.give_back(&job.req, a.start.is_some()));
         }
-        Some(JobRecord(job))
+        Some(RequestRecord(job))
     }
 
     /// Puts a request back among those held; false if it is over or held already.
--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::scheduling::interface::Outcome;
+use crate::scheduling::interface::AttemptOutcome;
 
 /// Each way in which a server-side flow ends; no other type says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,20 +62,20 @@
 
     /// The one place where an end becomes an outcome. Only what certainly never left this machine whole
     /// may become an outcome that proves the job never ran.
-    pub fn outcome(self) -> Outcome {
+    pub fn outcome(self) -> AttemptOutcome {
         match self {
-            ConnectionEnd::Done => Outcome::Ok,
-            ConnectionEnd::Failed | ConnectionEnd::Garbled => Outcome::Error,
-            ConnectionEnd::Returned => Outcome::Full,
-            ConnectionEnd::Lost | ConnectionEnd::BrokeWaiting => Outcome::Reset,
-            ConnectionEnd::Stale => Outcome::Stale,
+            ConnectionEnd::Done => AttemptOutcome::Succeeded,
+            ConnectionEnd::Failed | ConnectionEnd::Garbled => AttemptOutcome::Failed,
+            ConnectionEnd::Returned => AttemptOutcome::RejectedByWorker,
+            ConnectionEnd::Lost | ConnectionEnd::BrokeWaiting => AttemptOutcome::ConnectionReset,
+            ConnectionEnd::Stale => AttemptOutcome::StaleConnection,
             ConnectionEnd::ConnectRefused
             | ConnectionEnd::ConnectTimedOut
             | ConnectionEnd::NoDescriptor
-            | ConnectionEnd::BrokeSending => Outcome::ConnectFailed,
-            ConnectionEnd::DeadlinePassed => Outcome::Timeout,
-            ConnectionEnd::Withdrawn => Outcome::Cancelled,
-            ConnectionEnd::WithdrawnUnsent | ConnectionEnd::MemberInactive => Outcome::Moot,
+            | ConnectionEnd::BrokeSending => AttemptOutcome::ConnectFailed,
+            ConnectionEnd::DeadlinePassed => AttemptOutcome::TimedOut,
+            ConnectionEnd::Withdrawn => AttemptOutcome::Cancelled,
+            ConnectionEnd::WithdrawnUnsent | ConnectionEnd::MemberInactive => AttemptOutcome::NotSent,
         }
     }
 
--- a/src/server/discovery/watch_supervisor.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -43,8 +43,8 @@
     /// Begins at `now`. All schedulers may have been started at once: where they share one discovery they come one
     /// after the other.
     pub fn new(settings: &Settings, seed: u64, now: Duration) -> Self {
-        let mut pace = Pace::new(settings.dispatchers, seed);
-        let agent = !settings.ask_for_list;
+        let mut pace = Pace::new(settings.scheduler_count, seed);
+        let agent = !settings.discovery_polled;
         let wait = if agent { Duration::ZERO } else { pace.start() };
         let grace = Duration::try_from_secs_f64(settings.drain_grace_s).unwrap_or_default();
         Vigil { agent, grace, pace, watch: None, calls: VecDeque::new(), made: 0, ask_at: now + wait }
@@ -141,8 +141,8 @@
 
     fn settings(asked: bool, dispatchers: usize) -> Settings {
         Settings {
-            ask_for_list: asked,
-            dispatchers,
+            discovery_polled: asked,
+            scheduler_count: dispatchers,
             drain_grace_s: GRACE.as_secs_f64(),
             ..Settings::default()
         }
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -22,7 +22,9 @@
 
 use crate::config::endpoint_list::PoolUpdate;
 use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{Action, Ended, Event, Load, Request, RequestId, Settings, WorkerId};
+use crate::scheduling::interface::{
+    Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId,
+};
 use crate::scheduling::state::NOTE;
 use crate::server::attempt_end::ConnectionEnd;
 use crate::server::engine_queue::{Message, Queue};
@@ -212,7 +214,7 @@
             while let Some(Reverse((_, _, due))) = self.timers.peek().filter(|t| t.0 .0 <= now).copied() {
                 self.timers.pop();
                 match due {
-                    Due::Module(tag) => self.tell(Event::Timer(tag)),
+                    Due::Module(tag) => self.tell(Event::TimerExpired(tag)),
                     Due::Deadline(id) => self.deadline(id),
                 }
             }
@@ -250,17 +252,17 @@
                 self.move_out();
             }
             Message::Joined(peer, side) => self.joined(peer, side),
-            Message::Learnt(learnt, names) => {
+            Message::LearnedState(learnt, names) => {
                 let number = |id| {
                     let name = &names.iter().find(|(known, _)| *known == id)?.1;
                     self.numbers.get(name).copied()
                 };
                 let learnt = learnt.renumbered(number);
-                self.tell(Event::Learnt(Box::new(learnt)));
+                self.tell(Event::StateLearned(Box::new(learnt)));
             }
             Message::SentElsewhere(name, class, work) => {
                 if let Some(&worker) = self.numbers.get(&name) {
-                    self.tell(Event::SentElsewhere { worker, class, work });
+                    self.tell(Event::SentByOtherProcess { worker, class, work });
                 }
             }
             Message::FlowEnded(id, attempt, end, report) => {
@@ -270,16 +272,16 @@
             }
             Message::Probed(worker, end, report) => {
                 let load = self.load(&report);
-                self.tell(Event::Probed { worker, outcome: end.outcome(), load });
+                self.tell(Event::ProbeEnded { worker, outcome: end.outcome(), load });
             }
-            Message::Note(from, bytes) => self.tell(Event::Note { from, bytes }),
+            Message::Note(from, bytes) => self.tell(Event::GossipReceived { from, bytes }),
             Message::Gateway(heard) => self.heard(*heard),
             Message::Pool(update) => self.pool(update, false),
             Message::Settings(settings) => {
                 self.dispatcher.configure((*settings).clone());
                 self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
                 self.settings = *settings;
-                self.tell(Event::Timer(NOTE)); // they may have come to allow notes
+                self.tell(Event::TimerExpired(NOTE)); // they may have come to allow notes
             }
         }
     }
@@ -322,7 +324,16 @@
             return; // one with its key may have run at another site: the module here must not see it
         }
         let deadline = self.clock.at(deadline);
-        self.tell(Event::Request(Request { id, class, tenant, deadline, slots, memory, hint, object }));
+        self.tell(Event::RequestReceived(Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            slots,
+            memory,
+            estimated_work_s: hint,
+            affinity_key: object,
+        }));
         if self.crossings.is_some() {
             let rank = self.dispatcher.priority(id);
             self.live.get_mut(&id).into_iter().for_each(|live| live.rank = rank.unwrap_or(live.rank));
@@ -334,7 +345,7 @@
         if live.reply.take().is_some() {
             live.active = None;
             self.counters.clients_left.add();
-            self.tell(Event::Left(id));
+            self.tell(Event::ClientDisconnected(id));
             self.left_away(id);
             self.forget(id);
         }
@@ -350,7 +361,7 @@
             };
             if a.open && !a.withdrawn {
                 a.order(Order::Withdraw);
-                self.ended(id, attempt, ConnectionEnd::DeadlinePassed, Load::default());
+                self.ended(id, attempt, ConnectionEnd::DeadlinePassed, LoadReport::default());
             }
         }
     }
@@ -374,10 +385,10 @@
         match (found, call_back.news) {
             (Some((request, attempt, true)), News::Started) => {
                 tracing::debug!(name = %call_back.name.escape_ascii(), attempt, "started");
-                self.tell(Event::Started { request, attempt });
+                self.tell(Event::AttemptStarted { request, attempt });
             }
             (Some((request, attempt, true)), News::Progress(share)) => {
-                self.tell(Event::Progress { request, attempt, share });
+                self.tell(Event::AttemptProgressed { request, attempt, share });
             }
             (Some((request, attempt, true)), News::Ended(end)) => self.ended(request, attempt, end, load),
             (Some((request, attempt, open)), News::Done(result)) => {
@@ -387,7 +398,7 @@
                 } else if first {
                     // An attempt that was given up was done all the same: the client has its result, and
                     // the module gives up whatever else is out.
-                    self.tell(Event::Left(request));
+                    self.tell(Event::ClientDisconnected(request));
                     self.forget(request);
                 }
             }
@@ -401,9 +412,9 @@
     /// members have been sent lately.
     fn joined(&mut self, peer: PeerId, side: Side) {
         if side == Side::New {
-            let learnt = self.dispatcher.learnt();
+            let learnt = self.dispatcher.learned_state();
             let names = learnt.workers().map(|worker| (worker, self.name(worker))).collect();
-            self.peers.tell(peer, Frame::Learnt(Box::new(learnt), names));
+            self.peers.tell(peer, Frame::LearnedState(Box::new(learnt), names));
         }
         for name in self.names.keys() {
             self.peers.tell(peer, Frame::Opened(name.clone()));
@@ -415,14 +426,14 @@
     }
 
     fn forget_sends(&mut self) {
-        let window = Duration::from_secs_f64(self.settings.overload_for_s.clamp(0.0, 60.0));
+        let window = Duration::from_secs_f64(self.settings.overload_window_s.clamp(0.0, 60.0));
         while self.sends.front().is_some_and(|send| send.0.elapsed() > window) {
             self.sends.pop_front();
         }
     }
 
     /// Tells the module the end of an attempt, once.
-    fn ended(&mut self, request: RequestId, attempt: usize, end: ConnectionEnd, load: Load) {
+    fn ended(&mut self, request: RequestId, attempt: usize, end: ConnectionEnd, load: LoadReport) {
         let Some(live) = self.live.get_mut(&request) else { return };
         let closed = live.reply.is_none();
         let Some(a) = live.attempts.get_mut(attempt).filter(|a| a.open) else { return };
@@ -431,9 +442,15 @@
         let outcome = end.outcome();
         let free = load.free_slots.unwrap_or(-1.0);
         tracing::debug!(name = %live.payload.name.escape_ascii(), attempt, end = end.name(), free, "flow ended");
-        live.may_have_run |= !outcome.proves_unrun();
+        live.may_have_run |= !outcome.proves_not_executed();
         self.counters.ended(end);
-        self.tell(Event::Ended(Ended { request, attempt, outcome, closed, load }));
+        self.tell(Event::AttemptEnded(AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            client_answered: closed,
+            load,
+        }));
         self.forget(request);
     }
 
@@ -486,13 +503,13 @@
                 events.extend(self.perform(action));
             }
         }
-        self.counters.pool_ejected.set(self.dispatcher.avoided());
+        self.counters.pool_ejected.set(self.dispatcher.ejected_count());
     }
 
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Route { request, worker } => return self.route(request, worker),
-            Action::Refuse { request, hold_off_s } => {
+            Action::Dispatch { request, worker } => return self.route(request, worker),
+            Action::Reject { request, hold_off_s } => {
                 if !self.crosses_instead(request, hold_off_s) {
                     self.answer(request, self.rejection(request, hold_off_s));
                     self.forget(request);
@@ -509,17 +526,17 @@
                     a.order(Order::Withdraw);
                 }
             }
-            Action::Timer { after_s, tag } => {
+            Action::SetTimer { after_s, tag } => {
                 let after = Duration::from_secs_f64(after_s.clamp(0.0, LONGEST_TIMER_S));
                 self.set_timer(Instant::now() + after, Due::Module(tag));
             }
             Action::Probe(worker) => return self.probe(worker),
-            Action::Note(note) => {
+            Action::BroadcastGossip(note) => {
                 // Where there is no way it is as good as lost.
                 let _ = self.notes.as_ref().map(|notes| notes.send_replace(note));
             }
             // The watch of discovery runs all the time.
-            Action::Subscribe => {}
+            Action::WatchEndpointList => {}
         }
         None
     }
@@ -540,7 +557,13 @@
             });
             let outcome = ConnectionEnd::MemberInactive.outcome();
             let closed = live.reply.is_none();
-            return Some(Event::Ended(Ended { request, attempt, outcome, closed, load: Load::default() }));
+            return Some(Event::AttemptEnded(AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                client_answered: closed,
+                load: LoadReport::default(),
+            }));
         };
         let taken = Rc::new(Cell::new(false));
         let (order_sender, told) = (Some(sender), Rc::clone(&taken));
@@ -571,11 +594,11 @@
     fn probe(&self, worker: WorkerId) -> Option<Event> {
         let Some(member) = self.members.get(&worker) else {
             let outcome = ConnectionEnd::MemberInactive.outcome();
-            return Some(Event::Probed { worker, outcome, load: Load::default() });
+            return Some(Event::ProbeEnded { worker, outcome, load: LoadReport::default() });
         };
         self.counters.probes.add();
         let (member, queue) = (Rc::clone(member), self.queue.clone());
-        let reports = !self.settings.report_names.is_empty();
+        let reports = !self.settings.load_report_names.is_empty();
         tokio::task::spawn_local(async move {
             let (end, report) = probe(member, reports).await;
             queue.send(Message::Probed(worker, end, report));
@@ -602,11 +625,11 @@
         self.timers.push(Reverse((at, self.timers_set, due)));
     }
 
-    fn load(&self, report: &[(String, f64)]) -> Load {
-        let mut load = Load::default();
+    fn load(&self, report: &[(String, f64)]) -> LoadReport {
+        let mut load = LoadReport::default();
         for (name, value) in report {
-            if let Some(i) = self.settings.report_names.iter().position(|known| known == name) {
-                load.set(self.settings.report[i], *value);
+            if let Some(i) = self.settings.load_report_names.iter().position(|known| known == name) {
+                load.set(self.settings.load_report_fields[i], *value);
             }
         }
         load
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -118,7 +118,7 @@
         self.live.insert(id, live);
         self.set_timer(deadline, Due::Deadline(id));
         let record = record.renumbered(id, self.clock.at(deadline), &workers);
-        self.tell(Event::TakenOver(Box::new(record)));
+        self.tell(Event::RequestTakenOver(Box::new(record)));
     }
 
     /// Passes on a call-back for a transaction that is not open here; whether there is somebody to pass it
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -14,8 +14,10 @@
 use tokio::time::Instant;
 
 use super::{Engine, Live};
-use crate::scheduling::interface::{Class, Effect, Event, Group, RequestId, Standing};
-use crate::scheduling::state::JobRecord;
+use crate::scheduling::interface::{
+    CapacitySummary, DeduplicationScope, Event, Idempotency, RequestClass, RequestId,
+};
+use crate::scheduling::state::RequestRecord;
 use crate::server::engine_queue::Message;
 use crate::server::messages::{object_of, Payload, Reply, Transaction};
 use crate::server::metrics::{Counters, LinkFigures};
@@ -42,7 +44,7 @@
     CameIn,
     /// It is at another site. What the module here knew of it, if it goes back to it; else it is rejected with
     /// this hold-off when it comes back.
-    Away(Result<Box<JobRecord>, f64>),
+    Away(Result<Box<RequestRecord>, f64>),
     /// It has been, and came back unstarted.
     CameBack,
 }
@@ -84,7 +86,7 @@
     }
 
     /// A transaction of this class is sent to a member of this site.
-    pub(super) fn runs_here(&mut self, class: &Class, payload: &Payload) {
+    pub(super) fn runs_here(&mut self, class: &RequestClass, payload: &Payload) {
         if let Repeats::Keyed { key, window } = effect(class, payload) {
             let mut none = Vec::new();
             self.gateway.handle(self.origin.elapsed(), News::RanHere { key, window }, &mut none);
@@ -115,11 +117,11 @@
 
 /// What a repeat does. A key that not even all members of one site hold together binds like a job that must
 /// not run twice: where it goes is nothing that can be known across sites.
-fn effect(class: &Class, payload: &Payload) -> Repeats {
-    match (class.effect, class.group, &payload.key) {
-        (Effect::Repeatable, ..) => Repeats::Repeatable,
-        (Effect::Keyed, Group::All, Some(key)) => {
-            let window = Duration::from_secs_f64(class.window_s.clamp(0.0, 24.0 * 3600.0));
+fn effect(class: &RequestClass, payload: &Payload) -> Repeats {
+    match (class.idempotency, class.deduplication_scope, &payload.key) {
+        (Idempotency::Idempotent, ..) => Repeats::Repeatable,
+        (Idempotency::WithKey, DeduplicationScope::All, Some(key)) => {
+            let window = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
             Repeats::Keyed { key: key.clone(), window }
         }
         _ => Repeats::Once,
@@ -145,10 +147,10 @@
         let Some(crossings) = self.crossings.as_mut().filter(|crossings| now >= crossings.look_at) else {
             return;
         };
-        let standing = self.dispatcher.standing();
+        let standing = self.dispatcher.capacity_summary();
         let tight = standing.waiting > 0 || (standing.free < FEW_FREE && !self.live.is_empty());
         crossings.look_at = now + if tight { LOOK } else { LOOK_IDLE };
-        let Standing { slots, free, waiting, clear_s } = standing;
+        let CapacitySummary { slots, free, waiting, backlog_s: clear_s } = standing;
         let clear = Duration::try_from_secs_f64(clear_s).unwrap_or_default();
         let pressure = Pressure { slots, free, waiting, clear };
         self.across(News::Pressure(pressure));
@@ -156,7 +158,7 @@
         let wants = |c: &Crossings| c.gateway.wants_candidates(c.now());
         if self.crossings.as_deref().is_some_and(wants) {
             let clock = self.clock.at(now);
-            let waiting: Vec<(RequestId, f64)> = self.dispatcher.waiting().collect();
+            let waiting: Vec<(RequestId, f64)> = self.dispatcher.waiting_requests().collect();
             let candidate = |(id, latest): (RequestId, f64)| self.candidate(id, latest - clock, false);
             let candidates: Vec<Candidate> = waiting.into_iter().filter_map(candidate).collect();
             if !candidates.is_empty() {
@@ -202,7 +204,7 @@
         if !key.is_some_and(|key| crossings.gateway.bound_elsewhere(crossings.now(), key)) {
             return false;
         }
-        let hold_off_s = self.settings.max_hold_off_s;
+        let hold_off_s = self.settings.max_retry_after_s;
         let start_in = live.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         if !self.offer_alone(id, start_in, hold_off_s) {
             self.answer(id, self.rejection(id, hold_off_s));
@@ -227,7 +229,7 @@
     /// The client of a transaction that may be at another site has left.
     pub(super) fn left_away(&mut self, id: RequestId) {
         if self.crossings.is_some() {
-            self.across(News::Left(JobId(id.0)));
+            self.across(News::ClientDisconnected(JobId(id.0)));
         }
     }
 
@@ -295,7 +297,7 @@
             }
             (true, Frame::Taken(n)) => News::Taken(link, id(n)),
             (true, Frame::GivenBack(n, _)) => News::Returned(link, id(n)),
-            (true, Frame::Ended(n, outcome)) => News::Ended(link, id(n), outcome),
+            (true, Frame::Ended(n, outcome)) => News::AttemptEnded(link, id(n), outcome),
             (true, Frame::Told(n, known)) => News::Told(link, id(n), known),
             (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
                 let slots = job.slots.ceil().clamp(1.0, 65_536.0) as u32;
@@ -345,7 +347,7 @@
             Action::Return(job) => self.returns(RequestId(job.0)),
             Action::Answer(job, answer) => {
                 let id = RequestId(job.0);
-                let hold_off_s = self.settings.max_hold_off_s;
+                let hold_off_s = self.settings.max_retry_after_s;
                 self.answer(
                     id,
                     match answer {
@@ -383,11 +385,11 @@
             // Nothing of it stays with the module, which would refuse it meanwhile.
             match self.dispatcher.hand_over(id) {
                 Some(record) => live.travel = Travel::Away(Ok(Box::new(record))),
-                None => live.travel = Travel::Away(Err(self.settings.max_hold_off_s)),
+                None => live.travel = Travel::Away(Err(self.settings.max_retry_after_s)),
             }
         }
         let class = &self.settings.classes[live.class];
-        let keep = Duration::from_secs_f64(class.window_s.clamp(0.0, 24.0 * 3600.0));
+        let keep = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
         let payload = &live.payload;
         let job = Job {
             class: class.name.clone(),
@@ -415,7 +417,7 @@
         match std::mem::replace(&mut live.travel, Travel::CameBack) {
             Travel::Away(Ok(record)) => {
                 let deadline = self.clock.at(live.deadline);
-                self.tell(Event::TakenOver(Box::new(record.renumbered(id, deadline, &[]))));
+                self.tell(Event::RequestTakenOver(Box::new(record.renumbered(id, deadline, &[]))));
             }
             Travel::Away(Err(hold_off_s)) => {
                 self.answer(id, Reply::Rejected { hold_off_s });
--- a/src/server/engine/worker_list.rs
+++ b/src/server/engine/worker_list.rs
@@ -41,10 +41,11 @@
             // What the settings do not name is like nothing that they name.
             let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
             let zone = index(&self.settings.zones, &line.zone).map_or(u16::MAX, |zone| zone as u16);
-            let kind = index(&self.settings.kinds, &line.kind).unwrap_or(self.settings.kinds.len());
+            let kind =
+                index(&self.settings.worker_kinds, &line.kind).unwrap_or(self.settings.worker_kinds.len());
             entries.push(WorkerInfo {
                 id,
-                tag,
+                stable_id: tag,
                 state: match line.state {
                     MemberState::Active => WorkerState::Ready,
                     MemberState::Leaving => WorkerState::Draining,
@@ -53,11 +54,11 @@
                 zone,
                 cell: line.cell,
                 kind,
-                since: line.started_s,
+                started_at_s: line.started_s,
                 weight: line.weight,
             });
         }
         self.counters.pool_size.set(self.members.len());
-        self.tell(Event::Workers { whole, cached, entries });
+        self.tell(Event::WorkersListed { whole, cached, entries });
     }
 }
--- a/src/server/engine_queue.rs
+++ b/src/server/engine_queue.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::endpoint_list::PoolUpdate;
-use crate::scheduling::interface::{Learnt, RequestId, Settings, WorkerId};
+use crate::scheduling::interface::{LearnedState, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::ConnectionEnd;
 use crate::server::load_report::Report;
 use crate::server::messages::{CallBack, Moved, Passed, PeerId, Reply, Side, Transaction};
@@ -27,7 +27,7 @@
     /// A link to another process of an upgrade is up, which is to replace this one or is replaced by it.
     Joined(PeerId, Side),
     /// What the process that is replaced has learnt, with the names of the members in its numbers.
-    Learnt(Box<Learnt>, Vec<(WorkerId, String)>),
+    LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
     /// Another process has sent a job of this class to the member of this name, with so much work.
     SentElsewhere(String, usize, f64),
     /// A flow has ended.
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use tokio::time::Instant;
 
-use crate::scheduling::interface::{Effect, Settings};
+use crate::scheduling::interface::{Idempotency, Settings};
 use crate::server::attempt_end::ConnectionEnd;
 use crate::server::http::Head;
 use crate::server::load_report;
@@ -111,7 +111,7 @@
     }
     // Without its key, a repeat of such a job would take effect twice.
     let key = head.headers.raw("idempotency-key").filter(|key| !key.is_empty());
-    if settings.classes[class].effect == Effect::Keyed && key.is_none() {
+    if settings.classes[class].idempotency == Idempotency::WithKey && key.is_none() {
         return Err(RequestError::Missing("Idempotency-Key"));
     }
     let tenants = &settings.tenants;
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -202,7 +202,9 @@
                         spawn_local(Rc::clone(&self.front).adopt(stream, worth, spoke));
                     }
                 }
-                (Frame::Learnt(learnt, names), _) => self.queue.send(Message::Learnt(learnt, names)),
+                (Frame::LearnedState(learnt, names), _) => {
+                    self.queue.send(Message::LearnedState(learnt, names))
+                }
                 (Frame::Opened(name), _) => self.peers.note(id, name, true),
                 (Frame::Closed(name), _) => self.peers.note(id, name, false),
                 (Frame::Transaction { moved, ahead, keep }, Some(socket)) => {
--- a/src/server/lifecycle/handover_frames.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -18,7 +18,7 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-use crate::scheduling::interface::{Learnt, WorkerId};
+use crate::scheduling::interface::{LearnedState, WorkerId};
 use crate::server::frontend::connection_eviction::Worth;
 use crate::server::messages::{CallBack, Moved};
 
@@ -55,7 +55,7 @@
         spoke: bool,
     },
     /// From the old one: what it has learnt of the members, with their names.
-    Learnt(Box<Learnt>, Vec<(WorkerId, String)>),
+    LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
     /// A transaction, with the connection on which its client waits.
     Transaction {
         /// The transaction.
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -109,7 +109,7 @@
     /// Takes up what can change in flight. The list that the file knows is older than what discovery has
     /// told since, and the seed is spent: both are passed over.
     fn take(&mut self, config: Config, said: Option<Said>) {
-        let (settings, mut kept) = self.settings.followed_by(config.settings);
+        let (settings, mut kept) = self.settings.reconfigured(config.settings);
         kept.extend((config.name != self.name).then_some("name"));
         kept.extend((config.listen != self.listen).then_some("listen"));
         kept.extend((config.ops != self.ops).then_some("ops"));
@@ -119,7 +119,7 @@
             _ => kept.push("gateway"),
         }
         self.shares.configure(config.sockets);
-        self.dialer.configure(settings.connect_timeout_s, settings.conn_idle_s);
+        self.dialer.configure(settings.connect_timeout_s, settings.connection_idle_timeout_s);
         // The engine takes these up before any transaction that the front numbers by them.
         self.queue.send(Message::Settings(Box::new(settings.clone())));
         self.front.configure(settings.clone());
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::scheduling::state::JobRecord;
+use crate::scheduling::state::RequestRecord;
 use crate::server::attempt_end::ConnectionEnd;
 
 /// A number for a name that is the same in every scheduler, whatever its build: what all choose by it, they
@@ -163,7 +163,7 @@
     pub left: Duration,
     pub(super) attempts: Vec<MovedAttempt>,
     /// What the decision module knows of it.
-    pub(super) record: JobRecord,
+    pub(super) record: RequestRecord,
     /// What goes to members.
     pub payload: Payload,
 }
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -9,8 +9,8 @@
 use crate::config::settings::SettingsError;
 use crate::scheduling::dispatcher::Dispatcher;
 use crate::scheduling::interface::{
-    Action, Ended, Event, Load, Outcome, ReportField, Request, RequestId, Settings, WorkerId, WorkerInfo,
-    WorkerState,
+    Action, AttemptEnded, AttemptOutcome, Event, LoadReport, LoadReportField, Request, RequestId, Settings,
+    WorkerId, WorkerInfo, WorkerState,
 };
 
 /// Why a frame cannot be read. Offsets count from the first byte after the frame's length.
@@ -64,7 +64,7 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    report: Vec<ReportField>,
+    report: Vec<LoadReportField>,
     actions: Vec<Action>,
 }
 
@@ -106,25 +106,25 @@
     Ok(WorkerId(u64::from(address) << 16 | u64::from(port)))
 }
 
-fn outcome(buf: &mut &[u8]) -> Result<Outcome, RecordError> {
+fn outcome(buf: &mut &[u8]) -> Result<AttemptOutcome, RecordError> {
     Ok(match buf.try_get_u16_le()? {
-        0 => Outcome::Ok,
-        1 => Outcome::Error,
-        2 => Outcome::Full,
-        3 => Outcome::Timeout,
-        4 => Outcome::ConnectFailed,
-        5 => Outcome::Reset,
-        6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        0 => AttemptOutcome::Succeeded,
+        1 => AttemptOutcome::Failed,
+        2 => AttemptOutcome::RejectedByWorker,
+        3 => AttemptOutcome::TimedOut,
+        4 => AttemptOutcome::ConnectFailed,
+        5 => AttemptOutcome::ConnectionReset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::NotSent,
         other => return Err(RecordError::Value("how", other.into())),
     })
 }
 
-fn load(buf: &mut &[u8], report: &[ReportField]) -> Result<Load, RecordError> {
-    let mut load = Load::default();
+fn load(buf: &mut &[u8], report: &[LoadReportField]) -> Result<LoadReport, RecordError> {
+    let mut load = LoadReport::default();
     for i in 0..buf.try_get_u8()? {
         let value = f64::from(buf.try_get_f32_le()?);
-        load.set(report.get(usize::from(i)).copied().unwrap_or(ReportField::Other), value);
+        load.set(report.get(usize::from(i)).copied().unwrap_or(LoadReportField::Other), value);
     }
     Ok(load)
 }
@@ -150,7 +150,7 @@
     let weight = f64::from(buf.try_get_f32_le()?);
     let kind = usize::from(buf.try_get_u8()?);
     let id = worker_id(buf)?;
-    Ok(WorkerInfo { id, tag: id.0, state, zone, cell, kind, since, weight })
+    Ok(WorkerInfo { id, stable_id: id.0, state, zone, cell, kind, started_at_s: since, weight })
 }
 
 fn request(buf: &mut &[u8]) -> Result<Request, RecordError> {
@@ -163,11 +163,20 @@
     let class = usize::from(buf.try_get_u8()?);
     let hint = buf.try_get_f64_le()?;
     let memory = f64::from(buf.try_get_f32_le()?);
-    Ok(Request { id, class, tenant, deadline, slots, memory, hint: hinted.then_some(hint), object })
+    Ok(Request {
+        id,
+        class,
+        tenant,
+        deadline,
+        slots,
+        memory,
+        estimated_work_s: hinted.then_some(hint),
+        affinity_key: object,
+    })
 }
 
 /// The event of a record that belongs to an instance; `None` for those that ask for no decision.
-fn event(code: u8, buf: &mut &[u8], report: &[ReportField]) -> Result<Option<Event>, RecordError> {
+fn event(code: u8, buf: &mut &[u8], report: &[LoadReportField]) -> Result<Option<Event>, RecordError> {
     Ok(Some(match code {
         1 => {
             let request = RequestId(buf.try_get_u32_le()?);
@@ -175,17 +184,17 @@
             let share = f64::from(buf.try_get_f32_le()?);
             worker_id(buf)?;
             match buf.try_get_u8()? {
-                1 => Event::Started { request, attempt },
-                2 => Event::Progress { request, attempt, share },
+                1 => Event::AttemptStarted { request, attempt },
+                2 => Event::AttemptProgressed { request, attempt, share },
                 _ => return Ok(None),
             }
         }
-        2 => Event::Left(RequestId(buf.try_get_u32_le()?)),
+        2 => Event::ClientDisconnected(RequestId(buf.try_get_u32_le()?)),
         4 => {
             let request = RequestId(buf.try_get_u32_le()?);
             buf.try_get_f64_le()?;
             worker_id(buf)?;
-            Event::Head { request, attempt: usize::from(buf.try_get_u8()?) }
+            Event::ResponseStarted { request, attempt: usize::from(buf.try_get_u8()?) }
         }
         5 => {
             let request = RequestId(buf.try_get_u32_le()?);
@@ -195,21 +204,27 @@
             buf.try_get_f64_le()?;
             let closed = buf.try_get_u8()? != 0;
             buf.try_get_u32_le()?;
-            Event::Ended(Ended { request, attempt, outcome, closed, load: load(buf, report)? })
+            Event::AttemptEnded(AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                client_answered: closed,
+                load: load(buf, report)?,
+            })
         }
         6 => {
             let from = buf.try_get_u32_le()? as usize;
             let mut bytes = vec![0; usize::from(buf.try_get_u16_le()?)];
             buf.try_copy_to_slice(&mut bytes)?;
-            Event::Note { from, bytes }
+            Event::GossipReceived { from, bytes }
         }
-        9 => Event::Request(request(buf)?),
-        12 => Event::Timer(buf.try_get_u64_le()?),
+        9 => Event::RequestReceived(request(buf)?),
+        12 => Event::TimerExpired(buf.try_get_u64_le()?),
         13 => {
             let worker = worker_id(buf)?;
             let outcome = outcome(buf)?;
             buf.try_get_f64_le()?;
-            Event::Probed { worker, outcome, load: load(buf, report)? }
+            Event::ProbeEnded { worker, outcome, load: load(buf, report)? }
         }
         other => return Err(RecordError::Value("the record code", other.into())),
     }))
@@ -340,7 +355,7 @@
             let (text, after) = buf.split_at(bytes);
             *buf = after;
             let settings: Settings = std::str::from_utf8(text).map_err(|_| RecordError::Text)?.parse()?;
-            let report = settings.report.clone();
+            let report = settings.load_report_fields.clone();
             let dispatcher = Dispatcher::new(settings, seed);
             self.instances.insert(index, Instance { dispatcher, report, actions: Vec::new() });
             if !touched.contains(&index) {
@@ -361,9 +376,9 @@
                 match form {
                     0..=2 => {
                         let entries = self.lists.get(&page).ok_or(RecordError::List(page))?.clone();
-                        Some(Event::Workers { whole: form != 0, cached: form == 2, entries })
+                        Some(Event::WorkersListed { whole: form != 0, cached: form == 2, entries })
                     }
-                    3 => Some(Event::ListFailed),
+                    3 => Some(Event::DiscoveryFailed),
                     other => return Err(RecordError::Value("form", other.into())),
                 }
             }
@@ -395,12 +410,12 @@
 
 fn put_action(reply: &mut Vec<u8>, action: &Action) {
     match *action {
-        Action::Route { request, worker } => put_record(reply, 1, |r| {
+        Action::Dispatch { request, worker } => put_record(reply, 1, |r| {
             r.put_u32_le(request.0);
             put_worker(r, worker);
             r.put_f64_le(0.0);
         }),
-        Action::Refuse { request, hold_off_s } => put_record(reply, 2, |r| {
+        Action::Reject { request, hold_off_s } => put_record(reply, 2, |r| {
             r.put_u32_le(request.0);
             r.put_f64_le(hold_off_s);
         }),
@@ -409,16 +424,16 @@
             r.put_u32_le(request.0);
             r.put_u8(attempt as u8);
         }),
-        Action::Timer { after_s, tag } => put_record(reply, 5, |r| {
+        Action::SetTimer { after_s, tag } => put_record(reply, 5, |r| {
             r.put_f64_le(after_s);
             r.put_u64_le(tag);
         }),
         Action::Probe(worker) => put_record(reply, 6, |r| put_worker(r, worker)),
-        Action::Note(ref bytes) => put_record(reply, 8, |r| {
+        Action::BroadcastGossip(ref bytes) => put_record(reply, 8, |r| {
             r.put_u32_le(u32::MAX);
             r.put_u16_le(bytes.len() as u16);
             r.put_slice(bytes);
         }),
-        Action::Subscribe => put_record(reply, 11, |r| r.put_u8(1)),
+        Action::WatchEndpointList => put_record(reply, 11, |r| r.put_u8(1)),
     }
 }
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -9,8 +9,14 @@
 
 /// Settings of four dispatchers that hear of free slots in answers, and of a fleet that may be probed.
 fn few(index: usize) -> Settings {
-    let report = vec![ReportField::FreeSlots];
-    Settings { dispatchers: 4, index, report, second_copies: true, ..settings() }
+    let report = vec![LoadReportField::FreeSlots];
+    Settings {
+        scheduler_count: 4,
+        scheduler_index: index,
+        load_report_fields: report,
+        hedging_allowed: true,
+        ..settings()
+    }
 }
 
 fn fleet(n: u64) -> Vec<WorkerInfo> {
@@ -39,7 +45,7 @@
 
 /// Sends a job for an object to an idle fleet and lets it run as long as `run` says; gives the worker that took it.
 fn one(b: &mut Bench, id: u32, object: u64, run: impl FnOnce(u64) -> f64) -> u64 {
-    b.send(Event::Request(Request { object: Some(object), ..request(id, 0, b.now) }));
+    b.send(Event::RequestReceived(Request { affinity_key: Some(object), ..request(id, 0, b.now) }));
     let mut routed = Vec::new();
     for _ in 0..20 {
         routed.extend(routes(&b.run(0.02)));
@@ -48,9 +54,9 @@
         }
     }
     let worker = routed.first().expect("an idle fleet takes it").1;
-    b.send(Event::Started { request: RequestId(id), attempt: 0 });
+    b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
     b.run(run(worker));
-    b.end(id, 0, Outcome::Ok);
+    b.end(id, 0, AttemptOutcome::Succeeded);
     worker
 }
 
@@ -94,16 +100,19 @@
     let mut counts: BTreeMap<u64, BTreeMap<u64, usize>> = BTreeMap::new();
     for round in 0..100u32 {
         for id in round * 12..(round + 1) * 12 {
-            b.send(Event::Request(Request { object: Some(twenty(id)), ..request(id, 0, b.now) }));
+            b.send(Event::RequestReceived(Request {
+                affinity_key: Some(twenty(id)),
+                ..request(id, 0, b.now)
+            }));
         }
         let mut ends = Vec::new();
         for _ in 0..100 {
             let mut actions = b.run(0.02);
             let (over, out): (Vec<_>, Vec<_>) = ends.into_iter().partition(|end: &(f64, u32)| end.0 <= b.now);
             ends = out;
-            over.iter().for_each(|end| actions.extend(b.end(end.1, 0, Outcome::Ok)));
+            over.iter().for_each(|end| actions.extend(b.end(end.1, 0, AttemptOutcome::Succeeded)));
             for (id, worker) in routes(&actions) {
-                b.send(Event::Started { request: RequestId(id), attempt: 0 });
+                b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
                 ends.push((b.now + keepers.run(worker, twenty(id)), id));
                 if round >= 40 {
                     *counts.entry(twenty(id)).or_default().entry(worker).or_default() += 1;
@@ -128,7 +137,7 @@
     play(&mut b, &mut keepers, 300, twenty);
     // More jobs for one object than its homes have slots: the others take them.
     for id in 1000..1006 {
-        b.send(Event::Request(Request { object: Some(1), ..request(id, 0, b.now) }));
+        b.send(Event::RequestReceived(Request { affinity_key: Some(1), ..request(id, 0, b.now) }));
     }
     let sent = routes(&b.run(0.1));
     let mut at: BTreeMap<u64, usize> = BTreeMap::new();
@@ -142,10 +151,16 @@
 #[case::endless(Some(1e9))]
 fn odd_hints_and_an_aim_beyond_the_deadline_get_one_answer_in_time(#[case] hint: Option<f64>) {
     let mut s = few(0);
-    s.classes.iter_mut().for_each(|class| (class.aim_s, class.late_worth) = (60.0, 0.5));
+    s.classes
+        .iter_mut()
+        .for_each(|class| (class.latency_objective_s, class.weight_after_objective) = (60.0, 0.5));
     let mut b = Bench::new(s, fleet(2));
     for id in 0..12 {
-        b.send(Event::Request(Request { hint, object: Some(1), ..request(id, 0, b.now) }));
+        b.send(Event::RequestReceived(Request {
+            estimated_work_s: hint,
+            affinity_key: Some(1),
+            ..request(id, 0, b.now)
+        }));
     }
     let actions = b.run(9.999);
     assert!(!routes(&actions).is_empty(), "it is placed like any other");
@@ -159,15 +174,15 @@
 fn a_keyed_repeat_stays_in_its_zone_wherever_its_object_is_at_home() {
     for object in 1..=20 {
         let mut s = few(0);
-        s.classes[2].group = Group::Zone;
+        s.classes[2].deduplication_scope = DeduplicationScope::Zone;
         let zone = |n: u64| WorkerInfo { zone: (n % 2) as u16, ..worker(n) };
         let mut b = Bench::new(s, (1..=8).map(zone).collect());
         for id in 0..3 {
-            b.send(Event::Request(Request { object: Some(object), ..request(id, 2, b.now) }));
+            b.send(Event::RequestReceived(Request { affinity_key: Some(object), ..request(id, 2, b.now) }));
         }
         let sent = routes(&b.run(0.1));
         let &(id, first) = sent.first().expect("it is sent");
-        let mut actions = b.end(id, 0, Outcome::Reset);
+        let mut actions = b.end(id, 0, AttemptOutcome::ConnectionReset);
         actions.extend(b.run(0.5));
         let again = routes(&actions).into_iter().find(|r| r.0 == id).expect("another of its zone takes it");
         assert_eq!(again.1 % 2, first % 2, "object {object}");
@@ -189,9 +204,12 @@
 ) {
     // Second deployment, busy days: from five dispatchers on each asked, 2.6 to 3 times a try, where its own
     // traffic and the reports in answers had told more.
-    for report in [Vec::new(), vec![ReportField::FreeSlots]] {
-        let mut b = Bench::new(Settings { dispatchers, report, ..few(0) }, fleet(workers));
-        let first = b.send(Event::Request(request(1, 0, b.now)));
+    for report in [Vec::new(), vec![LoadReportField::FreeSlots]] {
+        let mut b = Bench::new(
+            Settings { scheduler_count: dispatchers, load_report_fields: report, ..few(0) },
+            fleet(workers),
+        );
+        let first = b.send(Event::RequestReceived(request(1, 0, b.now)));
         assert_eq!(first.iter().any(|a| matches!(a, Action::Probe(_))), asks);
     }
 }
@@ -218,18 +236,18 @@
 
 #[test]
 fn a_home_that_returns_cold_gets_no_more_than_its_budget() {
-    let s = Settings { dispatchers: 1, ..few(0) };
-    let (multiple, window) = (s.fall_multiple, s.overload_for_s);
+    let s = Settings { scheduler_count: 1, ..few(0) };
+    let (multiple, window) = (s.collapse_multiple, s.overload_window_s);
     let mut b = Bench::new(s, fleet(8));
     let mut keepers = Keepers { kept: 4, fetch: 0.3, holds: BTreeMap::new(), hits: 0 };
     play(&mut b, &mut keepers, 300, twenty);
     let home = most(&(1000..1020).map(|id| one(&mut b, id, 1, |_| 0.3)).collect::<Vec<_>>());
     let since = b.now;
-    let entries = vec![WorkerInfo { since, ..worker(home) }];
-    b.send(Event::Workers { whole: false, cached: false, entries });
+    let entries = vec![WorkerInfo { started_at_s: since, ..worker(home) }];
+    b.send(Event::WorkersListed { whole: false, cached: false, entries });
     let mut sent: Vec<f64> = Vec::new();
     for id in 2000..2100 {
-        b.send(Event::Request(Request { object: Some(1), ..request(id, 0, b.now) }));
+        b.send(Event::RequestReceived(Request { affinity_key: Some(1), ..request(id, 0, b.now) }));
         let at_home = routes(&b.run(0.02)).iter().filter(|route| route.1 == home).count();
         sent.extend(vec![b.now; at_home]);
     }
@@ -248,14 +266,17 @@
     let size = |jobs: u32| {
         let mut b = Bench::new(few(0), fleet(8));
         for id in 0..jobs {
-            b.send(Event::Request(Request { object: Some(1 + u64::from(id)), ..request(id, 0, b.now) }));
+            b.send(Event::RequestReceived(Request {
+                affinity_key: Some(1 + u64::from(id)),
+                ..request(id, 0, b.now)
+            }));
             let mut actions = b.run(0.05);
-            actions.extend(b.send(Event::Left(RequestId(id))));
+            actions.extend(b.send(Event::ClientDisconnected(RequestId(id))));
             for (id, _) in routes(&actions) {
-                b.end(id, 0, Outcome::Cancelled);
+                b.end(id, 0, AttemptOutcome::Cancelled);
             }
         }
-        postcard::to_allocvec(&b.d.learnt()).expect("it goes to another process").len()
+        postcard::to_allocvec(&b.d.learned_state()).expect("it goes to another process").len()
     };
     let (some, many) = (size(1_000), size(10_000));
     assert!(many <= some.max(32 * 1024), "{many} bytes after 10,000 objects, {some} after 1,000");
@@ -266,14 +287,14 @@
 #[case::worth_half(0.5, true)]
 fn late_work_waits_on_where_it_is_worth_something(#[case] late_worth: f64, #[case] waits: bool) {
     let mut s = few(0);
-    s.classes.iter_mut().for_each(|class| class.late_worth = late_worth);
+    s.classes.iter_mut().for_each(|class| class.weight_after_objective = late_worth);
     let mut b = Bench::new(s, fleet(1));
     for id in 0..4 {
-        b.send(Event::Request(request(id, 0, b.now)));
+        b.send(Event::RequestReceived(request(id, 0, b.now)));
     }
     let mut actions = b.run(0.1);
     routes(&actions).iter().for_each(|route| {
-        b.send(Event::Started { request: RequestId(route.0), attempt: 0 });
+        b.send(Event::AttemptStarted { request: RequestId(route.0), attempt: 0 });
     });
     // Its aim was 1.1 s. Those that run take 3 s, and whoever else waits has 10 s in all.
     actions.extend(b.run(3.0));
@@ -281,7 +302,7 @@
     assert_eq!(refused == 0, waits, "{refused} of 4 refused after 3 s");
     // The worker is sound again, if on trial after so late an end, and takes them one after the other.
     for id in 0..4 {
-        actions.extend(b.end(id, 0, Outcome::Ok));
+        actions.extend(b.end(id, 0, AttemptOutcome::Succeeded));
         actions.extend(b.run(0.5));
     }
     let sent = routes(&actions).len();
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chutesaddle::scheduling::interface::Outcome;
+use chutesaddle::scheduling::interface::AttemptOutcome;
 use chutesaddle::server::attempt_end::ConnectionEnd;
 use chutesaddle::server::descriptor_budget::Budget;
 use chutesaddle::server::messages::{Order, Payload};
@@ -92,8 +92,12 @@
 /// Rule 2 rests on this: only what certainly never left this machine whole proves that the job never ran.
 #[test]
 fn only_unsent_or_returned_jobs_never_ran() {
-    let never_ran =
-        |end: &ConnectionEnd| matches!(end.outcome(), Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+    let never_ran = |end: &ConnectionEnd| {
+        matches!(
+            end.outcome(),
+            AttemptOutcome::RejectedByWorker | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        )
+    };
     let found: Vec<_> = ConnectionEnd::ALL.into_iter().filter(never_ran).collect();
     use ConnectionEnd::*;
     let expected = [
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,18 +4,18 @@
 use chutesaddle::scheduling::interface::*;
 use chutesaddle::Dispatcher;
 
-pub(crate) fn class(effect: Effect, group: Group) -> Class {
-    Class {
+pub(crate) fn class(effect: Idempotency, group: DeduplicationScope) -> RequestClass {
+    RequestClass {
         name: String::new(),
-        aim_s: 0.5,
-        stretch: 2.0,
+        latency_objective_s: 0.5,
+        objective_per_work: 2.0,
         deadline_s: 10.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group,
-        window_s: 5.0,
-        kind: None,
+        priority_weight: 1.0,
+        weight_after_objective: 0.0,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window_s: 5.0,
+        required_kind: None,
     }
 }
 
@@ -23,27 +23,27 @@
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Repeatable, Group::All),
-            class(Effect::Once, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Idempotent, DeduplicationScope::All),
+            class(Idempotency::NonIdempotent, DeduplicationScope::All),
+            class(Idempotency::WithKey, DeduplicationScope::Cell),
+            class(Idempotency::WithKey, DeduplicationScope::All),
         ],
         tenants: vec![Tenant { name: String::new(), quota_per_s: 1000.0 }],
-        tick_s: 0.004,
-        tells_start: true,
+        event_interval_s: 0.004,
+        starts_reported: true,
         max_attempts: 4,
-        may_cancel: true,
-        probes: true,
-        cold_share: 0.2,
-        warm_within_s: 20.0,
-        fall_multiple: 3.0,
+        cancellation_allowed: true,
+        capacity_probes_allowed: true,
+        slow_start_fraction: 0.2,
+        slow_start_duration_s: 20.0,
+        collapse_multiple: 3.0,
         ..Settings::default()
     }
 }
 
 pub(crate) fn worker(n: u64) -> WorkerInfo {
     let cell = (n % 2) as u16;
-    WorkerInfo { id: WorkerId(n), tag: n, state: WorkerState::Ready, cell, ..WorkerInfo::default() }
+    WorkerInfo { id: WorkerId(n), stable_id: n, state: WorkerState::Ready, cell, ..WorkerInfo::default() }
 }
 
 pub(crate) fn request(id: u32, class: usize, now: f64) -> Request {
@@ -55,8 +55,8 @@
         deadline: now + 10.0,
         slots: 1.0,
         memory: 0.0,
-        hint: Some(0.3),
-        object: None,
+        estimated_work_s: Some(0.3),
+        affinity_key: None,
     }
 }
 
@@ -66,7 +66,7 @@
     pub now: f64,
     timers: Vec<(f64, u64)>,
     /// Answers every question within 5 ms, with this report.
-    pub answer: Option<Load>,
+    pub answer: Option<LoadReport>,
     probes: Vec<(f64, WorkerId)>,
 }
 
@@ -83,7 +83,7 @@
             answer: None,
             probes: Vec::new(),
         };
-        bench.send(Event::Workers { whole: true, cached: true, entries: workers });
+        bench.send(Event::WorkersListed { whole: true, cached: true, entries: workers });
         bench
     }
 
@@ -92,7 +92,7 @@
         let mut out = Vec::new();
         self.d.handle(self.now, event, &mut out);
         out.retain(|action| match action {
-            Action::Timer { after_s, tag } => {
+            Action::SetTimer { after_s, tag } => {
                 self.timers.push((self.now + after_s, *tag));
                 false
             }
@@ -114,36 +114,42 @@
             if let (Some(i), Some(load)) = (probe, self.answer) {
                 let (at, worker) = self.probes.remove(i);
                 self.now = self.now.max(at);
-                all.extend(self.send(Event::Probed { worker, outcome: Outcome::Ok, load }));
+                all.extend(self.send(Event::ProbeEnded { worker, outcome: AttemptOutcome::Succeeded, load }));
                 continue;
             }
             let due = self.timers.iter().enumerate().filter(|(_, t)| t.0 <= end);
             let Some((i, _)) = due.min_by(|a, b| a.1 .0.total_cmp(&b.1 .0)) else { break };
             let (at, tag) = self.timers.remove(i);
             self.now = self.now.max(at);
-            all.extend(self.send(Event::Timer(tag)));
+            all.extend(self.send(Event::TimerExpired(tag)));
         }
         self.now = end;
         all
     }
 
-    pub(crate) fn end(&mut self, id: u32, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
+    pub(crate) fn end(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
+        let closed = outcome == AttemptOutcome::Succeeded;
         let request = RequestId(id);
-        self.send(Event::Ended(Ended { request, attempt, outcome, closed, load: Load::default() }))
+        self.send(Event::AttemptEnded(AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            client_answered: closed,
+            load: LoadReport::default(),
+        }))
     }
 }
 
 pub(crate) fn routes(actions: &[Action]) -> Vec<(u32, u64)> {
     let route = |a: &Action| match a {
-        Action::Route { request, worker } => Some((request.0, worker.0)),
+        Action::Dispatch { request, worker } => Some((request.0, worker.0)),
         _ => None,
     };
     actions.iter().filter_map(route).collect()
 }
 
 pub(crate) fn refused(actions: &[Action], id: u32) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
 }
 
 pub(crate) fn failed(actions: &[Action], id: u32) -> bool {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -30,14 +30,14 @@
     let config = read(TEXT).unwrap();
     let s = &config.settings;
     assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 512));
-    assert_eq!((s.dispatchers, s.index, s.tick_s), (3, 2, 0.005));
-    assert_eq!((s.classes[0].name.as_str(), s.classes[0].effect), ("draw_map", Effect::Keyed));
-    assert_eq!((s.classes[0].stretch, s.classes[0].kind), (2.5, None));
+    assert_eq!((s.scheduler_count, s.scheduler_index, s.event_interval_s), (3, 2, 0.005));
+    assert_eq!((s.classes[0].name.as_str(), s.classes[0].idempotency), ("draw_map", Idempotency::WithKey));
+    assert_eq!((s.classes[0].objective_per_work, s.classes[0].required_kind), (2.5, None));
     assert_eq!(s.tenants[0].name, "acme");
-    assert_eq!((s.connect_timeout_s, s.conn_idle_s, s.answer_slack_s), (0.3, 50.0, 0.04));
-    assert_eq!(s.report, [ReportField::Other, ReportField::FreeSlots]);
-    assert_eq!((s.zones.len(), s.kinds[1].as_str()), (2, "m2"));
-    assert!(s.probes, "both programs go by the same settings");
+    assert_eq!((s.connect_timeout_s, s.connection_idle_timeout_s, s.answer_slack_s), (0.3, 50.0, 0.04));
+    assert_eq!(s.load_report_fields, [LoadReportField::Other, LoadReportField::FreeSlots]);
+    assert_eq!((s.zones.len(), s.worker_kinds[1].as_str()), (2, "m2"));
+    assert!(s.capacity_probes_allowed, "both programs go by the same settings");
 }
 
 /// Once, every scheduler crashed on reading its first list: the last entry was cut short by a node.
@@ -60,7 +60,7 @@
         [(TEXT, false), (&with_ways, false), (&allowed(TEXT), false), (&allowed(&with_ways), true)]
     {
         let config = read(text).unwrap();
-        assert_eq!((config.settings.notes, config.notes.is_some()), (both, both));
+        assert_eq!((config.settings.gossip_allowed, config.notes.is_some()), (both, both));
     }
     let ways = read(&allowed(&with_ways)).unwrap().notes.unwrap();
     assert_eq!((ways.peers.len(), ways.all.port(), ways.listen.port()), (2, 1, 7946));
@@ -118,14 +118,15 @@
         assert_eq!(ours, theirs, "{schedulers} schedulers, reports {reports}, probes {probes}");
         let mut programs =
             [ours, theirs].map(|settings| Bench::new(settings, (1..=12).map(worker).collect()));
-        let answer = Some(Load { free_slots: Some(2.0), ..Load::default() });
+        let answer = Some(LoadReport { free_slots: Some(2.0), ..LoadReport::default() });
         programs.iter_mut().for_each(|program| program.answer = answer); // to those that ask before they send
         let mut sent = 0;
         for id in 0..30 {
             let acted = programs.each_mut().map(|program| {
-                let mut actions = program.send(Event::Request(request(id, 0, program.now)));
+                let mut actions = program.send(Event::RequestReceived(request(id, 0, program.now)));
                 actions.extend(program.run(0.07));
-                let ended = if id % 3 == 0 { Outcome::Full } else { Outcome::Ok };
+                let ended =
+                    if id % 3 == 0 { AttemptOutcome::RejectedByWorker } else { AttemptOutcome::Succeeded };
                 actions.extend(program.end(id, 0, ended));
                 actions
             });
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -18,12 +18,12 @@
 /// Plays one cell; cells of workers go by odd and even numbers, so 3 is in the group of 1 and 2 is not: what follows an attempt of this class at worker 1 that ended so. `moved`: the request goes
 /// over to another process right after.
 fn follows(end: ConnectionEnd, class: usize, other: u64, moved: bool) -> &'static str {
-    let mut b = Bench::new(Settings { probes: false, ..settings() }, vec![worker(1)]);
-    b.send(Event::Request(request(1, class, b.now)));
+    let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
+    b.send(Event::RequestReceived(request(1, class, b.now)));
     assert_eq!(routes(&b.run(0.2)), [(1, 1)], "the first attempt");
     // From now on another worker takes work, and the first one none.
     let entries = vec![WorkerInfo { state: WorkerState::Draining, ..worker(1) }, worker(other)];
-    b.send(Event::Workers { whole: false, cached: false, entries: entries.clone() });
+    b.send(Event::WorkersListed { whole: false, cached: false, entries: entries.clone() });
     let mut actions = b.end(1, 0, end.outcome());
     if end == ConnectionEnd::Done {
         assert!(routes(&b.run(30.0)).is_empty(), "it is over");
@@ -33,9 +33,9 @@
         assert!(routes(&actions).is_empty(), "nothing is sent before the next round");
         let record = b.d.hand_over(RequestId(1)).expect("it is not over");
         let now = b.now;
-        b = Bench::new(Settings { probes: false, ..settings() }, entries);
+        b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, entries);
         b.now = now;
-        actions = b.send(Event::TakenOver(Box::new(record)));
+        actions = b.send(Event::RequestTakenOver(Box::new(record)));
     }
     actions.extend(b.run(30.0));
     match (routes(&actions).as_slice(), failed(&actions, 1), refused(&actions, 1)) {
@@ -53,7 +53,7 @@
     for end in ConnectionEnd::ALL {
         let row =
             table.iter().find(|row| row.0 == end.name()).unwrap_or_else(|| panic!("{end:?} has no row"));
-        let unrun = end.outcome().proves_unrun();
+        let unrun = end.outcome().proves_not_executed();
         assert_eq!(row.1[0], if unrun { "no" } else { "yes" }, "{end:?}: may it have run");
         // Repeatable, keyed everywhere, keyed in the group of a worker left, keyed elsewhere, once.
         for (column, (class, other)) in [(0, 3), (3, 2), (2, 3), (2, 2), (1, 3)].into_iter().enumerate() {
@@ -71,11 +71,11 @@
 fn an_earlier_attempt_that_may_have_run_decides() {
     // The first attempt may have run; that the second surely did not changes nothing for the request.
     for (class, again) in [(0, true), (1, false), (2, false)] {
-        let mut b = Bench::new(Settings { probes: false, ..settings() }, vec![worker(1)]);
-        b.send(Event::Request(request(1, class, b.now)));
+        let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
+        b.send(Event::RequestReceived(request(1, class, b.now)));
         assert_eq!(routes(&b.run(0.2)).len(), 1);
         let draining = WorkerInfo { state: WorkerState::Draining, ..worker(1) };
-        b.send(Event::Workers { whole: false, cached: false, entries: vec![worker(3)] });
+        b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(3)] });
         let mut second = b.end(1, 0, ConnectionEnd::BrokeWaiting.outcome());
         second.extend(b.run(0.3));
         if class != 1 {
@@ -83,8 +83,8 @@
             let other = if to == 1 { 3 } else { 1 };
             let gone =
                 [worker(other), draining.clone(), WorkerInfo { state: WorkerState::Draining, ..worker(3) }];
-            b.send(Event::Workers { whole: false, cached: false, entries: gone[1..].to_vec() });
-            b.send(Event::Workers { whole: false, cached: false, entries: vec![worker(2)] });
+            b.send(Event::WorkersListed { whole: false, cached: false, entries: gone[1..].to_vec() });
+            b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(2)] });
             b.end(1, 1, ConnectionEnd::ConnectRefused.outcome());
             assert_eq!(!routes(&b.run(30.0)).is_empty(), again, "class {class}");
         } else {
@@ -104,10 +104,10 @@
 ) {
     // Held for a worker that it could not be sent to, it was answered after its aim; where late answers have a
     // worth, at its deadline.
-    let mut s = Settings { probes: false, ..settings() };
-    s.classes[class].late_worth = 0.5;
+    let mut s = Settings { capacity_probes_allowed: false, ..settings() };
+    s.classes[class].weight_after_objective = 0.5;
     let mut b = Bench::new(s, (1..=6).map(worker).collect());
-    b.send(Event::Request(request(1, class, b.now)));
+    b.send(Event::RequestReceived(request(1, class, b.now)));
     for attempt in 0..attempts {
         assert_eq!(routes(&b.run(1.0)).len(), 1, "attempt {attempt}");
         let actions = b.end(1, attempt, end.outcome());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,13 @@
 use common::*;
 
 fn many() -> Settings {
-    Settings { dispatchers: 100, live_weights: true, probes: false, overload_for_s: 3.0, ..settings() }
+    Settings {
+        scheduler_count: 100,
+        weights_show_load: true,
+        capacity_probes_allowed: false,
+        overload_window_s: 3.0,
+        ..settings()
+    }
 }
 
 /// Workers of weight 2, which have two cores, and what each holds.
@@ -22,8 +28,8 @@
     let mut counts = BTreeMap::new();
     for seed in 0..100u64 {
         let mut b = Bench::seeded(many(), seed.wrapping_mul(0x1234_5678_9ABC_DEF1), weighed(&vec![0.0; 60]));
-        b.send(Event::Workers { whole: false, cached: false, entries: weighed(held) });
-        b.send(Event::Request(request(1, 0, b.now)));
+        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(held) });
+        b.send(Event::RequestReceived(request(1, 0, b.now)));
         routes(&b.run(0.2)).iter().for_each(|r| *counts.entry(r.1).or_default() += 1);
     }
     assert_eq!(counts.values().sum::<usize>(), 100, "each places its job: {counts:?}");
@@ -51,7 +57,7 @@
 
 #[test]
 fn the_few_that_have_room_do_not_get_all_that_is_sent() {
-    // Standing test, calm day: with 10 of 149 boxes free in a list a second old, all 282 schedulers sent there.
+    // CapacitySummary test, calm day: with 10 of 149 boxes free in a list a second old, all 282 schedulers sent there.
     // A box held 5.1 jobs a slot when one was sent to it, where one drawn blindly held 2.1.
     let held: Vec<f64> = (0..60).map(|n| if n % 10 == 0 { 0.0 } else { 2.5 }).collect();
     let counts = first_choices(&held);
@@ -79,12 +85,12 @@
     let mut b = Bench::new(Settings { zones, ..many() }, idle);
     let mut at_home = 0;
     for id in 0..300 {
-        b.send(Event::Workers { whole: false, cached: false, entries: list.clone() });
-        b.send(Event::Request(request(id, 0, b.now)));
+        b.send(Event::WorkersListed { whole: false, cached: false, entries: list.clone() });
+        b.send(Event::RequestReceived(request(id, 0, b.now)));
         let sent = routes(&b.run(0.2));
         at_home += sent.iter().filter(|r| r.1 % 3 == 0).count();
-        b.send(Event::Left(RequestId(id)));
-        b.end(id, 0, Outcome::Cancelled);
+        b.send(Event::ClientDisconnected(RequestId(id)));
+        b.end(id, 0, AttemptOutcome::Cancelled);
     }
     assert!(wanted.contains(&(f64::from(at_home as u32) / 300.0)), "{at_home} of 300");
 }
@@ -93,25 +99,25 @@
 /// `mine` jobs out while all workers together hold `all`.
 fn inside_quota(mine: u32, all: f64) -> usize {
     let tenants = vec![Tenant { name: String::new(), quota_per_s: 100.0 }];
-    let s = Settings { tenants, over_share_worth: 0.05, ..many() };
+    let s = Settings { tenants, weight_over_quota: 0.05, ..many() };
     let mut b = Bench::new(s, weighed(&[0.0; 60]));
     for id in 0..mine {
-        b.send(Event::Workers { whole: false, cached: false, entries: weighed(&[0.5; 60]) });
-        b.send(Event::Request(request(id, 0, b.now)));
+        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[0.5; 60]) });
+        b.send(Event::RequestReceived(request(id, 0, b.now)));
         b.run(0.02);
-        b.send(Event::Started { request: RequestId(id), attempt: 0 });
+        b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
     }
     for _ in 0..8 {
-        b.send(Event::Workers { whole: false, cached: false, entries: weighed(&[all / 60.0; 60]) });
+        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[all / 60.0; 60]) });
         b.run(0.25);
     }
-    (100..160).for_each(|id| drop(b.send(Event::Request(request(id, 0, b.now)))));
+    (100..160).for_each(|id| drop(b.send(Event::RequestReceived(request(id, 0, b.now)))));
     (100..160).filter(|&id| b.d.priority(RequestId(id)).is_some_and(|p| p >= 0.0)).count()
 }
 
 #[test]
 fn a_quota_goes_to_the_dispatchers_as_the_traffic_does() {
-    // Standing test, calm day: the front gives some schedulers ten times the mean. There a hundredth of a
+    // CapacitySummary test, calm day: the front gives some schedulers ten times the mean. There a hundredth of a
     // quota put a tenant inside its share behind the other's surge: 0.66 of its worth served, 0.90 of the other's.
     let (quiet, busy) = (inside_quota(0, 60.0), inside_quota(30, 60.0));
     assert!((1..=8).contains(&quiet), "{quiet}");
@@ -132,13 +138,15 @@
 /// 100 dispatchers with the same list; each takes a job every `every(index)` seconds. A cold worker is as slow as
 /// it can be, so a job runs there for its work over the least that it has warmed up. All attempts over `seconds`.
 fn play(s: &Settings, list: &[WorkerInfo], seconds: f64, every: impl Fn(usize) -> f64) -> Vec<Sent> {
-    let warm = |worker: u64, at: f64| match list[worker as usize].since {
+    let warm = |worker: u64, at: f64| match list[worker as usize].started_at_s {
         0.0 => 1.0,
-        since => (s.cold_share + (1.0 - s.cold_share) * (at - since) / s.warm_within_s).min(1.0),
+        since => (s.slow_start_fraction
+            + (1.0 - s.slow_start_fraction) * (at - since) / s.slow_start_duration_s)
+            .min(1.0),
     };
     let mut sent = Vec::new();
-    for index in 0..s.dispatchers {
-        let s = Settings { index, ..s.clone() };
+    for index in 0..s.scheduler_count {
+        let s = Settings { scheduler_index: index, ..s.clone() };
         let mut b = Bench::seeded(s, 11 * index as u64, list.to_vec());
         let (start, mut next, mut id) = (b.now, b.now + every(index) * (index % 7) as f64 / 7.0, 0);
         let mut out: Vec<(f64, u32, u64)> = Vec::new(); // until when, job, worker
@@ -147,11 +155,11 @@
             while next <= b.now {
                 id += 1;
                 next += every(index);
-                let job = Request { hint: Some(work(id)), ..request(id, 0, b.now) };
-                actions.extend(b.send(Event::Request(job)));
+                let job = Request { estimated_work_s: Some(work(id)), ..request(id, 0, b.now) };
+                actions.extend(b.send(Event::RequestReceived(job)));
             }
             for job in out.extract_if(.., |job| job.0 <= b.now).map(|job| job.1).collect::<Vec<_>>() {
-                actions.extend(b.end(job, 0, Outcome::Ok));
+                actions.extend(b.end(job, 0, AttemptOutcome::Succeeded));
             }
             actions.extend(b.run(0.05));
             for (job, worker) in routes(&actions) {
@@ -174,7 +182,7 @@
     let list: Vec<_> = (0..60)
         .map(|n| {
             let since = if n < 36 { 99.9 + 0.001 * n as f64 } else { 0.0 };
-            WorkerInfo { since, cell: n as u16, ..worker(n) }
+            WorkerInfo { started_at_s: since, cell: n as u16, ..worker(n) }
         })
         .collect();
     let (sent, mut nearest) = (play(&s, &list, 25.0, every), 0.0f64);
@@ -182,13 +190,14 @@
         let here: Vec<_> = sent.iter().filter(|s| s.1 == cold.id.0).collect();
         for (at, ..) in &here {
             let window: f64 =
-                here.iter().filter(|w| w.0 <= *at && w.0 > at - s.overload_for_s).map(|w| w.2).sum();
+                here.iter().filter(|w| w.0 <= *at && w.0 > at - s.overload_window_s).map(|w| w.2).sum();
             let window = window / MEAN_WORK;
-            let age = at - s.overload_for_s - cold.since;
-            let warm = s.cold_share + (1.0 - s.cold_share) * age.max(0.0) / s.warm_within_s;
-            if age < s.warm_within_s {
+            let age = at - s.overload_window_s - cold.started_at_s;
+            let warm = s.slow_start_fraction
+                + (1.0 - s.slow_start_fraction) * age.max(0.0) / s.slow_start_duration_s;
+            if age < s.slow_start_duration_s {
                 // Falls are counted in requests of mean work, with this slack for chance; a tenth is kept.
-                let n = s.fall_multiple * warm.min(1.0) * 2.0 * s.overload_for_s / MEAN_WORK;
+                let n = s.collapse_multiple * warm.min(1.0) * 2.0 * s.overload_window_s / MEAN_WORK;
                 let most = 0.9 * (n + 2.0 * n.sqrt() + 2.0);
                 assert!(window <= most, "{window} of {most} to worker {} at {at}", cold.id.0);
                 nearest = nearest.max(window / most);
@@ -206,19 +215,22 @@
     // and those that it named for the large one sent, up to four times what was meant.
     const SMALL: f64 = 0.25;
     const LARGE: f64 = 2.75;
-    let s = Settings { dispatchers: 32, ..many() };
+    let s = Settings { scheduler_count: 32, ..many() };
     let mut list: Vec<_> = (0..24).map(worker).collect();
-    list[..8].iter_mut().for_each(|w| w.since = 99.9);
+    list[..8].iter_mut().for_each(|w| w.started_at_s = 99.9);
     let mut sent: Vec<Sent> = Vec::new();
-    for index in 0..s.dispatchers {
-        let mut b = Bench::seeded(Settings { index, ..s.clone() }, 17 * index as u64, list.clone());
+    for index in 0..s.scheduler_count {
+        let mut b =
+            Bench::seeded(Settings { scheduler_index: index, ..s.clone() }, 17 * index as u64, list.clone());
         let mut out: Vec<(f64, u32)> = Vec::new();
         for id in 0..60u32 {
             let (class, work) = if id % 2 == 0 { (0, SMALL) } else { (1, LARGE) };
-            let mut actions =
-                b.send(Event::Request(Request { hint: Some(work), ..request(id, class, b.now) }));
+            let mut actions = b.send(Event::RequestReceived(Request {
+                estimated_work_s: Some(work),
+                ..request(id, class, b.now)
+            }));
             for (_, id) in out.extract_if(.., |job| job.0 <= b.now).collect::<Vec<_>>() {
-                actions.extend(b.end(id, 0, Outcome::Ok));
+                actions.extend(b.end(id, 0, AttemptOutcome::Succeeded));
             }
             actions.extend(b.run(0.25));
             for (id, worker) in routes(&actions) {
@@ -233,8 +245,9 @@
     for (at, to, _) in sent.iter().filter(|s| s.1 < 8) {
         let within = |s: &&Sent| s.1 == *to && s.0 <= *at && s.0 > at - window_s();
         let work: f64 = sent.iter().filter(within).map(|s| s.2).sum();
-        let warm = s.cold_share + (1.0 - s.cold_share) * (at - 99.9) / s.warm_within_s;
-        let n = s.fall_multiple * warm.min(1.0) * 2.0 * window_s() / mean;
+        let warm =
+            s.slow_start_fraction + (1.0 - s.slow_start_fraction) * (at - 99.9) / s.slow_start_duration_s;
+        let n = s.collapse_multiple * warm.min(1.0) * 2.0 * window_s() / mean;
         nearest = nearest.max(work / mean / (n + 2.0 * n.sqrt() + 2.0));
     }
     println!("a cold worker was sent {nearest:.2} of what fells it, at the most");
@@ -243,18 +256,18 @@
 
 /// The window in which falls are counted, in [`many`].
 fn window_s() -> f64 {
-    many().overload_for_s
+    many().overload_window_s
 }
 
 #[test]
 fn schedulers_that_all_restart_at_once_do_not_meet_at_one_worker() {
-    // Standing test, release: seven in ten schedulers are killed at once and come back with the list of their
+    // CapacitySummary test, release: seven in ten schedulers are killed at once and come back with the list of their
     // configuration, which tells of no load. Their first jobs come together.
     let mut counts = [0; 60];
     for seed in 0..200u64 {
-        let s = Settings { dispatchers: 300, index: seed as usize, ..many() };
+        let s = Settings { scheduler_count: 300, scheduler_index: seed as usize, ..many() };
         let mut b = Bench::seeded(s, seed.wrapping_mul(0x1234_5678_9ABC_DEF1), weighed(&[0.0; 60]));
-        b.send(Event::Request(request(1, 0, b.now)));
+        b.send(Event::RequestReceived(request(1, 0, b.now)));
         routes(&b.run(0.2)).iter().for_each(|r| counts[r.1 as usize] += 1);
     }
     assert_eq!(counts.iter().sum::<usize>(), 200, "each places its job: {counts:?}");
@@ -267,11 +280,11 @@
     // second each for 10 s, then it speaks again.
     let (mut lost, mut sent, mut back) = (0, 0, 0);
     for index in 0..100 {
-        let s = Settings { index, ..many() };
+        let s = Settings { scheduler_index: index, ..many() };
         let mut b = Bench::seeded(s, 31 * index as u64, weighed(&[0.0; 6]));
         for second in 0..40 {
-            b.send(Event::Workers { whole: false, cached: false, entries: weighed(&[0.0; 6]) });
-            b.send(Event::Request(request(second, 0, b.now)));
+            b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[0.0; 6]) });
+            b.send(Event::RequestReceived(request(second, 0, b.now)));
             let mut attempt = 0;
             for _ in 0..20 {
                 let actions = b.run(0.05);
@@ -280,12 +293,12 @@
                     (lost, sent) = (lost + usize::from(silent), sent + 1);
                     back += usize::from(worker == 3 && second >= 20);
                     if !silent {
-                        b.send(Event::Started { request: RequestId(id), attempt });
-                        b.end(id, attempt, Outcome::Ok);
+                        b.send(Event::AttemptStarted { request: RequestId(id), attempt });
+                        b.end(id, attempt, AttemptOutcome::Succeeded);
                     }
                 }
                 if actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
-                    b.end(second, attempt, Outcome::Cancelled);
+                    b.end(second, attempt, AttemptOutcome::Cancelled);
                     attempt += 1;
                 }
             }
@@ -300,11 +313,11 @@
     // Large fleet, lost zone: seven boxes failed nearly all they were sent, at once, and so looked free. Four
     // failures made one suspect, which took a hundred schedulers 650 attempts to find out.
     let kept = |dispatchers| {
-        let s = Settings { dispatchers, ..many() };
+        let s = Settings { scheduler_count: dispatchers, ..many() };
         let mut b = Bench::seeded(s, 5, weighed(&[0.0]));
-        b.send(Event::Request(request(1, 0, b.now)));
+        b.send(Event::RequestReceived(request(1, 0, b.now)));
         assert_eq!(routes(&b.run(0.2)), [(1, 0)]);
-        let mut after = routes(&b.end(1, 0, Outcome::Error));
+        let mut after = routes(&b.end(1, 0, AttemptOutcome::Failed));
         after.extend(routes(&b.run(0.2)));
         !after.is_empty()
     };
@@ -314,20 +327,20 @@
 
 #[test]
 fn what_waits_at_a_worker_until_it_is_worth_nothing_is_given_up_before_its_aim() {
-    // Standing test, calm day: 1,935 of 5,323 answers came too late. The boxes ran jobs worth nothing while others
+    // CapacitySummary test, calm day: 1,935 of 5,323 answers came too late. The boxes ran jobs worth nothing while others
     // behind them in the same queues became as late.
     let mut b = Bench::new(many(), weighed(&[0.0]));
-    b.send(Event::Request(request(1, 0, b.now)));
+    b.send(Event::RequestReceived(request(1, 0, b.now)));
     assert_eq!(routes(&b.run(0.04)), [(1, 0)]);
-    b.send(Event::Started { request: RequestId(1), attempt: 0 });
-    b.send(Event::Workers { whole: false, cached: false, entries: weighed(&[1.0]) });
-    b.send(Event::Request(request(2, 0, b.now)));
+    b.send(Event::AttemptStarted { request: RequestId(1), attempt: 0 });
+    b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[1.0]) });
+    b.send(Event::RequestReceived(request(2, 0, b.now)));
     assert_eq!(routes(&b.run(0.1)), [(2, 0)]);
     let (taken, mut refused_at, mut cancelled) = (b.now - 0.1, None, false);
     for step in 1..30 {
         // The other job gets on: the worker is alive, so it is no silence that moves the one that waits.
         let share = f64::from(step) / 40.0;
-        b.send(Event::Progress { request: RequestId(1), attempt: 0, share });
+        b.send(Event::AttemptProgressed { request: RequestId(1), attempt: 0, share });
         let out = b.run(0.05);
         cancelled |= out.contains(&Action::Cancel { request: RequestId(2), attempt: 0 });
         refused_at = refused_at.or(refused(&out, 2).then_some(b.now - taken));
@@ -341,19 +354,28 @@
     // Drawn days 70418, 70422, 70524, 70525, 70557 and 70560: a cold box's budget held only jobs of small hints,
     // and let any number of them through. By the usual work of their class it was sent 6 to 14 times what it
     // could do when it fell.
-    let s = |index| Settings { dispatchers: 5, index, overload_for_s: 3.0, probes: false, ..settings() };
-    let cold = WorkerInfo { since: 100.0, ..worker(1) };
+    let s = |index| Settings {
+        scheduler_count: 5,
+        scheduler_index: index,
+        overload_window_s: 3.0,
+        capacity_probes_allowed: false,
+        ..settings()
+    };
+    let cold = WorkerInfo { started_at_s: 100.0, ..worker(1) };
     let hints = [1.6, 0.02, 0.9, 0.02]; // 0.635 on average
     let mut sends = Vec::new();
     for index in 0..5 {
         let mut b = Bench::seeded(s(index), index as u64, vec![cold.clone()]);
         for id in 0..160 {
-            b.send(Event::Request(Request { hint: Some(hints[id as usize % 4]), ..request(id, 0, b.now) }));
+            b.send(Event::RequestReceived(Request {
+                estimated_work_s: Some(hints[id as usize % 4]),
+                ..request(id, 0, b.now)
+            }));
             let sent = routes(&b.run(0.05));
             for (id, _) in sent {
                 sends.push(b.now);
-                b.send(Event::Left(RequestId(id)));
-                b.end(id, 0, Outcome::Cancelled);
+                b.send(Event::ClientDisconnected(RequestId(id)));
+                b.end(id, 0, AttemptOutcome::Cancelled);
             }
         }
     }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -51,11 +51,11 @@
     // Traffic and network draw apart, so that all networks see the same traffic.
     let (mut rng, mut luck) = (fastrand::Rng::with_seed(seed), fastrand::Rng::with_seed(!seed));
     let of = |index| Settings {
-        dispatchers: DISPATCHERS,
-        index,
-        report: vec![ReportField::FreeSlots],
-        probes: false,
-        notes,
+        scheduler_count: DISPATCHERS,
+        scheduler_index: index,
+        load_report_fields: vec![LoadReportField::FreeSlots],
+        capacity_probes_allowed: false,
+        gossip_allowed: notes,
         ..settings()
     };
     let fleet = || (1..=WORKERS).map(worker).collect();
@@ -70,44 +70,49 @@
         let mut acted: Vec<Vec<Action>> = all.iter_mut().map(|b| b.run(STEP)).collect();
         if rng.f64() < RATE * STEP {
             let to = rng.usize(..DISPATCHERS);
-            acted[to].extend(all[to].send(Event::Request(request(played.asked as u32, 0, now))));
+            acted[to].extend(all[to].send(Event::RequestReceived(request(played.asked as u32, 0, now))));
             played.asked += 1;
         }
         // Later copies may arrive first: the order of arrival is by each one's own delay.
         let due;
         (due, wire) = wire.into_iter().partition(|note| note.0 <= now);
         for (_, from, to, bytes) in due {
-            acted[to].extend(all[to].send(Event::Note { from, bytes }));
+            acted[to].extend(all[to].send(Event::GossipReceived { from, bytes }));
         }
         for at in boxes.values_mut() {
             let (over, running): (Vec<_>, Vec<_>) = at.running.drain(..).partition(|run| run.0 <= now);
             at.running = running;
             for (_, dispatcher, id) in over {
                 let free_slots = Some((SLOTS - at.running.len()) as f64);
-                let load = Load { free_slots, ..Load::default() };
-                let ended =
-                    Ended { request: RequestId(id), attempt: 0, outcome: Outcome::Ok, closed: true, load };
-                acted[dispatcher].extend(all[dispatcher].send(Event::Ended(ended)));
+                let load = LoadReport { free_slots, ..LoadReport::default() };
+                let ended = AttemptEnded {
+                    request: RequestId(id),
+                    attempt: 0,
+                    outcome: AttemptOutcome::Succeeded,
+                    client_answered: true,
+                    load,
+                };
+                acted[dispatcher].extend(all[dispatcher].send(Event::AttemptEnded(ended)));
                 played.done += 1;
             }
             while at.running.len() < SLOTS && !at.waiting.is_empty() {
                 let (dispatcher, id) = at.waiting.remove(0);
                 at.running.push((now + RUN, dispatcher, id));
-                let started = Event::Started { request: RequestId(id), attempt: 0 };
+                let started = Event::AttemptStarted { request: RequestId(id), attempt: 0 };
                 acted[dispatcher].extend(all[dispatcher].send(started));
             }
         }
         for (dispatcher, actions) in acted.into_iter().enumerate() {
             for action in actions {
                 match action {
-                    Action::Route { request, worker } => {
+                    Action::Dispatch { request, worker } => {
                         let full = |at: &Box| at.running.len() + at.waiting.len() >= SLOTS;
                         let better = boxes.values().any(|at| !full(at));
                         let at = boxes.get_mut(&worker.0).expect("only what is listed is used");
                         played.misplaced += usize::from(full(at) && better);
                         at.waiting.push((dispatcher, request.0));
                     }
-                    Action::Note(bytes) => {
+                    Action::BroadcastGossip(bytes) => {
                         assert!(bytes.len() <= 256 && notes);
                         played.notes += 1;
                         let cut = now - start >= network.cut.0 && now - start < network.cut.1;
@@ -158,18 +163,19 @@
 
 #[test]
 fn a_note_of_its_own_that_comes_back_is_not_another_dispatchers() {
-    let s = Settings { dispatchers: 2, notes: true, probes: false, ..settings() };
+    let s =
+        Settings { scheduler_count: 2, gossip_allowed: true, capacity_probes_allowed: false, ..settings() };
     let mut b = Bench::new(s, (1..=4).map(worker).collect());
-    (0..4).for_each(|id| drop(b.send(Event::Request(request(id, 0, b.now)))));
+    (0..4).for_each(|id| drop(b.send(Event::RequestReceived(request(id, 0, b.now)))));
     let actions = b.run(0.2);
     let note = actions.iter().rev().find_map(|action| match action {
-        Action::Note(bytes) if bytes.len() > 5 => Some(bytes.clone()),
+        Action::BroadcastGossip(bytes) if bytes.len() > 5 => Some(bytes.clone()),
         _ => None,
     });
     let note = note.expect("it tells what it holds");
-    let free = b.d.standing().free;
-    b.send(Event::Note { from: 0, bytes: note.clone() });
-    assert_eq!(b.d.standing().free, free);
-    b.send(Event::Note { from: 1, bytes: note });
-    assert_ne!(b.d.standing().free, free, "another's counts");
+    let free = b.d.capacity_summary().free;
+    b.send(Event::GossipReceived { from: 0, bytes: note.clone() });
+    assert_eq!(b.d.capacity_summary().free, free);
+    b.send(Event::GossipReceived { from: 1, bytes: note });
+    assert_ne!(b.d.capacity_summary().free, free, "another's counts");
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -51,21 +51,22 @@
 
     fn check(&mut self, now: f64, action: &Action) {
         match *action {
-            Action::Timer { after_s, tag } => self.timers.push((now + after_s, tag)),
+            Action::SetTimer { after_s, tag } => self.timers.push((now + after_s, tag)),
             Action::Fail(id) => self.finish(id.0, now),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let k = &self.known[&request.0];
                 let class = &self.s.classes[k.class];
                 let ran = k.attempts.iter().any(|a| a.may_have_run);
-                let harmless = class.effect == Effect::Repeatable
-                    || (class.effect == Effect::Keyed && class.group == Group::All);
+                let harmless = class.idempotency == Idempotency::Idempotent
+                    || (class.idempotency == Idempotency::WithKey
+                        && class.deduplication_scope == DeduplicationScope::All);
                 assert!(!ran || harmless, "refused though it may have run");
                 self.finish(request.0, now);
             }
             Action::Cancel { request, attempt } => {
                 assert!(attempt < self.known[&request.0].attempts.len());
             }
-            Action::Route { request, worker } => {
+            Action::Dispatch { request, worker } => {
                 self.routed += 1;
                 let there = |a: &&Sent| a.out && a.worker == worker.0;
                 let out = self.known.values().flat_map(|k| &k.attempts).filter(there).count();
@@ -78,64 +79,74 @@
                 let k = self.known.get_mut(&request.0).expect("routes only what it was given");
                 assert!(!k.over && k.attempts.len() < self.s.max_attempts);
                 let class = &self.s.classes[k.class];
-                assert!(self.s.second_copies || k.attempts.iter().all(|a| !a.out), "two copies at once");
+                assert!(self.s.hedging_allowed || k.attempts.iter().all(|a| !a.out), "two copies at once");
                 if let Some(first) = k.attempts.iter().find(|a| a.may_have_run) {
-                    match class.effect {
-                        Effect::Repeatable => {}
-                        Effect::Once => panic!("an unsafe request is sent twice"),
-                        Effect::Keyed => {
-                            assert!(now <= first.at + class.window_s, "after the window");
+                    match class.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("an unsafe request is sent twice"),
+                        Idempotency::WithKey => {
+                            assert!(now <= first.at + class.deduplication_window_s, "after the window");
                             let cell = self.list[&first.worker].0.cell;
-                            assert!(class.group == Group::All || cell == info.cell, "outside the group");
+                            assert!(
+                                class.deduplication_scope == DeduplicationScope::All || cell == info.cell,
+                                "outside the group"
+                            );
                         }
                     }
                 }
-                let age = now - info.since;
-                if info.since > 0.0 && age < self.s.warm_within_s {
+                let age = now - info.started_at_s;
+                if info.started_at_s > 0.0 && age < self.s.slow_start_duration_s {
                     let sends = self.cold.entry(worker.0).or_default();
                     sends.push((now, 0.3));
-                    let window = now - self.s.overload_for_s;
+                    let window = now - self.s.overload_window_s;
                     let sum: f64 =
-                        sends.iter().filter(|s| s.0 >= window && s.0 >= info.since).map(|s| s.1).sum();
+                        sends.iter().filter(|s| s.0 >= window && s.0 >= info.started_at_s).map(|s| s.1).sum();
                     // A worker holds as many jobs as were ever out on one or reported free, at speed 1; half as
                     // much again is for what the dispatcher learns of them.
-                    let warm = self.s.cold_share + (1.0 - self.s.cold_share) * age / self.s.warm_within_s;
-                    let whole = self.s.fall_multiple * warm * self.most_out.max(3) as f64 * 1.5;
-                    let whole = whole * self.s.overload_for_s;
-                    if scheduler_share::suffice(self.s.dispatchers) {
+                    let warm = self.s.slow_start_fraction
+                        + (1.0 - self.s.slow_start_fraction) * age / self.s.slow_start_duration_s;
+                    let whole = self.s.collapse_multiple * warm * self.most_out.max(3) as f64 * 1.5;
+                    let whole = whole * self.s.overload_window_s;
+                    if scheduler_share::suffice(self.s.scheduler_count) {
                         // Parts come to the whole (`src/shares.rs`).
-                        let before = (age - self.s.overload_for_s).max(0.0) / self.s.warm_within_s;
-                        let grown =
-                            (self.s.cold_share + (1.0 - self.s.cold_share) * before) / self.s.cold_share;
-                        let salt = info.since.to_bits() ^ u64::from(info.cell);
-                        let part = scheduler_share::part(self.s.index, self.s.dispatchers, grown, salt);
+                        let before = (age - self.s.overload_window_s).max(0.0) / self.s.slow_start_duration_s;
+                        let grown = (self.s.slow_start_fraction
+                            + (1.0 - self.s.slow_start_fraction) * before)
+                            / self.s.slow_start_fraction;
+                        let salt = info.started_at_s.to_bits() ^ u64::from(info.cell);
+                        let part = scheduler_share::part(
+                            self.s.scheduler_index,
+                            self.s.scheduler_count,
+                            grown,
+                            salt,
+                        );
                         let part = part.expect("only who has a part sends");
                         assert!(sum <= whole * part, "a cold worker is pushed over");
                     } else {
                         // Grants come to the whole by their number: in each of its intervals, a dispatcher sends its
                         // whole jobs and one.
-                        let salt = info.since.to_bits() ^ info.tag;
-                        let interval = |at: f64| Interval::at(at - info.since, salt, &self.s).number;
+                        let salt = info.started_at_s.to_bits() ^ info.stable_id;
+                        let interval = |at: f64| Interval::at(at - info.started_at_s, salt, &self.s).number;
                         let here = sends
                             .iter()
-                            .filter(|s| s.0 >= info.since && interval(s.0) == interval(now))
+                            .filter(|s| s.0 >= info.started_at_s && interval(s.0) == interval(now))
                             .count();
-                        let most = whole / 0.3 / self.s.dispatchers as f64 + 1.0;
+                        let most = whole / 0.3 / self.s.scheduler_count as f64 + 1.0;
                         assert!(
                             here as f64 <= most,
                             "{here} sent to a cold worker in one interval, {most} at most"
                         );
                     }
                 }
-                let start = if self.s.tells_start { f64::INFINITY } else { now };
+                let start = if self.s.starts_reported { f64::INFINITY } else { now };
                 k.attempts.push(Sent { worker: worker.0, at: now, out: true, may_have_run: true, start });
             }
             Action::Probe(worker) => {
-                assert!(self.s.probes && self.list.contains_key(&worker.0));
+                assert!(self.s.capacity_probes_allowed && self.list.contains_key(&worker.0));
                 self.asked.push(worker);
             }
-            Action::Note(_) => assert!(self.s.notes),
-            Action::Subscribe => assert!(self.s.ask_for_list),
+            Action::BroadcastGossip(_) => assert!(self.s.gossip_allowed),
+            Action::WatchEndpointList => assert!(self.s.discovery_polled),
         }
     }
 }
@@ -143,15 +154,15 @@
 fn play(seed: u64, dispatchers: usize) -> (usize, Vec<Action>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut s = settings();
-    s.second_copies = rng.bool();
-    s.probes = rng.bool();
-    s.may_cancel = rng.bool();
-    s.ask_for_list = rng.bool();
-    s.tells_start = rng.bool();
-    s.dispatchers = dispatchers;
-    s.index = rng.usize(..dispatchers);
+    s.hedging_allowed = rng.bool();
+    s.capacity_probes_allowed = rng.bool();
+    s.cancellation_allowed = rng.bool();
+    s.discovery_polled = rng.bool();
+    s.starts_reported = rng.bool();
+    s.scheduler_count = dispatchers;
+    s.scheduler_index = rng.usize(..dispatchers);
     for class in &mut s.classes {
-        class.late_worth = if rng.bool() { 0.2 } else { 0.0 };
+        class.weight_after_objective = if rng.bool() { 0.2 } else { 0.0 };
     }
     let mut now = 50.0;
     let (known, list, cold, timers) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -160,7 +171,7 @@
     let mut d = Dispatcher::new(s.clone(), seed);
     let mut all = Vec::new();
     let entries: Vec<WorkerInfo> = (0..rng.u64(0..9)).map(worker).collect();
-    let mut next = Some(Event::Workers { whole: true, cached: true, entries });
+    let mut next = Some(Event::WorkersListed { whole: true, cached: true, entries });
     let mut id = 0;
     for step in 0..3000 {
         let event = next.take().unwrap_or_else(|| {
@@ -172,80 +183,93 @@
             let picked = (!out.is_empty()).then(|| out[rng.usize(..out.len())]);
             if !c.asked.is_empty() && rng.u8(0..4) > 0 {
                 let worker = c.asked.remove(0);
-                let outcome = if rng.u8(0..5) > 0 { Outcome::Ok } else { Outcome::Timeout };
-                let load = Load { free_slots: Some(f64::from(rng.u8(0..4))), ..Load::default() };
-                return Event::Probed { worker, outcome, load };
+                let outcome =
+                    if rng.u8(0..5) > 0 { AttemptOutcome::Succeeded } else { AttemptOutcome::TimedOut };
+                let load = LoadReport { free_slots: Some(f64::from(rng.u8(0..4))), ..LoadReport::default() };
+                return Event::ProbeEnded { worker, outcome, load };
             }
             match (rng.u8(0..100), picked) {
                 (0..=29, _) if step < 2500 => {
                     id += 1;
                     let left = if rng.u8(0..4) > 0 { 10.0 } else { rng.f64() * 10.0 + 0.1 }; // first and later tries
                     let class = rng.usize(..4);
-                    Event::Request(Request { deadline: now + left, ..request(id, class, now) })
+                    Event::RequestReceived(Request { deadline: now + left, ..request(id, class, now) })
                 }
-                (30..=44, Some((id, attempt))) => Event::Started { request: RequestId(id), attempt },
+                (30..=44, Some((id, attempt))) => Event::AttemptStarted { request: RequestId(id), attempt },
                 (45..=49, Some((id, attempt))) => {
                     // Jobs take 0.3 s or more, as hinted.
                     let share =
                         ((now - c.known[&id].attempts[attempt].start) / 0.3).clamp(0.0, 1.0) * rng.f64();
-                    Event::Progress { request: RequestId(id), attempt, share }
+                    Event::AttemptProgressed { request: RequestId(id), attempt, share }
                 }
                 (50..=79, Some((id, attempt))) => {
-                    const BAD: [Outcome; 5] = [
-                        Outcome::Error,
-                        Outcome::Full,
-                        Outcome::ConnectFailed,
-                        Outcome::Reset,
-                        Outcome::Timeout,
+                    const BAD: [AttemptOutcome; 5] = [
+                        AttemptOutcome::Failed,
+                        AttemptOutcome::RejectedByWorker,
+                        AttemptOutcome::ConnectFailed,
+                        AttemptOutcome::ConnectionReset,
+                        AttemptOutcome::TimedOut,
                     ];
-                    let mut outcome = BAD.get(rng.usize(..40)).copied().unwrap_or(Outcome::Ok);
-                    if outcome == Outcome::Ok && now < c.known[&id].attempts[attempt].start + 0.3 {
+                    let mut outcome = BAD.get(rng.usize(..40)).copied().unwrap_or(AttemptOutcome::Succeeded);
+                    if outcome == AttemptOutcome::Succeeded
+                        && now < c.known[&id].attempts[attempt].start + 0.3
+                    {
                         if rng.u8(0..8) > 0 {
-                            return Event::Timer(u64::MAX); // it runs on
+                            return Event::TimerExpired(u64::MAX); // it runs on
                         }
-                        outcome = Outcome::Error;
+                        outcome = AttemptOutcome::Failed;
                     }
-                    let closed = outcome == Outcome::Ok || c.known[&id].over;
+                    let closed = outcome == AttemptOutcome::Succeeded || c.known[&id].over;
                     let request = RequestId(id);
-                    Event::Ended(Ended { request, attempt, outcome, closed, load: Load::default() })
+                    Event::AttemptEnded(AttemptEnded {
+                        request,
+                        attempt,
+                        outcome,
+                        client_answered: closed,
+                        load: LoadReport::default(),
+                    })
                 }
                 (80, _) => {
                     let state = *rng.choice(&[WorkerState::Ready, WorkerState::Draining]).expect("a choice");
                     let since = if rng.bool() { now } else { 0.0 };
-                    let w = WorkerInfo { state, since, ..worker(rng.u64(0..8)) };
-                    Event::Workers { whole: false, cached: false, entries: vec![w] }
+                    let w = WorkerInfo { state, started_at_s: since, ..worker(rng.u64(0..8)) };
+                    Event::WorkersListed { whole: false, cached: false, entries: vec![w] }
                 }
-                (85, _) if s.ask_for_list => Event::ListFailed,
-                (86, _) => Event::Probed {
+                (85, _) if s.discovery_polled => Event::DiscoveryFailed,
+                (86, _) => Event::ProbeEnded {
                     worker: WorkerId(rng.u64(0..8)), // whether or not it was probed
-                    outcome: Outcome::Timeout,
-                    load: Load::default(),
+                    outcome: AttemptOutcome::TimedOut,
+                    load: LoadReport::default(),
                 },
-                _ => Event::Timer(u64::MAX), // time passes
+                _ => Event::TimerExpired(u64::MAX), // time passes
             }
         });
         match &event {
-            Event::Workers { entries, .. } => {
+            Event::WorkersListed { entries, .. } => {
                 for w in entries {
                     let told =
                         c.list.get(&w.id.0).filter(|old| old.0.state == w.state).map_or(now, |old| old.1);
                     c.list.insert(w.id.0, (w.clone(), told));
                 }
             }
-            Event::Request(r) => {
+            Event::RequestReceived(r) => {
                 let k = Known { class: r.class, deadline: r.deadline, over: false, attempts: Vec::new() };
                 c.known.insert(r.id.0, k);
             }
-            Event::Started { request, attempt } => {
+            Event::AttemptStarted { request, attempt } => {
                 let a = &mut c.known.get_mut(&request.0).expect("known").attempts[*attempt];
                 a.start = a.start.min(now);
             }
-            Event::Ended(e) => {
+            Event::AttemptEnded(e) => {
                 let k = c.known.get_mut(&e.request.0).expect("known");
                 k.attempts[e.attempt].out = false;
-                k.attempts[e.attempt].may_have_run =
-                    !matches!(e.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-                k.over |= e.closed;
+                k.attempts[e.attempt].may_have_run = !matches!(
+                    e.outcome,
+                    AttemptOutcome::RejectedByWorker
+                        | AttemptOutcome::ConnectFailed
+                        | AttemptOutcome::NotSent
+                );
+                k.over |= e.client_answered;
             }
             _ => {}
         }
@@ -263,8 +287,8 @@
             }
             let (at, tag) = c.timers.remove(0);
             // Timers come in the first batch at or after their time.
-            let at = ((at / s.tick_s).ceil() * s.tick_s).max(last);
-            d.handle(at, Event::Timer(tag), &mut actions);
+            let at = ((at / s.event_interval_s).ceil() * s.event_interval_s).max(last);
+            d.handle(at, Event::TimerExpired(tag), &mut actions);
             actions.iter().for_each(|a| c.check(at, a));
             all.append(&mut actions);
             (now, last) = (now.max(at), at);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,8 +6,14 @@
 use common::*;
 
 fn many() -> Settings {
-    let report = vec![ReportField::FreeSlots];
-    Settings { dispatchers: 300, index: 17, second_copies: true, report, ..settings() }
+    let report = vec![LoadReportField::FreeSlots];
+    Settings {
+        scheduler_count: 300,
+        scheduler_index: 17,
+        hedging_allowed: true,
+        load_report_fields: report,
+        ..settings()
+    }
 }
 
 fn fleet(n: u64) -> Vec<WorkerInfo> {
@@ -22,8 +28,8 @@
     actions.iter().filter_map(probe).collect()
 }
 
-fn free(slots: f64) -> Load {
-    Load { free_slots: Some(slots), ..Load::default() }
+fn free(slots: f64) -> LoadReport {
+    LoadReport { free_slots: Some(slots), ..LoadReport::default() }
 }
 
 #[test]
@@ -31,14 +37,14 @@
     // Batch at full size: of the jobs sent where the report said 0 free, a tenth started at once.
     let mut b = Bench::new(many(), fleet(200));
     b.answer = Some(free(2.0));
-    let first = asked(&b.send(Event::Request(request(1, 0, 100.0))));
+    let first = asked(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
     assert_eq!(first.len(), 2);
     let sent = routes(&b.run(0.1));
     assert!(sent.len() == 1 && first.contains(&sent[0].1), "{sent:?}");
 
     let mut b = Bench::new(many(), fleet(200));
     b.answer = Some(free(0.0));
-    b.send(Event::Request(request(1, 0, 100.0)));
+    b.send(Event::RequestReceived(request(1, 0, 100.0)));
     let actions = b.run(0.3);
     assert!(routes(&actions).is_empty() && asked(&actions).len() >= 4, "it asks others instead");
     assert!(asked(&actions).len() <= 20, "but ever more slowly");
@@ -50,8 +56,8 @@
     let first = |seed| {
         let mut d = chutesaddle::Dispatcher::new(many(), seed);
         let mut out = Vec::new();
-        d.handle(1.0, Event::Workers { whole: true, cached: true, entries: fleet(200) }, &mut out);
-        d.handle(1.0, Event::Request(request(1, 0, 1.0)), &mut out);
+        d.handle(1.0, Event::WorkersListed { whole: true, cached: true, entries: fleet(200) }, &mut out);
+        d.handle(1.0, Event::RequestReceived(request(1, 0, 1.0)), &mut out);
         asked(&out)
     };
     let all: std::collections::BTreeSet<u64> = (0..100).flat_map(first).collect();
@@ -64,7 +70,7 @@
     let zone = |n: u64| WorkerInfo { zone: (n % 2) as u16, ..worker(n) };
     let mut b = Bench::new(many(), (1..=100).map(zone).collect());
     b.answer = Some(free(0.0));
-    let own = asked(&b.send(Event::Request(request(1, 0, 100.0))));
+    let own = asked(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
     assert!(own.iter().all(|w| w % 2 == 0), "its own zone first: {own:?}");
     assert!(asked(&b.run(0.3)).iter().any(|w| w % 2 == 1));
 }
@@ -73,11 +79,11 @@
 fn a_short_reported_queue_is_taken_on_the_second_question() {
     // North's overload day: all hunted for the few workers whose stale reports said free.
     let mut s = many();
-    s.report.push(ReportField::Queue);
-    s.classes[0].aim_s = 3.0;
+    s.load_report_fields.push(LoadReportField::Queue);
+    s.classes[0].latency_objective_s = 3.0;
     let mut b = Bench::new(s, fleet(100));
-    b.answer = Some(Load { free_slots: Some(0.0), queue: Some(1.0), ..Load::default() });
-    b.send(Event::Request(request(1, 0, 100.0)));
+    b.answer = Some(LoadReport { free_slots: Some(0.0), queue_length: Some(1.0), ..LoadReport::default() });
+    b.send(Event::RequestReceived(request(1, 0, 100.0)));
     assert_eq!(routes(&b.run(0.3)).len(), 1);
 }
 
@@ -86,7 +92,7 @@
     // North at full size: copies of crowded jobs made 2.4 attempts a request and the crowd itself.
     let mut b = Bench::new(many(), fleet(100));
     b.answer = Some(free(2.0));
-    b.send(Event::Request(request(1, 0, 100.0)));
+    b.send(Event::RequestReceived(request(1, 0, 100.0)));
     assert_eq!(routes(&b.run(0.1)).len(), 1);
     assert!(routes(&b.run(5.0)).is_empty());
 }
@@ -95,17 +101,17 @@
 fn without_reports_a_safe_job_that_does_not_start_moves_on() {
     // Till at full size: half of the jobs sent to workers that had answered had to wait there.
     let mut s = many();
-    (s.report, s.second_copies) = (Vec::new(), false);
+    (s.load_report_fields, s.hedging_allowed) = (Vec::new(), false);
     let mut b = Bench::new(s, fleet(100));
-    b.answer = Some(Load::default());
+    b.answer = Some(LoadReport::default());
     for (id, class) in [(1, 0), (2, 1)] {
-        b.send(Event::Request(request(id, class, b.now)));
+        b.send(Event::RequestReceived(request(id, class, b.now)));
         assert_eq!(routes(&b.run(0.02)).len(), 1);
     }
     let cancel = |id| Action::Cancel { request: RequestId(id), attempt: 0 };
     let actions = b.run(0.15);
     assert!(actions.contains(&cancel(1)) && !actions.contains(&cancel(2)), "{actions:?}");
-    let mut actions = b.end(1, 0, Outcome::Cancelled);
+    let mut actions = b.end(1, 0, AttemptOutcome::Cancelled);
     actions.extend(b.run(0.1));
     assert_eq!(routes(&actions).len(), 1);
 }
@@ -114,8 +120,11 @@
 fn without_reports_it_asks_only_where_workers_are_few() {
     // Incidents ib76876 and i6d3732: with two workers or more for each, own traffic tells more.
     for (dispatchers, asks) in [(12, false), (60, true)] {
-        let mut b = Bench::new(Settings { dispatchers, report: Vec::new(), ..many() }, fleet(59));
-        let first = b.send(Event::Request(request(1, 0, b.now)));
+        let mut b = Bench::new(
+            Settings { scheduler_count: dispatchers, load_report_fields: Vec::new(), ..many() },
+            fleet(59),
+        );
+        let first = b.send(Event::RequestReceived(request(1, 0, b.now)));
         assert_eq!(!asked(&first).is_empty(), asks, "{dispatchers} dispatchers");
     }
 }
@@ -124,15 +133,15 @@
 fn full_load_refuses_the_lower_priority_at_once() {
     // Overload days: nobody sees full load in its own queue of one or two jobs.
     let mut s = many();
-    s.classes[3].worth = 8.0;
+    s.classes[3].priority_weight = 8.0;
     let mut b = Bench::new(s, fleet(100));
     b.answer = Some(free(0.0));
     for id in 0..20 {
-        b.send(Event::Request(request(id, if id % 2 == 0 { 0 } else { 3 }, b.now)));
+        b.send(Event::RequestReceived(request(id, if id % 2 == 0 { 0 } else { 3 }, b.now)));
         b.run(0.2);
     }
-    assert!(refused(&b.send(Event::Request(request(50, 0, b.now))), 50));
-    assert!(!refused(&b.send(Event::Request(request(51, 3, b.now))), 51));
+    assert!(refused(&b.send(Event::RequestReceived(request(50, 0, b.now))), 50));
+    assert!(!refused(&b.send(Event::RequestReceived(request(51, 3, b.now))), 51));
 }
 
 #[test]
@@ -145,10 +154,10 @@
     ];
     let mut b = Bench::new(s, fleet(1));
     b.answer = Some(free(1.0));
-    b.send(Event::Request(Request { tenant: 1, ..request(1, 0, b.now) }));
-    b.send(Event::Request(request(2, 0, b.now)));
-    b.send(Event::Left(RequestId(2)));
-    b.send(Event::Request(request(3, 0, b.now)));
+    b.send(Event::RequestReceived(Request { tenant: 1, ..request(1, 0, b.now) }));
+    b.send(Event::RequestReceived(request(2, 0, b.now)));
+    b.send(Event::ClientDisconnected(RequestId(2)));
+    b.send(Event::RequestReceived(request(3, 0, b.now)));
     let sent: Vec<u32> = routes(&b.run(0.1)).iter().map(|r| r.0).collect();
     assert_eq!(sent, [3, 1], "still before the smaller tenant's");
 }
@@ -157,12 +166,12 @@
 fn unsafe_work_waits_until_a_trial_has_shown_a_worker_sound() {
     let mut b = Bench::new(many(), fleet(1));
     b.answer = Some(free(2.0));
-    b.send(Event::Request(request(1, 0, b.now)));
+    b.send(Event::RequestReceived(request(1, 0, b.now)));
     assert_eq!(routes(&b.run(0.1)).len(), 1);
-    b.end(1, 0, Outcome::ConnectFailed);
-    b.send(Event::Left(RequestId(1)));
+    b.end(1, 0, AttemptOutcome::ConnectFailed);
+    b.send(Event::ClientDisconnected(RequestId(1)));
     let next = |b: &mut Bench, id, class| {
-        b.send(Event::Request(request(id, class, b.now)));
+        b.send(Event::RequestReceived(request(id, class, b.now)));
         routes(&b.run(0.2)).len()
     };
     b.run(300.0); // probed and answered by now
@@ -173,11 +182,14 @@
 #[test]
 fn list_calls_after_an_outage_are_spread_by_number() {
     let wait = |index| {
-        let mut d = chutesaddle::Dispatcher::new(Settings { index, ask_for_list: true, ..many() }, 7);
+        let mut d = chutesaddle::Dispatcher::new(
+            Settings { scheduler_index: index, discovery_polled: true, ..many() },
+            7,
+        );
         let mut out = Vec::new();
-        d.handle(1.0, Event::ListFailed, &mut out);
+        d.handle(1.0, Event::DiscoveryFailed, &mut out);
         match out.pop() {
-            Some(Action::Timer { after_s, .. }) => after_s,
+            Some(Action::SetTimer { after_s, .. }) => after_s,
             other => panic!("{other:?}"),
         }
     };
@@ -187,36 +199,46 @@
 #[test]
 fn odd_numbers_and_lists_are_survived() {
     for (index, dispatchers) in [(0, 0), (900, 300), (5, 1)] {
-        let mut b = Bench::new(Settings { index, dispatchers, ..many() }, Vec::new());
+        let mut b = Bench::new(
+            Settings { scheduler_index: index, scheduler_count: dispatchers, ..many() },
+            Vec::new(),
+        );
         b.answer = Some(free(1.0));
-        b.send(Event::Request(request(1, 0, b.now)));
+        b.send(Event::RequestReceived(request(1, 0, b.now)));
         let entries: Vec<_> = (0..5000).chain(0..5000).map(worker).collect();
-        b.send(Event::Workers { whole: false, cached: false, entries });
+        b.send(Event::WorkersListed { whole: false, cached: false, entries });
         assert_eq!(routes(&b.run(0.2)).len(), 1, "{index} of {dispatchers}");
     }
     let mut s = many();
     s.tenants = vec![Tenant { name: String::new(), quota_per_s: 0.0 }];
-    s.classes[0].kind = Some(9);
+    s.classes[0].required_kind = Some(9);
     let mut b = Bench::new(s, fleet(3));
     b.answer = Some(free(1.0));
-    b.send(Event::Request(request(1, 0, b.now)));
+    b.send(Event::RequestReceived(request(1, 0, b.now)));
     assert!(refused(&b.run(10.0), 1), "no worker of its kind");
 }
 
 /// 300 dispatchers that nothing tells of queues: no reports, no live weights, no questions.
 fn unseen() -> Settings {
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    Settings { report: Vec::new(), probes: false, zones, conn_idle_s: 5.0, overload_for_s: 1.5, ..many() }
+    Settings {
+        load_report_fields: Vec::new(),
+        capacity_probes_allowed: false,
+        zones,
+        connection_idle_timeout_s: 5.0,
+        overload_window_s: 1.5,
+        ..many()
+    }
 }
 
 /// Where each of 600 dispatchers sends a first job, one that has a turn at every cold worker by chance.
 fn firsts(s: &Settings, workers: &[WorkerInfo], load: impl Fn(&mut Bench)) -> Vec<u64> {
     let mut to = Vec::new();
     for index in 0..600usize {
-        let own = Settings { index: index % 300, ..s.clone() };
+        let own = Settings { scheduler_index: index % 300, ..s.clone() };
         let mut b = Bench::seeded(own, (index as u64).wrapping_mul(0x1234_5678_9ABC_DEF1), workers.to_vec());
         load(&mut b);
-        b.send(Event::Request(request(900, 0, b.now)));
+        b.send(Event::RequestReceived(request(900, 0, b.now)));
         to.extend(routes(&b.run(0.1)).iter().map(|r| r.1));
     }
     to
@@ -224,7 +246,7 @@
 
 #[test]
 fn unseen_workers_are_drawn_by_size_and_own_zone() {
-    // Standing test at a customer whose lists tell no load: all met at the fast kind, two in three in other zones.
+    // CapacitySummary test at a customer whose lists tell no load: all met at the fast kind, two in three in other zones.
     let size = |n: u64| if n.is_multiple_of(2) { 1.0 } else { 4.0 };
     let line = |n: u64| WorkerInfo { zone: (n / 20) as u16, weight: size(n), ..worker(n) };
     let to = firsts(&unseen(), &(0..60).map(line).collect::<Vec<_>>(), |_| {});
@@ -246,10 +268,10 @@
     // The same days: nearly each job opened a connection of its own, as each went to another worker.
     let again = firsts(&unseen(), &(0..60).map(worker).collect::<Vec<_>>(), |b| {
         for id in 1..=4 {
-            b.send(Event::Request(request(id, 0, b.now)));
+            b.send(Event::RequestReceived(request(id, 0, b.now)));
             let sent = routes(&b.run(0.2));
-            b.send(Event::Started { request: RequestId(id), attempt: 0 });
-            b.end(id, 0, Outcome::Ok);
+            b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
+            b.end(id, 0, AttemptOutcome::Succeeded);
             assert_eq!(sent.len(), 1);
         }
     });
@@ -260,12 +282,12 @@
     let mut seen: Vec<u64> = Vec::new();
     let mut reused = 0;
     for id in 1..=200 {
-        b.send(Event::Request(request(id, 0, b.now)));
+        b.send(Event::RequestReceived(request(id, 0, b.now)));
         let to = routes(&b.run(0.1))[0].1;
         reused += usize::from(seen.iter().rev().take(20).any(|n| *n == to));
         seen.push(to);
-        b.send(Event::Started { request: RequestId(id), attempt: 0 });
-        b.end(id, 0, Outcome::Ok);
+        b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
+        b.end(id, 0, AttemptOutcome::Succeeded);
     }
     assert!(reused >= 100, "{reused} of 200 on a kept connection");
 }
@@ -273,16 +295,16 @@
 #[test]
 fn cold_workers_get_jobs_while_warm_ones_have_queues() {
     // Join day: 70 warm boxes held 750 jobs that waited, 107 new ones 24 jobs in all.
-    let cold = |n: u64| WorkerInfo { since: if n < 30 { 90.0 } else { 0.0 }, ..worker(n) };
+    let cold = |n: u64| WorkerInfo { started_at_s: if n < 30 { 90.0 } else { 0.0 }, ..worker(n) };
     let workers: Vec<_> = (0..60).map(cold).collect();
     let waited = |long: f64| {
         move |b: &mut Bench| {
             for id in 1..=6 {
-                b.send(Event::Request(request(id, 0, b.now)));
+                b.send(Event::RequestReceived(request(id, 0, b.now)));
                 b.run(0.05 + long);
-                b.send(Event::Started { request: RequestId(id), attempt: 0 });
+                b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
                 b.run(0.2);
-                b.end(id, 0, Outcome::Ok);
+                b.end(id, 0, AttemptOutcome::Succeeded);
             }
         }
     };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -11,25 +11,33 @@
         specifics.report_x0=free_slots\nspecifics.report_x1=free_memory\nmembership_mode=on_request\n\
         allowed.retry_after=true\nallowed.max_retry_after_s=2.0\nkinds=a,b\nsome.new.key=what,ever";
     let s: Settings = text.parse().unwrap();
-    assert_eq!((s.dispatchers, s.index, s.zone, s.ask_for_list), (3, 2, 1, true));
+    assert_eq!((s.scheduler_count, s.scheduler_index, s.zone, s.discovery_polled), (3, 2, 1, true));
     assert_eq!(
-        (s.classes[0].effect, s.classes[0].stretch, s.classes[0].kind),
-        (Effect::Repeatable, 2.5, None)
+        (s.classes[0].idempotency, s.classes[0].objective_per_work, s.classes[0].required_kind),
+        (Idempotency::Idempotent, 2.5, None)
     );
-    assert_eq!((s.classes[1].effect, s.classes[1].group), (Effect::Keyed, Group::Cell));
-    assert_eq!((s.classes[1].window_s, s.classes[1].kind), (30.0, Some(1)));
+    assert_eq!(
+        (s.classes[1].idempotency, s.classes[1].deduplication_scope),
+        (Idempotency::WithKey, DeduplicationScope::Cell)
+    );
+    assert_eq!((s.classes[1].deduplication_window_s, s.classes[1].required_kind), (30.0, Some(1)));
     assert_eq!(s.tenants, [Tenant { name: String::new(), quota_per_s: 4.5 }]);
     assert_eq!(
-        s.report,
-        [ReportField::Queue, ReportField::Other, ReportField::FreeSlots, ReportField::FreeMemory]
+        s.load_report_fields,
+        [
+            LoadReportField::Queue,
+            LoadReportField::Other,
+            LoadReportField::FreeSlots,
+            LoadReportField::FreeMemory
+        ]
     );
-    assert_eq!(s.max_hold_off_s, 2.0);
+    assert_eq!(s.max_retry_after_s, 2.0);
 }
 
 #[test]
 fn missing_keys_get_the_safe_defaults() {
     let s: Settings = "grades.count=1".parse().unwrap();
-    assert_eq!(s.classes[0].effect, Effect::Once);
+    assert_eq!(s.classes[0].idempotency, Idempotency::NonIdempotent);
     assert_eq!(Settings { classes: Vec::new(), ..s }, Settings::default());
 }
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn reads_learned_state_written_by_84881d9() {
-    let Frame::Learnt(learned, names) = read_frame("handover-learned-state-84881d9.bin") else {
+    let Frame::LearnedState(learned, names) = read_frame("handover-learned-state-84881d9.bin") else {
         panic!("not the learned state")
     };
     let listed: Vec<u64> = learned.workers().map(|worker| worker.0).collect();
