--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -23,7 +23,7 @@
 fn check(file: &Path) -> Result<String, String> {
     if file.extension().is_some_and(|end| end == "json") {
         let config = Config::load(file).map_err(|error| format!("{}: {error}", file.display()))?;
-        let (classes, members) = (config.settings.classes.len(), config.known.members.len());
+        let (classes, members) = (config.settings.classes.len(), config.known_endpoints.entries.len());
         return Ok(format!("scheduler {:?}, {classes} classes, {members} members known", config.name));
     }
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 
 use chutesaddle::config::{Config, ConfigError};
-use chutesaddle::server::descriptor_budget::Shares;
-use chutesaddle::server::discovery::watch::Watch;
-use chutesaddle::server::discovery::watch_supervisor::Vigil;
+use chutesaddle::server::descriptor_budget::DescriptorBudgets;
+use chutesaddle::server::discovery::watch::DiscoveryWatch;
+use chutesaddle::server::discovery::watch_supervisor::WatchSupervisor;
 use chutesaddle::server::engine::Engine;
-use chutesaddle::server::frontend::Front;
+use chutesaddle::server::frontend::Frontend;
 use chutesaddle::server::lifecycle::handover::{self, Handover};
-use chutesaddle::server::lifecycle::operator_interface::Door;
-use chutesaddle::server::lifecycle::peer_processes::Peers;
+use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
+use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
 use chutesaddle::server::lifecycle::reload::{operator, Reload};
 use chutesaddle::server::lifecycle::{Lifecycle, Phase};
 use chutesaddle::server::metrics::Counters;
-use chutesaddle::server::peers::gossip_transport::{self, Datagrams};
-use chutesaddle::server::peers::site_links::{new_instance, Sites};
-use chutesaddle::server::workers::endpoint::Dialer;
+use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
+use chutesaddle::server::peers::site_links::{new_instance, SiteLinks};
+use chutesaddle::server::workers::endpoint::WorkerConnector;
 use chutesaddle_gateway::Gateway;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -76,7 +76,7 @@
     // Before anything answers: without a handler either signal ends the process on the spot.
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signal)?;
     let hangup = signal(SignalKind::hangup()).map_err(StartError::Signal)?;
-    let ops = config.ops.or(arguments.ops);
+    let ops = config.operator_listen.or(arguments.ops);
     let door = match ops {
         Some(address) => {
             let door = TcpListener::bind(address).await;
@@ -88,16 +88,18 @@
     if let Some(door) = door {
         let address = door.local_addr().ok().or(ops);
         tracing::info!("operators call at {}", address.map(|a| a.to_string()).unwrap_or_default());
-        spawn_local(Door::new(Rc::clone(&lifecycle), Rc::clone(&counters)).run(door));
+        spawn_local(OperatorInterface::new(Rc::clone(&lifecycle), Rc::clone(&counters)).run(door));
     }
     let place = handover::meeting_place();
     let listener = handover::listener(place.as_deref(), config.listen).await;
     let (listener, old) = listener.map_err(|error| StartError::Listen(config.listen, error))?;
 
     let settings = config.settings;
-    let (shares, peers) = (Rc::new(Shares::new(config.sockets)), Peers::default());
+    let (shares, peers) =
+        (Rc::new(DescriptorBudgets::new(config.descriptor_limit)), PeerProcesses::default());
     let (connect_timeout_s, conn_idle_s) = (settings.connect_timeout_s, settings.connection_idle_timeout_s);
-    let dialer = Rc::new(Dialer::new(shares.members(), connect_timeout_s, conn_idle_s, Rc::clone(&counters)));
+    let dialer =
+        Rc::new(WorkerConnector::new(shares.members(), connect_timeout_s, conn_idle_s, Rc::clone(&counters)));
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&dialer), Rc::clone(&counters), peers.clone());
     let (outbox, notes) = gossip_transport::outbox();
@@ -106,19 +108,19 @@
         Some(said) => {
             let (instance, origin) = (new_instance(), Instant::now());
             let decisions = Gateway::new(said.file.decisions.clone(), instance);
-            let sites = Sites::new(said, instance, origin, queue.clone(), Rc::clone(&lifecycle));
+            let sites = SiteLinks::new(said, instance, origin, queue.clone(), Rc::clone(&lifecycle));
             (engine.with_gateway(decisions, origin), Some(sites))
         }
         None => (engine, None),
     };
-    let watch = Watch::new(
+    let watch = DiscoveryWatch::new(
         config.discovery,
-        config.known.version,
+        config.known_endpoints.version,
         queue.clone(),
         Rc::clone(&counters),
-        Vigil::new(&settings, config.seed, Duration::ZERO),
+        WatchSupervisor::new(&settings, config.seed, Duration::ZERO),
     );
-    let front = Rc::new(Front::new(
+    let front = Rc::new(Frontend::new(
         settings.clone(),
         queue.clone(),
         Rc::clone(&counters),
@@ -126,8 +128,8 @@
         shares.clients(),
     ));
     let (discovery, addresses) = watch::channel(config.discovery);
-    let (between, ways) = watch::channel(config.notes);
-    let notes = Datagrams::new(notes, queue.clone(), Rc::clone(&counters), lifecycle.watch(), ways);
+    let (between, ways) = watch::channel(config.gossip);
+    let notes = GossipTransport::new(notes, queue.clone(), Rc::clone(&counters), lifecycle.watch(), ways);
     let reload = Reload {
         notes: between,
         path,
@@ -135,7 +137,7 @@
         sites: sites.clone(),
         name: config.name.clone(),
         listen: config.listen,
-        ops: config.ops,
+        ops: config.operator_listen,
         settings,
         discovery,
         front: Rc::clone(&front),
@@ -153,14 +155,14 @@
         shares,
         counters: Rc::clone(&counters),
     };
-    let mut engine = spawn_local(engine.run(config.known));
+    let mut engine = spawn_local(engine.run(config.known_endpoints));
     spawn_local(watch.run(addresses));
     spawn_local(notes.run());
     spawn_local(reload.run(hangup));
     spawn_local(Rc::clone(&front).clear());
     let address = handover.listener.local_addr().unwrap_or(config.listen);
     spawn_local(Rc::new(handover).run(old));
-    sites.iter().for_each(Sites::start);
+    sites.iter().for_each(SiteLinks::start);
     let mut phase = lifecycle.watch();
     let started = async {
         let _ = phase.wait_for(|phase| *phase != Phase::Starting).await;
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use simd_json::tape::Value;
 
-use crate::config::endpoint_list::PoolUpdate;
+use crate::config::endpoint_list::EndpointListUpdate;
 use crate::scheduling::interface::Settings;
 
 pub mod endpoint_list;
@@ -40,24 +40,24 @@
     /// Where clients and call-backs connect.
     pub listen: SocketAddr,
     /// Where operators connect; without it there is no door for them.
-    pub ops: Option<SocketAddr>,
+    pub operator_listen: Option<SocketAddr>,
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// For random numbers; new with each start.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// The ways between the schedulers, where the platform has any.
-    pub notes: Option<NoteAddresses>,
+    pub gossip: Option<GossipAddresses>,
     /// The deployment's settings.
     pub settings: Settings,
     /// The pool as this scheduler last had it; may be out of date.
-    pub known: PoolUpdate,
+    pub known_endpoints: EndpointListUpdate,
 }
 
 /// Where datagrams between the schedulers go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NoteAddresses {
+pub struct GossipAddresses {
     /// Where they arrive.
     pub listen: SocketAddr,
     /// From where each scheduler's come, by its number.
@@ -66,7 +66,7 @@
     pub all: SocketAddr,
 }
 
-impl NoteAddresses {
+impl GossipAddresses {
     /// `None` where the configuration names no address to listen at.
     fn read(root: &Value) -> Result<Option<Self>, ConfigError> {
         let Some(listen) = root.get("peer_listen") else { return Ok(None) };
@@ -79,7 +79,7 @@
         let peers = peers.as_array().ok_or(ConfigError::Field("peers"))?;
         let peers = peers.iter().map(|peer| address(&peer, "peers")).collect::<Result<_, _>>()?;
         let (listen, all) = (address(&listen, "peer_listen")?, address(&all, "peers_all")?);
-        Ok(Some(NoteAddresses { listen, peers, all }))
+        Ok(Some(GossipAddresses { listen, peers, all }))
     }
 }
 
@@ -109,19 +109,19 @@
         let settings = root.get("settings").ok_or(ConfigError::Field("settings"))?;
         let mut settings = read_settings(&settings)?;
         // Where none are allowed, what it says of ways is nobody's business.
-        let notes = if settings.gossip_allowed { NoteAddresses::read(&root)? } else { None };
+        let notes = if settings.gossip_allowed { GossipAddresses::read(&root)? } else { None };
         settings.gossip_allowed = notes.is_some();
-        let known = root.get("known").map(|known| PoolUpdate::read(&known));
+        let known = root.get("known").map(|known| EndpointListUpdate::read(&known));
         Ok(Config {
             name: string("name")?.to_owned(),
             listen: address("listen")?,
-            ops: root.get("ops").map(|_| address("ops")).transpose()?,
+            operator_listen: root.get("ops").map(|_| address("ops")).transpose()?,
             discovery: address("discovery")?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Field("seed"))?,
-            sockets: root.get("limits").and_then(|l| l.get_usize("sockets")).unwrap_or(SOCKETS),
-            notes,
+            descriptor_limit: root.get("limits").and_then(|l| l.get_usize("sockets")).unwrap_or(SOCKETS),
+            gossip: notes,
             settings,
-            known: known.flatten().unwrap_or_default(),
+            known_endpoints: known.flatten().unwrap_or_default(),
         })
     }
 }
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -7,18 +7,18 @@
 
 /// What the pool says of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemberState {
+pub enum EndpointState {
     /// Takes work.
     Active,
     /// Finishes what it holds.
-    Leaving,
+    Draining,
     /// Is gone.
-    Left,
+    Removed,
 }
 
 /// A member as the pool lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberLine {
+pub struct EndpointEntry {
     /// Its name, the same at every scheduler and after a restart.
     pub name: String,
     /// Where this scheduler reaches it; absent where it has left.
@@ -30,7 +30,7 @@
     /// Its cell.
     pub cell: u16,
     /// Whether it takes work.
-    pub state: MemberState,
+    pub state: EndpointState,
     /// Unix time of its last start in seconds; 0 for long ago.
     pub started_s: f64,
     /// What the pool makes of its size; 0 where it does not say.
@@ -39,18 +39,18 @@
 
 /// One message of discovery: the whole pool or the members that changed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PoolUpdate {
+pub struct EndpointListUpdate {
     /// Its version.
     pub version: u64,
     /// What is not listed has left.
-    pub full: bool,
+    pub complete_snapshot: bool,
     /// The members.
-    pub members: Vec<MemberLine>,
+    pub entries: Vec<EndpointEntry>,
     /// Entries that could not be read. A full list with such entries proves nothing about absent ones.
-    pub unreadable: usize,
+    pub unreadable_entries: usize,
 }
 
-impl PoolUpdate {
+impl EndpointListUpdate {
     /// Reads a message; `None` if it is not one. Entries that make no sense are counted and passed over:
     /// one bad line must not hide the others.
     pub fn read(value: &Value) -> Option<Self> {
@@ -59,19 +59,24 @@
         let listed = value.get("servers")?.as_array()?;
         let members: Vec<_> = listed.iter().filter_map(|entry| member(&entry)).collect();
         let unreadable = listed.len() - members.len();
-        Some(PoolUpdate { version, full: value.get_bool("full").unwrap_or(false), members, unreadable })
+        Some(EndpointListUpdate {
+            version,
+            complete_snapshot: value.get_bool("full").unwrap_or(false),
+            entries: members,
+            unreadable_entries: unreadable,
+        })
     }
 }
 
-fn member(entry: &Value) -> Option<MemberLine> {
+fn member(entry: &Value) -> Option<EndpointEntry> {
     let state = match entry.get_str("state")? {
-        "active" => MemberState::Active,
-        "leaving" => MemberState::Leaving,
-        "left" => MemberState::Left,
+        "active" => EndpointState::Active,
+        "leaving" => EndpointState::Draining,
+        "left" => EndpointState::Removed,
         _ => return None,
     };
     let address = entry.get_str("addr").and_then(|address| address.parse().ok());
-    if address.is_none() && state != MemberState::Left {
+    if address.is_none() && state != EndpointState::Removed {
         return None;
     }
     let text = |key| entry.get_str(key).unwrap_or_default().to_owned();
@@ -79,7 +84,7 @@
     let started_ms = entry.get("started_ms").and_then(|ms| ms.cast_f64()).unwrap_or_default();
     let weight = entry.get("weight").and_then(|weight| weight.cast_f64()).unwrap_or_default();
     let name = entry.get_str("id")?.to_owned();
-    Some(MemberLine {
+    Some(EndpointEntry {
         name,
         address,
         zone: text("zone"),
--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -6,15 +6,15 @@
 
 /// Each way in which a server-side flow ends; no other type says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ConnectionEnd {
+pub enum AttemptEnd {
     /// A `done` call-back came.
-    Done,
+    Completed,
     /// A `failed` call-back came, or the member answered with an error before it took the job.
     Failed,
     /// A `returned` call-back came, or 503 or 504 marked as not run.
-    Returned,
+    RejectedByWorker,
     /// A `lost` call-back came: the member's agent saw the job die.
-    Lost,
+    LostByWorker,
     /// The connection was refused.
     ConnectRefused,
     /// The connection did not come up in time.
@@ -22,81 +22,81 @@
     /// No descriptor was left for a connection.
     NoDescriptor,
     /// The connection broke before the last byte was written.
-    BrokeSending,
+    ResetWhileSending,
     /// The connection broke, or ended, between the last byte and the answer.
-    BrokeWaiting,
+    ResetWhileWaiting,
     /// The same, before anything came, on a connection that had been kept: the member had most likely
     /// given it up before.
-    Stale,
+    StaleConnection,
     /// What came back is no HTTP.
-    Garbled,
+    MalformedResponse,
     /// The transaction's deadline passed.
     DeadlinePassed,
     /// Given up before the last byte was written.
-    WithdrawnUnsent,
+    CancelledUnsent,
     /// Given up after that.
-    Withdrawn,
+    Cancelled,
     /// The member stopped taking work while the connection came up.
-    MemberInactive,
+    WorkerInactive,
 }
 
-impl ConnectionEnd {
+impl AttemptEnd {
     /// All ends, in the order of the counters.
-    pub const ALL: [ConnectionEnd; 15] = [
-        ConnectionEnd::Done,
-        ConnectionEnd::Failed,
-        ConnectionEnd::Returned,
-        ConnectionEnd::Lost,
-        ConnectionEnd::ConnectRefused,
-        ConnectionEnd::ConnectTimedOut,
-        ConnectionEnd::NoDescriptor,
-        ConnectionEnd::BrokeSending,
-        ConnectionEnd::BrokeWaiting,
-        ConnectionEnd::Stale,
-        ConnectionEnd::Garbled,
-        ConnectionEnd::DeadlinePassed,
-        ConnectionEnd::WithdrawnUnsent,
-        ConnectionEnd::Withdrawn,
-        ConnectionEnd::MemberInactive,
+    pub const ALL: [AttemptEnd; 15] = [
+        AttemptEnd::Completed,
+        AttemptEnd::Failed,
+        AttemptEnd::RejectedByWorker,
+        AttemptEnd::LostByWorker,
+        AttemptEnd::ConnectRefused,
+        AttemptEnd::ConnectTimedOut,
+        AttemptEnd::NoDescriptor,
+        AttemptEnd::ResetWhileSending,
+        AttemptEnd::ResetWhileWaiting,
+        AttemptEnd::StaleConnection,
+        AttemptEnd::MalformedResponse,
+        AttemptEnd::DeadlinePassed,
+        AttemptEnd::CancelledUnsent,
+        AttemptEnd::Cancelled,
+        AttemptEnd::WorkerInactive,
     ];
 
     /// The one place where an end becomes an outcome. Only what certainly never left this machine whole
     /// may become an outcome that proves the job never ran.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
-            ConnectionEnd::Done => AttemptOutcome::Succeeded,
-            ConnectionEnd::Failed | ConnectionEnd::Garbled => AttemptOutcome::Failed,
-            ConnectionEnd::Returned => AttemptOutcome::RejectedByWorker,
-            ConnectionEnd::Lost | ConnectionEnd::BrokeWaiting => AttemptOutcome::ConnectionReset,
-            ConnectionEnd::Stale => AttemptOutcome::StaleConnection,
-            ConnectionEnd::ConnectRefused
-            | ConnectionEnd::ConnectTimedOut
-            | ConnectionEnd::NoDescriptor
-            | ConnectionEnd::BrokeSending => AttemptOutcome::ConnectFailed,
-            ConnectionEnd::DeadlinePassed => AttemptOutcome::TimedOut,
-            ConnectionEnd::Withdrawn => AttemptOutcome::Cancelled,
-            ConnectionEnd::WithdrawnUnsent | ConnectionEnd::MemberInactive => AttemptOutcome::NotSent,
+            AttemptEnd::Completed => AttemptOutcome::Succeeded,
+            AttemptEnd::Failed | AttemptEnd::MalformedResponse => AttemptOutcome::Failed,
+            AttemptEnd::RejectedByWorker => AttemptOutcome::RejectedByWorker,
+            AttemptEnd::LostByWorker | AttemptEnd::ResetWhileWaiting => AttemptOutcome::ConnectionReset,
+            AttemptEnd::StaleConnection => AttemptOutcome::StaleConnection,
+            AttemptEnd::ConnectRefused
+            | AttemptEnd::ConnectTimedOut
+            | AttemptEnd::NoDescriptor
+            | AttemptEnd::ResetWhileSending => AttemptOutcome::ConnectFailed,
+            AttemptEnd::DeadlinePassed => AttemptOutcome::TimedOut,
+            AttemptEnd::Cancelled => AttemptOutcome::Cancelled,
+            AttemptEnd::CancelledUnsent | AttemptEnd::WorkerInactive => AttemptOutcome::NotSent,
         }
     }
 
     /// Its name among the counters.
     pub fn name(self) -> &'static str {
         match self {
-            ConnectionEnd::Done => "done",
-            ConnectionEnd::Failed => "failed",
-            ConnectionEnd::Returned => "returned",
-            ConnectionEnd::Lost => "lost",
-            ConnectionEnd::ConnectRefused => "connect_refused",
-            ConnectionEnd::ConnectTimedOut => "connect_timed_out",
-            ConnectionEnd::NoDescriptor => "no_descriptor",
-            ConnectionEnd::BrokeSending => "broke_sending",
-            ConnectionEnd::BrokeWaiting => "broke_waiting",
-            ConnectionEnd::Stale => "stale",
-            ConnectionEnd::Garbled => "garbled",
-            ConnectionEnd::DeadlinePassed => "deadline_passed",
-            ConnectionEnd::WithdrawnUnsent => "withdrawn_unsent",
-            ConnectionEnd::Withdrawn => "withdrawn",
-            ConnectionEnd::MemberInactive => "member_inactive",
+            AttemptEnd::Completed => "done",
+            AttemptEnd::Failed => "failed",
+            AttemptEnd::RejectedByWorker => "returned",
+            AttemptEnd::LostByWorker => "lost",
+            AttemptEnd::ConnectRefused => "connect_refused",
+            AttemptEnd::ConnectTimedOut => "connect_timed_out",
+            AttemptEnd::NoDescriptor => "no_descriptor",
+            AttemptEnd::ResetWhileSending => "broke_sending",
+            AttemptEnd::ResetWhileWaiting => "broke_waiting",
+            AttemptEnd::StaleConnection => "stale",
+            AttemptEnd::MalformedResponse => "garbled",
+            AttemptEnd::DeadlinePassed => "deadline_passed",
+            AttemptEnd::CancelledUnsent => "withdrawn_unsent",
+            AttemptEnd::Cancelled => "withdrawn",
+            AttemptEnd::WorkerInactive => "member_inactive",
         }
     }
 }
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -8,29 +8,30 @@
 /// How the descriptors that the platform allows are shared out: six in ten are for clients and call-backs,
 /// three for members; the rest is for the operators' door, discovery, the listener, the link of an upgrade,
 /// the configuration, the runtime and the standard streams. The processes of an upgrade share them alike.
-pub struct Shares {
+pub struct DescriptorBudgets {
     sockets: Cell<usize>,
     processes: Cell<usize>,
-    clients: Rc<Budget>,
-    members: Rc<Budget>,
+    clients: Rc<DescriptorBudget>,
+    members: Rc<DescriptorBudget>,
 }
 
-impl Shares {
+impl DescriptorBudgets {
     /// Shares out `sockets` to one process.
     pub fn new(sockets: usize) -> Self {
-        let (clients, members) = (Budget::new(0), Budget::new(0));
-        let shares = Shares { sockets: Cell::new(sockets), processes: Cell::new(1), clients, members };
+        let (clients, members) = (DescriptorBudget::new(0), DescriptorBudget::new(0));
+        let shares =
+            DescriptorBudgets { sockets: Cell::new(sockets), processes: Cell::new(1), clients, members };
         shares.apply();
         shares
     }
 
     /// For connections of clients and call-backs.
-    pub fn clients(&self) -> Rc<Budget> {
+    pub fn clients(&self) -> Rc<DescriptorBudget> {
         Rc::clone(&self.clients)
     }
 
     /// For connections to members.
-    pub fn members(&self) -> Rc<Budget> {
+    pub fn members(&self) -> Rc<DescriptorBudget> {
         Rc::clone(&self.members)
     }
 
@@ -55,25 +56,25 @@
 
 /// A bound and what is in use of it.
 #[derive(Debug)]
-pub struct Budget {
+pub struct DescriptorBudget {
     most: Cell<usize>,
     used: Cell<usize>,
     freed: Notify,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// A budget of which nothing is in use.
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { most: Cell::new(most), used: Cell::new(0), freed: Notify::new() })
+        Rc::new(DescriptorBudget { most: Cell::new(most), used: Cell::new(0), freed: Notify::new() })
     }
 
     /// Takes one, if there is one.
-    pub fn take(this: &Rc<Self>) -> Option<Share> {
+    pub fn take(this: &Rc<Self>) -> Option<DescriptorPermit> {
         if this.used.get() >= this.most.get() {
             return None;
         }
         this.used.set(this.used.get() + 1);
-        Some(Share(Rc::clone(this)))
+        Some(DescriptorPermit(Rc::clone(this)))
     }
 
     /// Waits until one has been given back.
@@ -95,9 +96,9 @@
 
 /// One of a budget, given back when dropped.
 #[derive(Debug)]
-pub struct Share(Rc<Budget>);
+pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
-impl Drop for Share {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get() - 1);
         self.0.freed.notify_one();
--- a/src/server/discovery/poll_backoff.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -30,7 +30,7 @@
 
 /// The waits of one scheduler.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct PollBackoff {
     seed: u64,
     /// Schedulers in units of a few.
     share: f64,
@@ -38,11 +38,11 @@
     next: Duration,
 }
 
-impl Pace {
+impl PollBackoff {
     /// For one of so many schedulers.
     pub fn new(schedulers: usize, seed: u64) -> Self {
         let mut pace =
-            Pace { seed, share: (schedulers as f64 / FEW).max(1.0), drawn: 0, next: Duration::ZERO };
+            PollBackoff { seed, share: (schedulers as f64 / FEW).max(1.0), drawn: 0, next: Duration::ZERO };
         pace.heard();
         pace
     }
@@ -96,7 +96,7 @@
     fn calls(schedulers: usize, until: u128) -> Vec<u128> {
         let mut calls = Vec::new();
         for seed in 0..schedulers as u64 {
-            let mut pace = Pace::new(schedulers, seed);
+            let mut pace = PollBackoff::new(schedulers, seed);
             let mut at = pace.start();
             while at.as_millis() < until {
                 calls.push(at.as_millis());
@@ -120,7 +120,7 @@
     fn those_that_are_never_heard_ask_ever_more_slowly_up_to_a_bound() {
         let late = calls(100, 120_000).into_iter().filter(|at| *at >= 60_000).count();
         assert!(late <= 60 * 65, "{late} calls in a minute");
-        let mut pace = Pace::new(100_000, 7);
+        let mut pace = PollBackoff::new(100_000, 7);
         assert!((0..50).all(|_| pace.again() <= LONGEST));
         assert!(pace.start() <= LATEST_START, "a drain told meanwhile must be heard of in time");
     }
@@ -128,7 +128,7 @@
     #[test]
     fn few_ask_at_once_and_within_two_seconds_again() {
         for schedulers in 1..=4 {
-            let mut pace = Pace::new(schedulers, 3);
+            let mut pace = PollBackoff::new(schedulers, 3);
             assert_eq!(pace.start(), Duration::ZERO);
             assert!(pace.again() <= WAITS.0);
             assert!((0..50).all(|_| pace.again() <= WAITS.1));
--- a/src/server/discovery/stream_reader.rs
+++ b/src/server/discovery/stream_reader.rs
@@ -5,7 +5,7 @@
 
 /// What has come and is not yet a whole value.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct StreamReader {
     rest: BytesMut,
     /// A value began before what came last and has not ended with it.
     open: bool,
@@ -13,16 +13,16 @@
 
 /// What stands next in it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum StreamItem {
     /// A whole JSON value.
     Value(Vec<u8>),
     /// A line that is no JSON.
     Nonsense,
 }
 
-impl Reading {
+impl StreamReader {
     /// Takes up what has come and hands out what it completes.
-    pub fn take(&mut self, chunk: &[u8]) -> Vec<Piece> {
+    pub fn take(&mut self, chunk: &[u8]) -> Vec<StreamItem> {
         self.rest.extend_from_slice(chunk);
         let mut pieces = Vec::new();
         // A list in many chunks is not read anew with each: none ends without a bracket.
@@ -33,7 +33,7 @@
             let mut values = serde_json::Deserializer::from_slice(&self.rest).into_iter::<&RawValue>();
             let failed = loop {
                 match values.next() {
-                    Some(Ok(value)) => pieces.push(Piece::Value(value.get().as_bytes().to_vec())),
+                    Some(Ok(value)) => pieces.push(StreamItem::Value(value.get().as_bytes().to_vec())),
                     Some(Err(error)) if error.is_eof() => break None,
                     Some(Err(_)) => break Some(()),
                     None => break None,
@@ -48,7 +48,7 @@
             });
             let Some(line) = line else { break };
             let _ = self.rest.split_to(line);
-            pieces.push(Piece::Nonsense);
+            pieces.push(StreamItem::Nonsense);
         }
         self.open = !self.rest.trim_ascii().is_empty();
         if !self.open {
@@ -81,11 +81,11 @@
         "{\n  \"version\": 43,\n  \"servers\": [\n    {\"id\": \"a } \\\" ]\\n\"},\n\n    {}\n  ]\n}\n";
 
     fn values(chunks: impl Iterator<Item = Vec<u8>>) -> (Vec<String>, usize) {
-        let (mut reading, mut values, mut nonsense) = (Reading::default(), Vec::new(), 0);
+        let (mut reading, mut values, mut nonsense) = (StreamReader::default(), Vec::new(), 0);
         for piece in chunks.flat_map(|chunk| reading.take(&chunk)) {
             match piece {
-                Piece::Value(value) => values.push(String::from_utf8(value).unwrap()),
-                Piece::Nonsense => nonsense += 1,
+                StreamItem::Value(value) => values.push(String::from_utf8(value).unwrap()),
+                StreamItem::Nonsense => nonsense += 1,
             }
         }
         assert!(!reading.is_open());
@@ -123,7 +123,7 @@
     /// What is torn may swallow the next list; that it is still open tells so, and discovery is asked anew.
     #[test]
     fn a_list_that_does_not_end_is_seen_to_be_open() {
-        let mut reading = Reading::default();
+        let mut reading = StreamReader::default();
         assert_eq!(reading.take(b"{\"servers\":[\n"), []);
         assert_eq!(reading.take(b"{\"version\":44}\n\n"), []);
         assert!(reading.is_open());
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -11,11 +11,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-use crate::config::endpoint_list::PoolUpdate;
+use crate::config::endpoint_list::EndpointListUpdate;
 use crate::server::discovery::deadlines::TOLD;
-use crate::server::discovery::stream_reader::{Piece, Reading};
-use crate::server::discovery::watch_supervisor::{CallId, Vigil};
-use crate::server::engine_queue::{Message, Queue};
+use crate::server::discovery::stream_reader::{StreamItem, StreamReader};
+use crate::server::discovery::watch_supervisor::{CallId, WatchSupervisor};
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::http::{Connection, HttpError};
 use crate::server::metrics::Counters;
 
@@ -50,16 +50,16 @@
 }
 
 /// What one call has brought: a chunk, or its end.
-type Said = (CallId, Result<Bytes, WatchError>);
+type CallReport = (CallId, Result<Bytes, WatchError>);
 
 /// A watch of discovery, and the calls beside it while it is doubted.
-pub struct Watch {
+pub struct DiscoveryWatch {
     address: SocketAddr,
     /// The version that is known.
     version: u64,
-    queue: Queue,
+    queue: EngineQueue,
     counters: Rc<Counters>,
-    vigil: Vigil,
+    vigil: WatchSupervisor,
     /// Since when discovery tells of less than is known.
     behind: Option<Instant>,
     calls: HashMap<CallId, Call>,
@@ -71,26 +71,26 @@
 struct Call {
     /// Ends with the call.
     _task: JoinSet<()>,
-    reading: Reading,
+    reading: StreamReader,
 }
 
-impl Watch {
+impl DiscoveryWatch {
     /// Of discovery at this address, from this version on. The vigil counts from now.
     pub fn new(
         address: SocketAddr,
         version: u64,
-        queue: Queue,
+        queue: EngineQueue,
         counters: Rc<Counters>,
-        vigil: Vigil,
+        vigil: WatchSupervisor,
     ) -> Self {
         let (calls, origin) = (HashMap::new(), Instant::now());
-        Watch { address, version, queue, counters, vigil, behind: None, calls, lost: false, origin }
+        DiscoveryWatch { address, version, queue, counters, vigil, behind: None, calls, lost: false, origin }
     }
 
     /// Follows discovery for good, at the address that counts at the time. While it is silent, the pool
     /// stays as it was last told.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
-        let (says, mut said) = mpsc::channel::<Said>(WAITING);
+        let (says, mut said) = mpsc::channel::<CallReport>(WAITING);
         self.address = *addresses.borrow_and_update();
         loop {
             let ask_at = self.origin + self.vigil.ask_at();
@@ -122,7 +122,7 @@
         self.vigil.anew(self.now());
     }
 
-    fn ask(&mut self, says: &mpsc::Sender<Said>) {
+    fn ask(&mut self, says: &mpsc::Sender<CallReport>) {
         if self.is_set_back() {
             (self.version, self.behind) = (0, None);
         }
@@ -141,7 +141,7 @@
             let Err(error) = follow(address, since, id, &says).await;
             let _ = says.send((id, Err(error))).await; // only a scheduler that ends does not listen
         });
-        self.calls.insert(id, Call { _task: task, reading: Reading::default() });
+        self.calls.insert(id, Call { _task: task, reading: StreamReader::default() });
     }
 
     fn take(&mut self, id: CallId, said: Result<Bytes, WatchError>) {
@@ -157,8 +157,8 @@
                 }
                 for piece in pieces {
                     match piece {
-                        Piece::Value(mut value) => self.list(&mut value),
-                        Piece::Nonsense => self.malformed("a line that is no list"),
+                        StreamItem::Value(mut value) => self.list(&mut value),
+                        StreamItem::Nonsense => self.malformed("a line that is no list"),
                     }
                 }
                 if self.is_set_back() {
@@ -186,17 +186,17 @@
     fn list(&mut self, line: &mut [u8]) {
         tracing::trace!(line = %line.escape_ascii(), "pool told");
         let tape = simd_json::to_tape(line);
-        let Some(update) = tape.ok().and_then(|tape| PoolUpdate::read(&tape.as_value())) else {
+        let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::read(&tape.as_value())) else {
             return self.malformed("a line that is no list");
         };
-        if update.unreadable > 0 {
+        if update.unreadable_entries > 0 {
             self.malformed("a list with entries that make no sense");
         }
         // What is older than what is known would bring back members that leave or have left.
         if update.version >= self.version {
             (self.version, self.behind) = (update.version, None);
             self.counters.pool_updates.add();
-            self.queue.send(Message::Pool(update));
+            self.queue.send(EngineMessage::EndpointListChanged(update));
         } else if self.behind.is_none() {
             self.behind = Some(Instant::now());
             let (known, told) = (self.version, update.version);
@@ -221,7 +221,7 @@
     address: SocketAddr,
     since: u64,
     id: CallId,
-    says: &mpsc::Sender<Said>,
+    says: &mpsc::Sender<CallReport>,
 ) -> Result<Infallible, WatchError> {
     let mut connection = Connection::connect(address).await?;
     let target = format!("GET /v1/endpoints?follow=1&since={since} HTTP/1.1\r\n");
--- a/src/server/discovery/watch_supervisor.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -12,7 +12,7 @@
 
 use crate::scheduling::interface::Settings;
 use crate::server::discovery::deadlines::{BEAT, CALL, RELOADED, TOLD};
-use crate::server::discovery::poll_backoff::Pace;
+use crate::server::discovery::poll_backoff::PollBackoff;
 
 /// A line may be so late: delays of a network, and of a scheduler that is busy.
 const LATE: Duration = Duration::from_millis(400);
@@ -28,26 +28,34 @@
 
 /// The watch of one scheduler and the calls beside it.
 #[derive(Debug)]
-pub struct Vigil {
+pub struct WatchSupervisor {
     /// Lists are pushed to an agent on this machine: asking it costs nothing, and it answers at once.
     agent: bool,
     grace: Duration,
-    pace: Pace,
+    pace: PollBackoff,
     watch: Option<CallId>,
     calls: VecDeque<CallId>,
     made: CallId,
     ask_at: Duration,
 }
 
-impl Vigil {
+impl WatchSupervisor {
     /// Begins at `now`. All schedulers may have been started at once: where they share one discovery they come one
     /// after the other.
     pub fn new(settings: &Settings, seed: u64, now: Duration) -> Self {
-        let mut pace = Pace::new(settings.scheduler_count, seed);
+        let mut pace = PollBackoff::new(settings.scheduler_count, seed);
         let agent = !settings.discovery_polled;
         let wait = if agent { Duration::ZERO } else { pace.start() };
         let grace = Duration::try_from_secs_f64(settings.drain_grace_s).unwrap_or_default();
-        Vigil { agent, grace, pace, watch: None, calls: VecDeque::new(), made: 0, ask_at: now + wait }
+        WatchSupervisor {
+            agent,
+            grace,
+            pace,
+            watch: None,
+            calls: VecDeque::new(),
+            made: 0,
+            ask_at: now + wait,
+        }
     }
 
     /// When the next call is due, unless something is heard before.
@@ -150,7 +158,11 @@
 
     /// When a scheduler hears for the first time from `from` on, and how many calls it has made by then. A call made
     /// at `t` is answered after `answer(t)`, or never.
-    fn hears(vigil: &mut Vigil, from: Duration, answer: impl Fn(Duration) -> Duration) -> (Duration, usize) {
+    fn hears(
+        vigil: &mut WatchSupervisor,
+        from: Duration,
+        answer: impl Fn(Duration) -> Duration,
+    ) -> (Duration, usize) {
         let (mut out, mut calls): (Vec<(Duration, CallId)>, usize) = (Vec::new(), 0);
         loop {
             out.retain(|(_, id)| vigil.holds(*id));
@@ -172,10 +184,10 @@
     }
 
     /// Each fleet, with the last word of a watch at 10 s.
-    fn fleets(asked: bool) -> impl Iterator<Item = Vigil> {
+    fn fleets(asked: bool) -> impl Iterator<Item = WatchSupervisor> {
         [1, 4, 6, 40, 300].into_iter().flat_map(move |dispatchers| {
             (0..60).map(move |seed| {
-                let mut vigil = Vigil::new(&settings(asked, dispatchers), seed, Duration::ZERO);
+                let mut vigil = WatchSupervisor::new(&settings(asked, dispatchers), seed, Duration::ZERO);
                 let first = vigil.ask(Duration::ZERO);
                 vigil.spoke(ms(10_000), first);
                 vigil
@@ -199,7 +211,7 @@
     fn a_call_that_falls_silent_is_not_waited_for() {
         for dispatchers in [1, 4, 6] {
             for seed in 0..60 {
-                let mut vigil = Vigil::new(&settings(true, dispatchers), seed, Duration::ZERO);
+                let mut vigil = WatchSupervisor::new(&settings(true, dispatchers), seed, Duration::ZERO);
                 let first = vigil.ask(Duration::ZERO);
                 vigil.spoke(ms(10_000), first);
                 let silent_until = vigil.ask_at() + ms(1);
@@ -218,7 +230,7 @@
             let (at, _) = hears(&mut vigil, back, |at| if at < back { NEVER } else { Duration::ZERO });
             assert!(at <= back + GRACE - MARGIN, "heard at {at:?}");
         }
-        let mut vigil = Vigil::new(&settings(false, 300), 7, Duration::ZERO);
+        let mut vigil = WatchSupervisor::new(&settings(false, 300), 7, Duration::ZERO);
         let refused = std::iter::from_fn(|| {
             let now = vigil.ask_at();
             let id = vigil.ask(now);
@@ -254,7 +266,7 @@
 
     #[test]
     fn a_doubted_watch_that_speaks_first_stays_and_the_calls_go() {
-        let mut vigil = Vigil::new(&settings(true, 4), 3, Duration::ZERO);
+        let mut vigil = WatchSupervisor::new(&settings(true, 4), 3, Duration::ZERO);
         let watch = vigil.ask(Duration::ZERO);
         vigil.spoke(Duration::ZERO, watch);
         let calls: Vec<_> = (0..3).map(|_| vigil.ask(vigil.ask_at())).collect();
@@ -271,7 +283,7 @@
     fn no_call_is_made_beside_one_that_may_still_wait_for_its_turn() {
         for (dispatchers, served) in [(4, ms(1_000)), (6, ms(1_500)), (32, CALL), (300, CALL)] {
             for seed in 0..60 {
-                let mut vigil = Vigil::new(&settings(true, dispatchers), seed, Duration::ZERO);
+                let mut vigil = WatchSupervisor::new(&settings(true, dispatchers), seed, Duration::ZERO);
                 let asked = vigil.ask_at();
                 vigil.ask(asked);
                 assert!(
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -1,5 +1,5 @@
 //! Owner of the decision module: one task that numbers transactions, keeps the clock and the timers, and
-//! gives each transaction one [`Reply`]. Everything else reaches the module through its [`Queue`], whose
+//! gives each transaction one [`FinalAnswer`]. Everything else reaches the module through its [`EngineQueue`], whose
 //! messages know no protocol, so that another front can stand beside HTTP.
 
 mod migration;
@@ -20,23 +20,26 @@
 
 use site_forwarding::{Crossings, Travel};
 
-use crate::config::endpoint_list::PoolUpdate;
+use crate::config::endpoint_list::EndpointListUpdate;
 use crate::scheduling::dispatcher::Dispatcher;
 use crate::scheduling::interface::{
     Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId,
 };
 use crate::scheduling::state::NOTE;
-use crate::server::attempt_end::ConnectionEnd;
-use crate::server::engine_queue::{Message, Queue};
-use crate::server::lifecycle::handover_frames::Frame;
-use crate::server::lifecycle::peer_processes::Peers;
+use crate::server::attempt_end::AttemptEnd;
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
+use crate::server::lifecycle::handover_frames::HandoverFrame;
+use crate::server::lifecycle::peer_processes::PeerProcesses;
 use crate::server::load_report;
-use crate::server::messages::{CallBack, News, Order, Passed, Payload, PeerId, Reply, Side, Transaction};
+use crate::server::messages::{
+    AttemptCommand, CallbackEvent, CallbackRelay, ClientRequest, FinalAnswer, PeerProcessId, ProcessRole,
+    RequestPayload, WorkerCallback,
+};
 use crate::server::metrics::{Counters, Gauge, Gauged};
-use crate::server::peers::gossip_transport::Outbox;
-use crate::server::workers::attempt::Flow;
+use crate::server::peers::gossip_transport::GossipSender;
+use crate::server::workers::attempt::AttemptTask;
 use crate::server::workers::capacity_probe::probe;
-use crate::server::workers::endpoint::{Dialer, Member};
+use crate::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 
 /// Kept connections are looked over this often.
 const HOUSEKEEPING: Duration = Duration::from_secs(1);
@@ -74,11 +77,11 @@
     taken: Rc<Cell<bool>>,
     /// Given up, so that its end is on its way.
     withdrawn: bool,
-    order: Option<oneshot::Sender<Order>>,
+    order: Option<oneshot::Sender<AttemptCommand>>,
 }
 
 impl Attempt {
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: AttemptCommand) {
         // A flow that has ended by itself has no ear left, and needs none.
         let _ = self.order.take().map(|sender| sender.send(order));
     }
@@ -88,10 +91,10 @@
 struct Live {
     class: usize,
     hint: Option<f64>,
-    reply: Option<oneshot::Sender<Reply>>,
+    reply: Option<oneshot::Sender<FinalAnswer>>,
     /// Counts it as active until it is answered.
     active: Option<Gauged>,
-    payload: Rc<Payload>,
+    payload: Rc<RequestPayload>,
     deadline: Instant,
     attempts: Vec<Attempt>,
     /// Index into the settings' tenants.
@@ -117,11 +120,11 @@
     dispatcher: Dispatcher,
     settings: Settings,
     clock: Clock,
-    receiver: mpsc::UnboundedReceiver<Message>,
-    queue: Queue,
-    dialer: Rc<Dialer>,
+    receiver: mpsc::UnboundedReceiver<EngineMessage>,
+    queue: EngineQueue,
+    dialer: Rc<WorkerConnector>,
     counters: Rc<Counters>,
-    members: BTreeMap<WorkerId, Rc<Member>>,
+    members: BTreeMap<WorkerId, Rc<WorkerEndpoint>>,
     /// Members by name; a name keeps its number while the member is listed or an attempt there is known.
     numbers: HashMap<String, WorkerId>,
     numbered: u64,
@@ -129,7 +132,7 @@
     names: HashMap<Bytes, RequestId>,
     timers: BinaryHeap<Reverse<(Instant, u64, Due)>>,
     timers_set: u64,
-    peers: Peers,
+    peers: PeerProcesses,
     /// What members were sent lately: a process that joins must count it against the cold ones.
     sends: VecDeque<(Instant, String, usize, f64)>,
     /// Another process has taken over: transactions are moved there.
@@ -139,7 +142,7 @@
     /// The gateway to other sites, where there is one.
     crossings: Option<Box<Crossings>>,
     /// Where notes for other schedulers go.
-    notes: Option<Outbox>,
+    notes: Option<GossipSender>,
 }
 
 impl Engine {
@@ -147,13 +150,13 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        dialer: Rc<Dialer>,
+        dialer: Rc<WorkerConnector>,
         counters: Rc<Counters>,
-        peers: Peers,
-    ) -> (Self, Queue) {
+        peers: PeerProcesses,
+    ) -> (Self, EngineQueue) {
         counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
         let (sender, receiver) = mpsc::unbounded_channel();
-        let queue = Queue { sender, next: Rc::default() };
+        let queue = EngineQueue { sender, next: Rc::default() };
         let engine = Engine {
             dispatcher: Dispatcher::new(settings.clone(), seed),
             settings,
@@ -186,13 +189,13 @@
     }
 
     /// The same with a way to the other schedulers of the deployment.
-    pub fn with_notes(mut self, notes: Outbox) -> Self {
+    pub fn with_notes(mut self, notes: GossipSender) -> Self {
         self.notes = Some(notes);
         self
     }
 
     /// Takes up `known` as the pool that is remembered, then runs for good.
-    pub async fn run(mut self, known: PoolUpdate) {
+    pub async fn run(mut self, known: EndpointListUpdate) {
         self.pool(known, true);
         let mut housekeeping = Instant::now() + HOUSEKEEPING;
         loop {
@@ -238,21 +241,23 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn take(&mut self, message: EngineMessage) {
         match message {
-            Message::Transaction(id, transaction, reply) => self.transaction(id, *transaction, reply),
-            Message::Left(id) => self.left(id),
-            Message::CallBack(call_back, passed) => self.call_back(call_back, passed),
-            Message::Moved(id, moved, reply) => self.take_over(id, *moved, reply),
-            Message::Succeeded(moves) => {
+            EngineMessage::RequestSubmitted(id, transaction, reply) => {
+                self.transaction(id, *transaction, reply)
+            }
+            EngineMessage::ClientDisconnected(id) => self.left(id),
+            EngineMessage::Callback(call_back, passed) => self.call_back(call_back, passed),
+            EngineMessage::RequestMigrated(id, moved, reply) => self.take_over(id, *moved, reply),
+            EngineMessage::SuccessorChanged(moves) => {
                 self.moves = moves;
                 if !moves {
                     self.moved.clear(); // what was there has gone with that process
                 }
                 self.move_out();
             }
-            Message::Joined(peer, side) => self.joined(peer, side),
-            Message::LearnedState(learnt, names) => {
+            EngineMessage::PeerProcessJoined(peer, side) => self.joined(peer, side),
+            EngineMessage::LearnedState(learnt, names) => {
                 let number = |id| {
                     let name = &names.iter().find(|(known, _)| *known == id)?.1;
                     self.numbers.get(name).copied()
@@ -260,24 +265,24 @@
                 let learnt = learnt.renumbered(number);
                 self.tell(Event::StateLearned(Box::new(learnt)));
             }
-            Message::SentElsewhere(name, class, work) => {
+            EngineMessage::SentByOtherProcess(name, class, work) => {
                 if let Some(&worker) = self.numbers.get(&name) {
                     self.tell(Event::SentByOtherProcess { worker, class, work });
                 }
             }
-            Message::FlowEnded(id, attempt, end, report) => {
+            EngineMessage::AttemptEnded(id, attempt, end, report) => {
                 let load =
                     report.map(|report| self.load(&load_report::from_header(&report))).unwrap_or_default();
                 self.ended(id, attempt, end, load);
             }
-            Message::Probed(worker, end, report) => {
+            EngineMessage::ProbeEnded(worker, end, report) => {
                 let load = self.load(&report);
                 self.tell(Event::ProbeEnded { worker, outcome: end.outcome(), load });
             }
-            Message::Note(from, bytes) => self.tell(Event::GossipReceived { from, bytes }),
-            Message::Gateway(heard) => self.heard(*heard),
-            Message::Pool(update) => self.pool(update, false),
-            Message::Settings(settings) => {
+            EngineMessage::GossipReceived(from, bytes) => self.tell(Event::GossipReceived { from, bytes }),
+            EngineMessage::SiteLink(heard) => self.heard(*heard),
+            EngineMessage::EndpointListChanged(update) => self.pool(update, false),
+            EngineMessage::SettingsChanged(settings) => {
                 self.dispatcher.configure((*settings).clone());
                 self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
                 self.settings = *settings;
@@ -286,9 +291,23 @@
         }
     }
 
-    fn transaction(&mut self, id: RequestId, transaction: Transaction, reply: oneshot::Sender<Reply>) {
-        let Transaction { class, tenant, deadline, slots, memory, hint, object, payload, origin } =
-            transaction;
+    fn transaction(
+        &mut self,
+        id: RequestId,
+        transaction: ClientRequest,
+        reply: oneshot::Sender<FinalAnswer>,
+    ) {
+        let ClientRequest {
+            class,
+            tenant,
+            deadline,
+            slots,
+            memory,
+            estimated_work_s: hint,
+            affinity_key: object,
+            payload,
+            origin,
+        } = transaction;
         let elsewhere = self.peers.holds(&payload.name);
         if elsewhere || self.names.contains_key(&payload.name) || self.live.contains_key(&id) {
             // Call-backs could not tell the two apart.
@@ -296,12 +315,12 @@
                 tracing::warn!("a transaction's id is in use by another that is still open");
             }
             self.counters.class(class).errors.add();
-            let _ = reply.send(Reply::Duplicate);
+            let _ = reply.send(FinalAnswer::DuplicateId);
             return;
         }
         self.counters.transactions_taken.add();
         self.names.insert(payload.name.clone(), id);
-        self.peers.pass(None, &Frame::Opened(payload.name.clone()));
+        self.peers.pass(None, &HandoverFrame::RequestOpened(payload.name.clone()));
         tracing::debug!(name = %payload.name.escape_ascii(), class, tenant, hint, slots, "taken");
         let live = Live {
             class,
@@ -360,41 +379,43 @@
                 return;
             };
             if a.open && !a.withdrawn {
-                a.order(Order::Withdraw);
-                self.ended(id, attempt, ConnectionEnd::DeadlinePassed, LoadReport::default());
+                a.order(AttemptCommand::Cancel);
+                self.ended(id, attempt, AttemptEnd::DeadlinePassed, LoadReport::default());
             }
         }
     }
 
     /// A call-back counts for the attempt at the member that sent it. It may come before the answer that
     /// the member took the job, twice, or for an attempt that is over.
-    fn call_back(&mut self, call_back: CallBack, passed: Option<Passed>) {
+    fn call_back(&mut self, call_back: WorkerCallback, passed: Option<CallbackRelay>) {
         self.counters.callbacks.add();
-        if !self.names.contains_key(&call_back.name) && self.pass_on(&call_back, passed) {
+        if !self.names.contains_key(&call_back.request_name) && self.pass_on(&call_back, passed) {
             self.counters.callbacks_passed_on.add();
             return;
         }
-        let load = self.load(&call_back.load);
-        let id = self.names.get(&call_back.name).copied();
-        let worker = self.numbers.get(&call_back.from).copied();
+        let load = self.load(&call_back.load_report);
+        let id = self.names.get(&call_back.request_name).copied();
+        let worker = self.numbers.get(&call_back.worker_name).copied();
         let found = id.and_then(|id| {
             let attempts = &self.live.get(&id)?.attempts;
             let last = |open: bool| attempts.iter().rposition(|a| Some(a.worker) == worker && a.open == open);
             last(true).or(last(false)).map(|attempt| (id, attempt, attempts[attempt].open))
         });
-        match (found, call_back.news) {
-            (Some((request, attempt, true)), News::Started) => {
-                tracing::debug!(name = %call_back.name.escape_ascii(), attempt, "started");
+        match (found, call_back.event) {
+            (Some((request, attempt, true)), CallbackEvent::Started) => {
+                tracing::debug!(name = %call_back.request_name.escape_ascii(), attempt, "started");
                 self.tell(Event::AttemptStarted { request, attempt });
             }
-            (Some((request, attempt, true)), News::Progress(share)) => {
+            (Some((request, attempt, true)), CallbackEvent::Progress(share)) => {
                 self.tell(Event::AttemptProgressed { request, attempt, share });
             }
-            (Some((request, attempt, true)), News::Ended(end)) => self.ended(request, attempt, end, load),
-            (Some((request, attempt, open)), News::Done(result)) => {
-                let first = self.answer(request, Reply::Served(result));
+            (Some((request, attempt, true)), CallbackEvent::Ended(end)) => {
+                self.ended(request, attempt, end, load)
+            }
+            (Some((request, attempt, open)), CallbackEvent::Completed(result)) => {
+                let first = self.answer(request, FinalAnswer::Served(result));
                 if open {
-                    self.ended(request, attempt, ConnectionEnd::Done, load);
+                    self.ended(request, attempt, AttemptEnd::Completed, load);
                 } else if first {
                     // An attempt that was given up was done all the same: the client has its result, and
                     // the module gives up whatever else is out.
@@ -410,18 +431,18 @@
 
     /// Tells a process that has joined what it must know: the jobs that are open, and the work that cold
     /// members have been sent lately.
-    fn joined(&mut self, peer: PeerId, side: Side) {
-        if side == Side::New {
+    fn joined(&mut self, peer: PeerProcessId, side: ProcessRole) {
+        if side == ProcessRole::Successor {
             let learnt = self.dispatcher.learned_state();
             let names = learnt.workers().map(|worker| (worker, self.name(worker))).collect();
-            self.peers.tell(peer, Frame::LearnedState(Box::new(learnt), names));
+            self.peers.tell(peer, HandoverFrame::LearnedState(Box::new(learnt), names));
         }
         for name in self.names.keys() {
-            self.peers.tell(peer, Frame::Opened(name.clone()));
+            self.peers.tell(peer, HandoverFrame::RequestOpened(name.clone()));
         }
         self.forget_sends();
         for (_, name, class, work) in &self.sends {
-            self.peers.tell(peer, Frame::Sent(name.clone(), *class, *work));
+            self.peers.tell(peer, HandoverFrame::WorkSent(name.clone(), *class, *work));
         }
     }
 
@@ -433,12 +454,12 @@
     }
 
     /// Tells the module the end of an attempt, once.
-    fn ended(&mut self, request: RequestId, attempt: usize, end: ConnectionEnd, load: LoadReport) {
+    fn ended(&mut self, request: RequestId, attempt: usize, end: AttemptEnd, load: LoadReport) {
         let Some(live) = self.live.get_mut(&request) else { return };
         let closed = live.reply.is_none();
         let Some(a) = live.attempts.get_mut(attempt).filter(|a| a.open) else { return };
         a.open = false;
-        a.order(Order::Settle);
+        a.order(AttemptCommand::Finish);
         let outcome = end.outcome();
         let free = load.free_slots.unwrap_or(-1.0);
         tracing::debug!(name = %live.payload.name.escape_ascii(), attempt, end = end.name(), free, "flow ended");
@@ -455,15 +476,17 @@
     }
 
     /// Gives the final answer; false if there was one before.
-    fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
+    fn answer(&mut self, id: RequestId, reply: FinalAnswer) -> bool {
         let Some(live) = self.live.get_mut(&id) else { return false };
         let Some(sender) = live.reply.take() else { return false };
         live.active = None;
         let class = self.counters.class(live.class);
         let (all, of_class) = match reply {
-            Reply::Served(_) => (&self.counters.answered_served, &class.ok),
-            Reply::Rejected { .. } | Reply::Returned => (&self.counters.answered_rejected, &class.shed),
-            Reply::Failed | Reply::Duplicate | Reply::Moved(_) => {
+            FinalAnswer::Served(_) => (&self.counters.answered_served, &class.ok),
+            FinalAnswer::Rejected { .. } | FinalAnswer::RejectedUnstarted => {
+                (&self.counters.answered_rejected, &class.shed)
+            }
+            FinalAnswer::Failed | FinalAnswer::DuplicateId | FinalAnswer::Migrated(_) => {
                 (&self.counters.answered_failed, &class.errors)
             }
         };
@@ -475,11 +498,13 @@
     }
 
     /// How a refusal is told: to another site also whether anything of it may have run here.
-    fn rejection(&self, id: RequestId, hold_off_s: f64) -> Reply {
+    fn rejection(&self, id: RequestId, hold_off_s: f64) -> FinalAnswer {
         let unrun = |live: &Live| !live.may_have_run && live.attempts.iter().all(|a| !a.open);
         match self.live.get(&id) {
-            Some(live) if matches!(live.travel, Travel::CameIn) && unrun(live) => Reply::Returned,
-            _ => Reply::Rejected { hold_off_s },
+            Some(live) if matches!(live.travel, Travel::CameIn) && unrun(live) => {
+                FinalAnswer::RejectedUnstarted
+            }
+            _ => FinalAnswer::Rejected { retry_after_s: hold_off_s },
         }
     }
 
@@ -488,7 +513,7 @@
         if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.attempts.iter().all(|a| !a.open)) {
             if let Some(live) = self.live.remove(&id) {
                 self.names.remove(&live.payload.name);
-                self.peers.pass(None, &Frame::Closed(live.payload.name.clone()));
+                self.peers.pass(None, &HandoverFrame::RequestClosed(live.payload.name.clone()));
             }
         }
     }
@@ -516,14 +541,14 @@
                 }
             }
             Action::Fail(request) => {
-                self.answer(request, Reply::Failed);
+                self.answer(request, FinalAnswer::Failed);
                 self.forget(request);
             }
             Action::Cancel { request, attempt } => {
                 let live = self.live.get_mut(&request);
                 if let Some(a) = live.and_then(|l| l.attempts.get_mut(attempt)).filter(|a| a.open) {
                     a.withdrawn = true;
-                    a.order(Order::Withdraw);
+                    a.order(AttemptCommand::Cancel);
                 }
             }
             Action::SetTimer { after_s, tag } => {
@@ -555,7 +580,7 @@
                 withdrawn: false,
                 order: None,
             });
-            let outcome = ConnectionEnd::MemberInactive.outcome();
+            let outcome = AttemptEnd::WorkerInactive.outcome();
             let closed = live.reply.is_none();
             return Some(Event::AttemptEnded(AttemptEnded {
                 request,
@@ -574,18 +599,18 @@
             crossings.runs_here(&self.settings.classes[live.class], &live.payload);
         }
         let (name, class, work) = (member.name.clone(), live.class, live.hint.unwrap_or(0.0));
-        let flow = Flow {
-            member: Rc::clone(member),
+        let flow = AttemptTask {
+            worker: Rc::clone(member),
             payload: Rc::clone(&live.payload),
             deadline: live.deadline,
-            order,
+            command: order,
             counters: Rc::clone(&self.counters),
             class: self.counters.class(live.class),
-            taken: told,
+            accepted: told,
         };
         self.spawn(request, attempt, flow.run());
         self.forget_sends();
-        self.peers.pass(None, &Frame::Sent(name.clone(), class, work));
+        self.peers.pass(None, &HandoverFrame::WorkSent(name.clone(), class, work));
         self.sends.push_back((Instant::now(), name, class, work));
         None
     }
@@ -593,7 +618,7 @@
     /// Asks a member; one that has left meanwhile answers nothing.
     fn probe(&self, worker: WorkerId) -> Option<Event> {
         let Some(member) = self.members.get(&worker) else {
-            let outcome = ConnectionEnd::MemberInactive.outcome();
+            let outcome = AttemptEnd::WorkerInactive.outcome();
             return Some(Event::ProbeEnded { worker, outcome, load: LoadReport::default() });
         };
         self.counters.probes.add();
@@ -601,7 +626,7 @@
         let reports = !self.settings.load_report_names.is_empty();
         tokio::task::spawn_local(async move {
             let (end, report) = probe(member, reports).await;
-            queue.send(Message::Probed(worker, end, report));
+            queue.send(EngineMessage::ProbeEnded(worker, end, report));
         });
         None
     }
@@ -611,12 +636,12 @@
         &self,
         request: RequestId,
         attempt: usize,
-        flow: impl Future<Output = (ConnectionEnd, Option<String>)> + 'static,
+        flow: impl Future<Output = (AttemptEnd, Option<String>)> + 'static,
     ) {
         let queue = self.queue.clone();
         tokio::task::spawn_local(async move {
             let (end, report) = flow.await;
-            queue.send(Message::FlowEnded(request, attempt, end, report));
+            queue.send(EngineMessage::AttemptEnded(request, attempt, end, report));
         });
     }
 
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -9,11 +9,11 @@
 use super::site_forwarding::Travel;
 use super::{Attempt, Due, Engine, Live};
 use crate::scheduling::interface::{Event, RequestId, WorkerId};
-use crate::server::lifecycle::handover_frames::Frame;
-use crate::server::messages::{CallBack, Moved, MovedAttempt, Passed, Reply};
+use crate::server::lifecycle::handover_frames::HandoverFrame;
+use crate::server::messages::{CallbackRelay, FinalAnswer, MigratedAttempt, MigratedRequest, WorkerCallback};
 use crate::server::metrics::Gauge;
-use crate::server::workers::attempt::Flow;
-use crate::server::workers::endpoint::Member;
+use crate::server::workers::attempt::AttemptTask;
+use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// A call-back that has been passed on so often belongs nowhere.
 const HOPS: u8 = 8;
@@ -36,18 +36,18 @@
                 continue;
             };
             let attempts = live.attempts.iter_mut().map(|attempt| {
-                attempt.order(super::Order::Release);
+                attempt.order(super::AttemptCommand::Detach);
                 let member = self.members.get(&attempt.worker);
-                MovedAttempt {
-                    member: self.name(attempt.worker),
+                MigratedAttempt {
+                    worker_name: self.name(attempt.worker),
                     address: member.map(|member| member.address()),
                     open: attempt.open,
                 }
             });
-            let moved = Moved {
+            let moved = MigratedRequest {
                 class: live.class,
-                hint: live.hint,
-                left: live.deadline.saturating_duration_since(Instant::now()),
+                estimated_work_s: live.hint,
+                time_left: live.deadline.saturating_duration_since(Instant::now()),
                 attempts: attempts.collect(),
                 record,
                 payload: (*live.payload).clone(),
@@ -55,19 +55,26 @@
             self.names.remove(&moved.payload.name);
             self.moved.insert(moved.payload.name.clone());
             self.counters.transactions_moved.add();
-            let _ = live.reply.take().map(|reply| reply.send(Reply::Moved(Box::new(moved))));
+            let _ = live.reply.take().map(|reply| reply.send(FinalAnswer::Migrated(Box::new(moved))));
         }
     }
 
     /// Takes over a transaction from another process.
-    pub(super) fn take_over(&mut self, id: RequestId, moved: Moved, reply: oneshot::Sender<Reply>) {
-        let Moved { class, hint, left, attempts, record, payload } = moved;
+    pub(super) fn take_over(
+        &mut self,
+        id: RequestId,
+        moved: MigratedRequest,
+        reply: oneshot::Sender<FinalAnswer>,
+    ) {
+        let MigratedRequest { class, estimated_work_s: hint, time_left: left, attempts, record, payload } =
+            moved;
         if class >= self.settings.classes.len() || self.names.contains_key(&payload.name) {
-            let _ = reply.send(Reply::Failed);
+            let _ = reply.send(FinalAnswer::Failed);
             return;
         }
         let deadline = Instant::now() + left;
-        let workers: Vec<WorkerId> = attempts.iter().map(|attempt| self.number(&attempt.member)).collect();
+        let workers: Vec<WorkerId> =
+            attempts.iter().map(|attempt| self.number(&attempt.worker_name)).collect();
         let payload = Rc::new(payload);
         self.counters.transactions_adopted.add();
         self.names.insert(payload.name.clone(), id);
@@ -93,17 +100,19 @@
             let (sender, order) = oneshot::channel();
             let member = self.members.get(&worker).cloned().or_else(|| {
                 let dialer = Rc::clone(&self.dialer);
-                attempt.address.map(|address| Rc::new(Member::new(attempt.member, address, dialer)))
+                attempt
+                    .address
+                    .map(|address| Rc::new(WorkerEndpoint::new(attempt.worker_name, address, dialer)))
             });
             if let Some(member) = member.filter(|_| attempt.open) {
-                let flow = Flow {
-                    member,
+                let flow = AttemptTask {
+                    worker: member,
                     payload: Rc::clone(&live.payload),
                     deadline,
-                    order,
+                    command: order,
                     counters: Rc::clone(&self.counters),
                     class: self.counters.class(class),
-                    taken: Rc::clone(&taken),
+                    accepted: Rc::clone(&taken),
                 };
                 self.spawn(id, n, flow.run_taken());
             }
@@ -123,10 +132,10 @@
 
     /// Passes on a call-back for a transaction that is not open here; whether there is somebody to pass it
     /// to. One that has been moved is known to the other process, or will be within the next frames.
-    pub(super) fn pass_on(&self, call_back: &CallBack, passed: Option<Passed>) -> bool {
-        let hops = passed.map_or(0, |passed| passed.hops);
-        let from = passed.map(|passed| passed.from).filter(|_| !self.moved.contains(&call_back.name));
-        hops < HOPS && self.peers.pass(from, &Frame::CallBack(call_back.clone(), hops + 1))
+    pub(super) fn pass_on(&self, call_back: &WorkerCallback, passed: Option<CallbackRelay>) -> bool {
+        let hops = passed.map_or(0, |passed| passed.relays);
+        let from = passed.map(|passed| passed.from).filter(|_| !self.moved.contains(&call_back.request_name));
+        hops < HOPS && self.peers.pass(from, &HandoverFrame::Callback(call_back.clone(), hops + 1))
     }
 
     /// The name of a member.
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::{
-    self as gateway, Action, Answer, Candidate, CrossingId, Effect as Repeats, Event as News, Gateway,
-    Instance, JobId, LinkId, Origin, Outcome, Pressure,
+    self as gateway, Action, Answer, Candidate, CrossingId, Effect as Repeats, Event as GatewayEvent,
+    Gateway, Instance, JobId, LinkId, Origin, Outcome, Pressure,
 };
 use chutesaddle_site_link::{Frame, Job};
 use tokio::task::{spawn_local, AbortHandle};
@@ -18,10 +18,10 @@
     CapacitySummary, DeduplicationScope, Event, Idempotency, RequestClass, RequestId,
 };
 use crate::scheduling::state::RequestRecord;
-use crate::server::engine_queue::Message;
-use crate::server::messages::{object_of, Payload, Reply, Transaction};
+use crate::server::engine_queue::EngineMessage;
+use crate::server::messages::{object_of, ClientRequest, FinalAnswer, RequestPayload};
 use crate::server::metrics::{Counters, LinkFigures};
-use crate::server::peers::site_messages::{Heard, LinkOutbox};
+use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
 
 /// How often to look how this site stands while something waits or slots run out, and while there is room.
 const LOOK: Duration = Duration::from_millis(10);
@@ -86,10 +86,10 @@
     }
 
     /// A transaction of this class is sent to a member of this site.
-    pub(super) fn runs_here(&mut self, class: &RequestClass, payload: &Payload) {
+    pub(super) fn runs_here(&mut self, class: &RequestClass, payload: &RequestPayload) {
         if let Repeats::Keyed { key, window } = effect(class, payload) {
             let mut none = Vec::new();
-            self.gateway.handle(self.origin.elapsed(), News::RanHere { key, window }, &mut none);
+            self.gateway.handle(self.origin.elapsed(), GatewayEvent::RanHere { key, window }, &mut none);
         }
     }
 
@@ -117,7 +117,7 @@
 
 /// What a repeat does. A key that not even all members of one site hold together binds like a job that must
 /// not run twice: where it goes is nothing that can be known across sites.
-fn effect(class: &RequestClass, payload: &Payload) -> Repeats {
+fn effect(class: &RequestClass, payload: &RequestPayload) -> Repeats {
     match (class.idempotency, class.deduplication_scope, &payload.key) {
         (Idempotency::Idempotent, ..) => Repeats::Repeatable,
         (Idempotency::WithKey, DeduplicationScope::All, Some(key)) => {
@@ -130,7 +130,7 @@
 
 impl Engine {
     /// Hands the gateway an event and carries out what it decides.
-    fn across(&mut self, news: News) {
+    fn across(&mut self, news: GatewayEvent) {
         let Some(crossings) = &mut self.crossings else { return };
         let mut actions = Vec::new();
         crossings.gateway.handle(crossings.now(), news, &mut actions);
@@ -153,8 +153,8 @@
         let CapacitySummary { slots, free, waiting, backlog_s: clear_s } = standing;
         let clear = Duration::try_from_secs_f64(clear_s).unwrap_or_default();
         let pressure = Pressure { slots, free, waiting, clear };
-        self.across(News::Pressure(pressure));
-        self.across(News::Tick);
+        self.across(GatewayEvent::Pressure(pressure));
+        self.across(GatewayEvent::Tick);
         let wants = |c: &Crossings| c.gateway.wants_candidates(c.now());
         if self.crossings.as_deref().is_some_and(wants) {
             let clock = self.clock.at(now);
@@ -162,7 +162,7 @@
             let candidate = |(id, latest): (RequestId, f64)| self.candidate(id, latest - clock, false);
             let candidates: Vec<Candidate> = waiting.into_iter().filter_map(candidate).collect();
             if !candidates.is_empty() {
-                self.across(News::Candidates(candidates));
+                self.across(GatewayEvent::Candidates(candidates));
             }
         }
     }
@@ -221,7 +221,7 @@
         if let Some(live) = self.live.get_mut(&id) {
             live.travel = Travel::Away(Err(hold_off_s));
         }
-        self.across(News::Candidates(vec![candidate]));
+        self.across(GatewayEvent::Candidates(vec![candidate]));
         let away = |live: &Live| matches!(live.travel, Travel::Away(_));
         self.live.get(&id).is_some_and(away)
     }
@@ -229,15 +229,15 @@
     /// The client of a transaction that may be at another site has left.
     pub(super) fn left_away(&mut self, id: RequestId) {
         if self.crossings.is_some() {
-            self.across(News::ClientDisconnected(JobId(id.0)));
+            self.across(GatewayEvent::ClientDisconnected(JobId(id.0)));
         }
     }
 
     /// Takes up what was heard from other sites.
-    pub(super) fn heard(&mut self, heard: Heard) {
+    pub(super) fn heard(&mut self, heard: SiteLinkEvent) {
         let Some(crossings) = &mut self.crossings else { return };
         match heard {
-            Heard::Up { link, site, instance, dialled, outbox } => {
+            SiteLinkEvent::Up { link, site, instance, dialled, outbox } => {
                 let Some(number) = crossings.gateway.site(&site) else { return };
                 let same = |l: &&Link| l.site == site && l.dialled == dialled;
                 if crossings.links.values().filter(same).count() >= LINKS_OF_A_SITE {
@@ -247,39 +247,39 @@
                 crossings.links.insert(link, Link { site, dialled, outbox });
                 let instance = Instance(instance);
                 self.across(match dialled {
-                    true => News::Up { link, site: number, instance },
-                    false => News::Joined { link, site: number, instance },
+                    true => GatewayEvent::Up { link, site: number, instance },
+                    false => GatewayEvent::Joined { link, site: number, instance },
                 });
             }
-            Heard::Down(link) => {
+            SiteLinkEvent::Down(link) => {
                 crossings.close(link);
-                self.across(News::Down(link));
-                self.across(News::Parted(link));
+                self.across(GatewayEvent::Down(link));
+                self.across(GatewayEvent::Parted(link));
             }
-            Heard::Said(link, frame) => self.said(link, frame),
-            Heard::Written(link, id) => self.across(News::Written(link, CrossingId(id))),
-            Heard::RoundTrip(link, time) => {
+            SiteLinkEvent::SiteLinkSettings(link, frame) => self.said(link, frame),
+            SiteLinkEvent::Written(link, id) => self.across(GatewayEvent::Written(link, CrossingId(id))),
+            SiteLinkEvent::RoundTrip(link, time) => {
                 if let Some(known) = crossings.links.get(&link) {
                     let figures = &crossings.counters.gateway;
                     figures.link(&known.site, known.dialled, |figures| figures.round_trip = time);
                 }
-                self.across(News::RoundTrip(link, time));
+                self.across(GatewayEvent::RoundTrip(link, time));
             }
-            Heard::Answered(origin, reply) => {
+            SiteLinkEvent::Answered(origin, reply) => {
                 crossings.came_in.remove(&origin);
-                self.across(News::Finished(
+                self.across(GatewayEvent::Finished(
                     origin,
                     match reply {
-                        Reply::Served(result) => Outcome::Served(result),
+                        FinalAnswer::Served(result) => Outcome::Served(result),
                         // A name that is in use here was not taken, and nothing of it ran.
-                        Reply::Returned | Reply::Duplicate => Outcome::Unstarted,
-                        Reply::Rejected { .. } => Outcome::Rejected,
-                        Reply::Failed | Reply::Moved(_) => Outcome::Failed,
+                        FinalAnswer::RejectedUnstarted | FinalAnswer::DuplicateId => Outcome::Unstarted,
+                        FinalAnswer::Rejected { .. } => Outcome::Rejected,
+                        FinalAnswer::Failed | FinalAnswer::Migrated(_) => Outcome::Failed,
                     },
                 ));
             }
-            Heard::Drain(drain) => self.across(News::Drain(drain)),
-            Heard::Configure(config) => self.across(News::Configure(*config)),
+            SiteLinkEvent::Drain(drain) => self.across(GatewayEvent::Drain(drain)),
+            SiteLinkEvent::Configure(config) => self.across(GatewayEvent::Configure(*config)),
         }
     }
 
@@ -293,18 +293,18 @@
                 let term = Duration::from_micros(term_us);
                 let figures = &crossings.counters.gateway;
                 figures.link(&known.site, true, |figures| figures.room = limit);
-                News::Granted { link, epoch: Instance(epoch), limit, term }
+                GatewayEvent::Granted { link, epoch: Instance(epoch), limit, term }
             }
-            (true, Frame::Taken(n)) => News::Taken(link, id(n)),
-            (true, Frame::GivenBack(n, _)) => News::Returned(link, id(n)),
-            (true, Frame::Ended(n, outcome)) => News::AttemptEnded(link, id(n), outcome),
-            (true, Frame::Told(n, known)) => News::Told(link, id(n), known),
+            (true, Frame::Taken(n)) => GatewayEvent::Taken(link, id(n)),
+            (true, Frame::GivenBack(n, _)) => GatewayEvent::Returned(link, id(n)),
+            (true, Frame::Ended(n, outcome)) => GatewayEvent::AttemptEnded(link, id(n), outcome),
+            (true, Frame::Told(n, known)) => GatewayEvent::Told(link, id(n), known),
             (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
                 let slots = job.slots.ceil().clamp(1.0, 65_536.0) as u32;
                 // One of a peer that is listed no more is heard, too: it is given back, and its sender goes on.
                 let Some(origin) = crossings.gateway.origin(link, id(crossing)) else { return };
                 crossings.offered = Some((origin, job));
-                News::Offered {
+                GatewayEvent::Offered {
                     link,
                     crossing: id(crossing),
                     epoch: Instance(epoch),
@@ -313,9 +313,9 @@
                     keep: Duration::from_micros(keep_us).min(Duration::from_secs(24 * 3600)),
                 }
             }
-            (false, Frame::Withdraw(n)) => News::Withdrawn(link, id(n)),
-            (false, Frame::Ask(ids)) => News::Asked(link, ids.into_iter().map(id).collect()),
-            (false, Frame::Acknowledge(n)) => News::Acknowledged(link, id(n)),
+            (false, Frame::Withdraw(n)) => GatewayEvent::Withdrawn(link, id(n)),
+            (false, Frame::Ask(ids)) => GatewayEvent::Asked(link, ids.into_iter().map(id).collect()),
+            (false, Frame::Acknowledge(n)) => GatewayEvent::Acknowledged(link, id(n)),
             (dialled, frame) => {
                 let site = known.site.clone();
                 tracing::warn!(site, dialled, ?frame, "a frame that is not for this end; the link is closed");
@@ -351,9 +351,9 @@
                 self.answer(
                     id,
                     match answer {
-                        Answer::Served(result) => Reply::Served(result),
-                        Answer::Rejected => Reply::Rejected { hold_off_s },
-                        Answer::Failed => Reply::Failed,
+                        Answer::Served(result) => FinalAnswer::Served(result),
+                        Answer::Rejected => FinalAnswer::Rejected { retry_after_s: hold_off_s },
+                        Answer::Failed => FinalAnswer::Failed,
                     },
                 );
                 self.forget(id);
@@ -420,7 +420,7 @@
                 self.tell(Event::RequestTakenOver(Box::new(record.renumbered(id, deadline, &[]))));
             }
             Travel::Away(Err(hold_off_s)) => {
-                self.answer(id, Reply::Rejected { hold_off_s });
+                self.answer(id, FinalAnswer::Rejected { retry_after_s: hold_off_s });
                 self.forget(id);
             }
             other => live.travel = other,
@@ -440,22 +440,22 @@
         };
         let bound = |key| crossings.gateway.bound_elsewhere(crossings.now(), key);
         let (Some(class), Some(tenant), false) = (class, tenant, job.key.as_ref().is_some_and(bound)) else {
-            return self.across(News::Finished(origin, Outcome::Unstarted));
+            return self.across(GatewayEvent::Finished(origin, Outcome::Unstarted));
         };
         crossings.say(link, Frame::Taken(origin.crossing.0));
         let Job { hint, slots, memory, name, target, key, content_type, body, .. } = *job;
         let object = object_of(&target);
-        let payload = Payload { name, target, key, content_type, body };
+        let payload = RequestPayload { name, target, key, content_type, body };
         let deadline = Instant::now() + left;
         let (slots, memory) = (slots.max(0.0), memory.max(0.0));
-        let transaction = Transaction {
+        let transaction = ClientRequest {
             class,
             tenant,
             deadline,
             slots,
             memory,
-            hint,
-            object,
+            estimated_work_s: hint,
+            affinity_key: object,
             payload,
             origin: Some(origin),
         };
@@ -463,7 +463,7 @@
         let queue = self.queue.clone();
         let task = spawn_local(async move {
             let reply = pending.reply().await;
-            queue.send(Message::Gateway(Box::new(Heard::Answered(origin, reply))));
+            queue.send(EngineMessage::SiteLink(Box::new(SiteLinkEvent::Answered(origin, reply))));
         });
         crossings.came_in.insert(origin, task.abort_handle());
     }
--- a/src/server/engine/worker_list.rs
+++ b/src/server/engine/worker_list.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use super::Engine;
-use crate::config::endpoint_list::{MemberState, PoolUpdate};
+use crate::config::endpoint_list::{EndpointListUpdate, EndpointState};
 use crate::scheduling::interface::{Event, WorkerId, WorkerInfo, WorkerState};
 use crate::server::messages::stable_number;
-use crate::server::workers::endpoint::Member;
+use crate::server::workers::endpoint::WorkerEndpoint;
 
 impl Engine {
     /// The number of the member of this name.
@@ -18,20 +18,20 @@
     }
 
     /// Takes up the pool's news and translates it for the module.
-    pub(super) fn pool(&mut self, update: PoolUpdate, cached: bool) {
-        let mut entries = Vec::with_capacity(update.members.len());
-        let whole = update.full && update.unreadable == 0;
+    pub(super) fn pool(&mut self, update: EndpointListUpdate, cached: bool) {
+        let mut entries = Vec::with_capacity(update.entries.len());
+        let whole = update.complete_snapshot && update.unreadable_entries == 0;
         if whole {
-            let listed = |name: &str| update.members.iter().any(|member| member.name == name);
+            let listed = |name: &str| update.entries.iter().any(|member| member.name == name);
             self.members.values().filter(|m| !listed(&m.name)).for_each(|m| m.left());
             self.members.retain(|_, m| listed(&m.name));
         }
-        for line in update.members {
+        for line in update.entries {
             let (id, tag) = (self.number(&line.name), stable_number(line.name.as_bytes()));
-            let active = line.state == MemberState::Active;
-            match line.address.filter(|_| line.state != MemberState::Left) {
+            let active = line.state == EndpointState::Active;
+            match line.address.filter(|_| line.state != EndpointState::Removed) {
                 Some(address) => {
-                    let new = || Rc::new(Member::new(line.name, address, Rc::clone(&self.dialer)));
+                    let new = || Rc::new(WorkerEndpoint::new(line.name, address, Rc::clone(&self.dialer)));
                     self.members.entry(id).or_insert_with(new).update(address, active, line.started_s);
                 }
                 None => {
@@ -47,9 +47,9 @@
                 id,
                 stable_id: tag,
                 state: match line.state {
-                    MemberState::Active => WorkerState::Ready,
-                    MemberState::Leaving => WorkerState::Draining,
-                    MemberState::Left => WorkerState::Gone,
+                    EndpointState::Active => WorkerState::Ready,
+                    EndpointState::Draining => WorkerState::Draining,
+                    EndpointState::Removed => WorkerState::Gone,
                 },
                 zone,
                 cell: line.cell,
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -20,13 +20,13 @@
 use response::Answer;
 
 use crate::scheduling::interface::Settings;
-use crate::server::descriptor_budget::{Budget, Share};
-use crate::server::engine_queue::{Message, Pending, Queue};
-use crate::server::frontend::connection_eviction::{Spares, Worth};
+use crate::server::descriptor_budget::{DescriptorBudget, DescriptorPermit};
+use crate::server::engine_queue::{EngineMessage, EngineQueue, PendingAnswer};
+use crate::server::frontend::connection_eviction::{EvictionCandidates, EvictionClass};
 use crate::server::http::{Connection, Head, HttpError};
-use crate::server::lifecycle::handover_frames::Outbox;
+use crate::server::lifecycle::handover_frames::FrameSender;
 use crate::server::lifecycle::Lifecycle;
-use crate::server::messages::{Moved, Reply, Transaction};
+use crate::server::messages::{ClientRequest, FinalAnswer, MigratedRequest};
 use crate::server::metrics::Counters;
 use request_parser::Asked;
 
@@ -51,14 +51,14 @@
 const COME_BACK_S: f64 = 0.5;
 
 /// The front of one scheduler.
-pub struct Front {
+pub struct Frontend {
     settings: RefCell<Rc<Settings>>,
-    queue: Queue,
+    queue: EngineQueue,
     counters: Rc<Counters>,
     /// Connections that may be open.
-    connections: Rc<Budget>,
+    connections: Rc<DescriptorBudget>,
     /// Those that can be done without when there is no room for a new one.
-    spares: Spares,
+    spares: EvictionCandidates,
     /// Messages that have been read and whose answer is not written yet: nearly all are transactions.
     waiting: Cell<usize>,
     /// Connections that are closed from here, but not yet by their clients.
@@ -67,12 +67,12 @@
     scratch: Mutex<Vec<u8>>,
     lifecycle: Rc<Lifecycle>,
     /// The process that has taken over, if there is one.
-    successor: watch::Sender<Option<Outbox>>,
+    successor: watch::Sender<Option<FrameSender>>,
 }
 
 /// What follows for a connection on which no message has begun.
 enum Next {
-    Message,
+    EngineMessage,
     /// The client has closed it, or it broke.
     Gone,
     /// It is closed from here.
@@ -84,26 +84,26 @@
 enum JobEnd {
     Answer(Answer),
     /// The process that has taken over is to answer.
-    Moved(Box<Moved>),
+    Migrated(Box<MigratedRequest>),
     /// The client has left.
-    Left,
+    ClientDisconnected,
 }
 
-impl Front {
+impl Frontend {
     /// A front that holds connections within this budget.
     pub fn new(
         settings: Settings,
-        queue: Queue,
+        queue: EngineQueue,
         counters: Rc<Counters>,
         lifecycle: Rc<Lifecycle>,
-        connections: Rc<Budget>,
+        connections: Rc<DescriptorBudget>,
     ) -> Self {
-        Front {
+        Frontend {
             settings: RefCell::new(Rc::new(settings)),
             queue,
             counters,
             connections,
-            spares: Spares::default(),
+            spares: EvictionCandidates::default(),
             waiting: Cell::new(0),
             lingering: Cell::new(0),
             scratch: Mutex::new(vec![0; PASS_OVER_BYTES]),
@@ -133,7 +133,7 @@
             // The sender lives as long as this front.
             let _ = phase.wait_for(|phase| phase.empties()).await;
             if self.lifecycle.clears() {
-                while self.spares.close_one(Worth::Idle) {}
+                while self.spares.close_one(EvictionClass::Idle) {}
                 self.lifecycle.emptied(self.is_empty());
             }
             sleep(CLEAR).await;
@@ -173,7 +173,7 @@
                     self.counters.connections_accepted.add();
                     let front = Rc::clone(&self);
                     tokio::task::spawn_local(async move {
-                        front.serve(Connection::new(stream), Worth::None, false).await;
+                        front.serve(Connection::new(stream), EvictionClass::NeverUsed, false).await;
                         drop(share);
                     });
                 }
@@ -190,9 +190,9 @@
     }
 
     /// Room for one more connection, which the one of least worth makes if need be.
-    async fn room(&self) -> Share {
+    async fn room(&self) -> DescriptorPermit {
         loop {
-            if let Some(share) = Budget::take(&self.connections) {
+            if let Some(share) = DescriptorBudget::take(&self.connections) {
                 return share;
             }
             // Those that were accepted last are listed once they have had their turn; without them, useful
@@ -205,7 +205,7 @@
             let freed = async {
                 loop {
                     self.connections.freed().await;
-                    if let Some(share) = Budget::take(&self.connections) {
+                    if let Some(share) = DescriptorBudget::take(&self.connections) {
                         return share;
                     }
                 }
@@ -216,13 +216,13 @@
         }
     }
 
-    async fn serve(&self, mut connection: Connection, mut worth: Worth, mut spoke: bool) {
+    async fn serve(&self, mut connection: Connection, mut worth: EvictionClass, mut spoke: bool) {
         let mut began = Instant::now();
         loop {
             let idle = if spoke { Instant::now() + IDLE } else { began + MESSAGE };
             if !connection.has_input() {
                 match self.next_message(&mut connection, worth, idle).await {
-                    Next::Message => {}
+                    Next::EngineMessage => {}
                     Next::Gone => return,
                     Next::Close if spoke => break,
                     Next::Close => return, // nothing was said on it, nothing is owed
@@ -241,22 +241,22 @@
             let settings = self.settings();
             let arrived = connection.taken_at();
             let answer = match request_parser::read(&head, &body, arrived, &settings) {
-                Ok(Asked::Job(transaction)) => match self.job(&mut connection, transaction, began).await {
+                Ok(Asked::Submit(transaction)) => match self.job(&mut connection, transaction, began).await {
                     JobEnd::Answer(answer) => {
-                        worth = Worth::Idle;
+                        worth = EvictionClass::Idle;
                         answer
                     }
-                    JobEnd::Moved(moved) => return self.move_on(connection, moved, head.keep_alive),
-                    JobEnd::Left => return,
+                    JobEnd::Migrated(moved) => return self.move_on(connection, moved, head.keep_alive),
+                    JobEnd::ClientDisconnected => return,
                 },
-                Ok(Asked::CallBack) => {
-                    worth = Worth::CallBack;
+                Ok(Asked::Callback) => {
+                    worth = EvictionClass::IdleAfterCallback;
                     self.call_back(body)
                 }
-                Ok(Asked::Ready) if self.lifecycle.is_serving() || self.has_successor() => {
+                Ok(Asked::Readiness) if self.lifecycle.is_serving() || self.has_successor() => {
                     Answer::new("200 OK", "ready\n")
                 }
-                Ok(Asked::Ready) => {
+                Ok(Asked::Readiness) => {
                     Answer::new("503 Service Unavailable", format!("{}\n", self.lifecycle.phase().name()))
                 }
                 Ok(Asked::Counters) => Answer::new("200 OK", self.counters.to_string()),
@@ -277,7 +277,7 @@
     }
 
     /// Waits for the first byte of a message.
-    async fn next_message(&self, connection: &mut Connection, worth: Worth, until: Instant) -> Next {
+    async fn next_message(&self, connection: &mut Connection, worth: EvictionClass, until: Instant) -> Next {
         if !self.has_successor() {
             let spare = self.spares.list(worth);
             tokio::select! {
@@ -285,7 +285,7 @@
                 read = timeout_at(until, connection.fill()) => {
                     return match read {
                         Ok(Ok(0) | Err(_)) => Next::Gone,
-                        Ok(Ok(_)) => Next::Message,
+                        Ok(Ok(_)) => Next::EngineMessage,
                         Err(_) => Next::Close,
                     };
                 }
@@ -294,7 +294,7 @@
         }
         // A request that has arrived, but has not been seen yet, is not to be lost to the close.
         match connection.arrived() {
-            true => Next::Message,
+            true => Next::EngineMessage,
             false if self.has_successor() => Next::PassOn,
             false => Next::Close,
         }
@@ -339,7 +339,7 @@
     async fn linger(&self, mut connection: Connection) {
         let _lingering = Waiting::new(&self.lingering);
         connection.half_close().await;
-        let spare = self.spares.list(Worth::None);
+        let spare = self.spares.list(EvictionClass::NeverUsed);
         let pass_over = async {
             while connection.readable().await.is_ok() {
                 let mut scratch = self.scratch.lock().await;
@@ -372,7 +372,7 @@
     async fn job(
         &self,
         connection: &mut Connection,
-        mut transaction: Box<Transaction>,
+        mut transaction: Box<ClientRequest>,
         began: Instant,
     ) -> JobEnd {
         if !self.lifecycle.takes(began) || self.waiting.get() > self.most_waiting() {
@@ -390,22 +390,22 @@
         self.reply(connection, pending, last).await
     }
 
-    async fn reply(&self, connection: &mut Connection, mut pending: Pending, last: Instant) -> JobEnd {
+    async fn reply(&self, connection: &mut Connection, mut pending: PendingAnswer, last: Instant) -> JobEnd {
         tokio::select! {
             biased;
             reply = pending.reply() => match reply {
-                Reply::Moved(moved) => JobEnd::Moved(moved),
+                FinalAnswer::Migrated(moved) => JobEnd::Migrated(moved),
                 reply => JobEnd::Answer(reply.into()),
             },
-            () = sleep_until(last) => JobEnd::Answer(Reply::Failed.into()),
-            () = connection.closed() => JobEnd::Left, // dropping what is pending tells the engine
+            () = sleep_until(last) => JobEnd::Answer(FinalAnswer::Failed.into()),
+            () = connection.closed() => JobEnd::ClientDisconnected, // dropping what is pending tells the engine
         }
     }
 
     fn call_back(&self, body: Bytes) -> Answer {
         match request_parser::read_call_back(body) {
             Some(call_back) => {
-                self.queue.send(Message::CallBack(call_back, None));
+                self.queue.send(EngineMessage::Callback(call_back, None));
                 Answer::new("200 OK", "")
             }
             None => {
--- a/src/server/frontend/connection_eviction.rs
+++ b/src/server/frontend/connection_eviction.rs
@@ -15,43 +15,43 @@
 
 /// What a connection that waits for nothing of ours is worth: the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Worth {
+pub enum EvictionClass {
     /// It has carried neither a transaction nor a call-back, or has had its last answer.
-    None,
+    NeverUsed,
     /// It stands idle between two messages of a client.
     Idle,
     /// It stands idle after a call-back: only the want of room is a reason to close it.
-    CallBack,
+    IdleAfterCallback,
 }
 
 /// When a connection was last sent something.
-pub type Heard = Rc<Cell<Instant>>;
+pub type LastReceived = Rc<Cell<Instant>>;
 
 /// The register of such connections, and of those on which a message is arriving.
 #[derive(Default)]
-pub struct Spares {
-    listed: RefCell<BTreeMap<(Worth, u64), Rc<Notify>>>,
-    arriving: RefCell<BTreeMap<u64, (Heard, Rc<Notify>)>>,
+pub struct EvictionCandidates {
+    listed: RefCell<BTreeMap<(EvictionClass, u64), Rc<Notify>>>,
+    arriving: RefCell<BTreeMap<u64, (LastReceived, Rc<Notify>)>>,
     next: Cell<u64>,
 }
 
-impl Spares {
+impl EvictionCandidates {
     fn number(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 
     /// Lists a connection for as long as the value lives.
-    pub fn list(&self, worth: Worth) -> Spare<'_> {
+    pub fn list(&self, worth: EvictionClass) -> EvictionHandle<'_> {
         let (key, close) = ((worth, self.number()), Rc::new(Notify::new()));
         self.listed.borrow_mut().insert(key, Rc::clone(&close));
-        Spare { spares: self, key: Key::Listed(key), close }
+        EvictionHandle { spares: self, key: Key::Listed(key), close }
     }
 
     /// Lists a connection on which a message is arriving, for as long as the value lives.
-    pub fn arriving(&self, heard: Heard) -> Spare<'_> {
+    pub fn arriving(&self, heard: LastReceived) -> EvictionHandle<'_> {
         let (number, close) = (self.number(), Rc::new(Notify::new()));
         self.arriving.borrow_mut().insert(number, (heard, Rc::clone(&close)));
-        Spare { spares: self, key: Key::Arriving(number), close }
+        EvictionHandle { spares: self, key: Key::Arriving(number), close }
     }
 
     /// On how many connections a message is arriving.
@@ -61,7 +61,7 @@
 
     /// Asks the connection of least worth that has been listed for longest to close; false if there is none
     /// of this worth or less.
-    pub fn close_one(&self, most: Worth) -> bool {
+    pub fn close_one(&self, most: EvictionClass) -> bool {
         let mut listed = self.listed.borrow_mut();
         let first = listed.first_entry().filter(|first| first.key().0 <= most);
         first.map(|first| first.remove().notify_one()).is_some()
@@ -71,10 +71,10 @@
     /// members' call-backs only where no message is arriving that may yet stall; never a message that gets
     /// on. False if there is none.
     pub fn make_room(&self) -> bool {
-        self.close_one(Worth::None)
+        self.close_one(EvictionClass::NeverUsed)
             || self.close_stalled()
-            || self.close_one(Worth::Idle)
-            || self.count_arriving() == 0 && self.close_one(Worth::CallBack)
+            || self.close_one(EvictionClass::Idle)
+            || self.count_arriving() == 0 && self.close_one(EvictionClass::IdleAfterCallback)
     }
 
     fn close_stalled(&self) -> bool {
@@ -87,25 +87,25 @@
 }
 
 enum Key {
-    Listed((Worth, u64)),
+    Listed((EvictionClass, u64)),
     Arriving(u64),
 }
 
 /// A listed connection.
-pub struct Spare<'a> {
-    spares: &'a Spares,
+pub struct EvictionHandle<'a> {
+    spares: &'a EvictionCandidates,
     key: Key,
     close: Rc<Notify>,
 }
 
-impl Spare<'_> {
+impl EvictionHandle<'_> {
     /// Waits until its place is needed.
     pub async fn closes(&self) {
         self.close.notified().await;
     }
 }
 
-impl Drop for Spare<'_> {
+impl Drop for EvictionHandle<'_> {
     fn drop(&mut self) {
         match &self.key {
             Key::Listed(key) => drop(self.spares.listed.borrow_mut().remove(key)),
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -8,19 +8,19 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::{Front, JobEnd, Waiting};
-use crate::server::engine_queue::Pending;
-use crate::server::frontend::connection_eviction::Worth;
+use super::{Frontend, JobEnd, Waiting};
+use crate::server::engine_queue::PendingAnswer;
+use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::http::Connection;
-use crate::server::lifecycle::handover_frames::{Frame, Outbox};
-use crate::server::messages::Moved;
+use crate::server::lifecycle::handover_frames::{FrameSender, HandoverFrame};
+use crate::server::messages::MigratedRequest;
 
-impl Front {
+impl Frontend {
     /// From now on that process accepts connections, and is passed those that stand idle here; or this one
     /// does again.
-    pub fn succeeded_by(&self, successor: Option<Outbox>) {
+    pub fn succeeded_by(&self, successor: Option<FrameSender>) {
         self.successor.send_replace(successor);
-        while self.has_successor() && self.spares.close_one(Worth::CallBack) {}
+        while self.has_successor() && self.spares.close_one(EvictionClass::IdleAfterCallback) {}
     }
 
     /// Whether another process accepts connections in place of this one.
@@ -29,29 +29,32 @@
     }
 
     /// Serves a connection that another process has accepted.
-    pub async fn adopt(self: Rc<Self>, stream: TcpStream, worth: Worth, spoke: bool) {
+    pub async fn adopt(self: Rc<Self>, stream: TcpStream, worth: EvictionClass, spoke: bool) {
         let _share = self.room().await;
         self.counters.connections_adopted.add();
         self.serve(Connection::new(stream), worth, spoke).await;
     }
 
     /// Passes a connection to the process that has taken over. What its client sends meanwhile waits there.
-    pub(super) fn pass_on(&self, connection: Connection, worth: Worth, spoke: bool) {
+    pub(super) fn pass_on(&self, connection: Connection, worth: EvictionClass, spoke: bool) {
         // One that could not read of it takes none: the client finds its connection closed between two requests.
-        let successor = self.successor.borrow().clone().filter(Outbox::is_alike);
+        let successor = self.successor.borrow().clone().filter(FrameSender::is_alike);
         // A socket that cannot be passed has broken.
         if let (Some(successor), Ok((socket, _))) = (successor, connection.into_parts()) {
             self.counters.connections_passed_on.add();
-            successor.send(Frame::Connection { worth, spoke }, Some(socket));
+            successor.send(HandoverFrame::IdleConnection { worth, spoke }, Some(socket));
         }
     }
 
     /// Passes a connection on with the transaction whose answer its client awaits.
-    pub(super) fn move_on(&self, connection: Connection, moved: Box<Moved>, keep: bool) {
+    pub(super) fn move_on(&self, connection: Connection, moved: Box<MigratedRequest>, keep: bool) {
         let successor = self.successor.borrow().clone();
         if let (Some(successor), Ok((socket, ahead))) = (successor, connection.into_parts()) {
             self.counters.connections_passed_on.add();
-            successor.send(Frame::Transaction { moved, ahead, keep }, Some(socket));
+            successor.send(
+                HandoverFrame::Request { request: moved, read_ahead: ahead, keep_alive: keep },
+                Some(socket),
+            );
         }
     }
 
@@ -61,7 +64,7 @@
         stream: TcpStream,
         ahead: Bytes,
         keep: bool,
-        pending: Pending,
+        pending: PendingAnswer,
         left: Duration,
     ) {
         let waiting = Waiting::new(&self.waiting);
@@ -71,12 +74,12 @@
         let mut connection = Connection::resume(stream, &ahead);
         let written = match self.reply(&mut connection, pending, last).await {
             JobEnd::Answer(answer) => self.write(&mut connection, answer, keep).await,
-            JobEnd::Moved(moved) => return self.move_on(connection, moved, keep),
-            JobEnd::Left => return,
+            JobEnd::Migrated(moved) => return self.move_on(connection, moved, keep),
+            JobEnd::ClientDisconnected => return,
         };
         drop(waiting);
         match written {
-            Ok(true) => self.serve(connection, Worth::Idle, true).await,
+            Ok(true) => self.serve(connection, EvictionClass::Idle, true).await,
             Ok(false) => self.linger(connection).await,
             Err(_) => {}
         }
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 
 use crate::scheduling::interface::{Idempotency, Settings};
-use crate::server::attempt_end::ConnectionEnd;
+use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::Head;
 use crate::server::load_report;
-use crate::server::messages::{object_of, CallBack, News, Payload, Transaction};
+use crate::server::messages::{object_of, CallbackEvent, ClientRequest, RequestPayload, WorkerCallback};
 
 /// The longest wait that counts.
 const LONGEST_MS: u64 = 3_600_000;
@@ -26,11 +26,11 @@
 /// What is asked for.
 pub enum Asked {
     /// That a job be done.
-    Job(Box<Transaction>),
+    Submit(Box<ClientRequest>),
     /// That a call-back be taken.
-    CallBack,
+    Callback,
     /// Whether the scheduler serves.
-    Ready,
+    Readiness,
     /// The counters.
     Counters,
 }
@@ -76,15 +76,15 @@
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let method = |method| if head.method == method { Ok(()) } else { Err(RequestError::Method(method)) };
     match path {
-        "/ready" => method("GET").map(|()| Asked::Ready),
+        "/ready" => method("GET").map(|()| Asked::Readiness),
         "/counters" => method("GET").map(|()| Asked::Counters),
-        "/callback" => method("POST").map(|()| Asked::CallBack),
+        "/callback" => method("POST").map(|()| Asked::Callback),
         _ => {
             let name = path.strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or_default();
             let class = settings.classes.iter().position(|class| is_named(&class.name, name));
             let class = class.ok_or(RequestError::Path)?;
             method("POST")?;
-            transaction(head, body, arrived, settings, class).map(|job| Asked::Job(Box::new(job)))
+            transaction(head, body, arrived, settings, class).map(|job| Asked::Submit(Box::new(job)))
         }
     }
 }
@@ -95,7 +95,7 @@
     arrived: Instant,
     settings: &Settings,
     class: usize,
-) -> Result<Transaction, RequestError> {
+) -> Result<ClientRequest, RequestError> {
     if let Some(name) = SINGLE.into_iter().find(|name| head.headers.count(name) > 1) {
         return Err(RequestError::Header(name));
     }
@@ -140,15 +140,15 @@
             _ => {}
         }
     }
-    Ok(Transaction {
+    Ok(ClientRequest {
         class,
         tenant,
         deadline: arrived + wait,
         slots,
         memory,
-        hint,
-        object: object_of(&head.target),
-        payload: Payload {
+        estimated_work_s: hint,
+        affinity_key: object_of(&head.target),
+        payload: RequestPayload {
             name: name.clone(),
             target: head.target.clone(),
             key: key.cloned(),
@@ -177,14 +177,14 @@
 }
 
 /// Reads a call-back. The tape is flat, so that no nesting, however deep, can exhaust the stack.
-pub fn read_call_back(body: Bytes) -> Option<CallBack> {
+pub fn read_call_back(body: Bytes) -> Option<WorkerCallback> {
     let mut text = Vec::from(body);
     let tape = simd_json::to_tape(&mut text).ok()?;
     let value = tape.as_value();
     let news = match value.get_str("state")? {
-        "started" => News::Started,
-        "running" => News::Progress(value.get("share")?.cast_f64()?),
-        "done" => News::Done(match value.get("result") {
+        "started" => CallbackEvent::Started,
+        "running" => CallbackEvent::Progress(value.get("share")?.cast_f64()?),
+        "done" => CallbackEvent::Completed(match value.get("result") {
             // A result is text; anything else is passed on in the form in which JSON writes it.
             Some(result) => match result.as_str() {
                 Some(text) => Bytes::copy_from_slice(text.as_bytes()),
@@ -192,15 +192,15 @@
             },
             None => return None,
         }),
-        "failed" => News::Ended(ConnectionEnd::Failed),
-        "returned" => News::Ended(ConnectionEnd::Returned),
-        "lost" => News::Ended(ConnectionEnd::Lost),
+        "failed" => CallbackEvent::Ended(AttemptEnd::Failed),
+        "returned" => CallbackEvent::Ended(AttemptEnd::RejectedByWorker),
+        "lost" => CallbackEvent::Ended(AttemptEnd::LostByWorker),
         _ => return None,
     };
-    Some(CallBack {
-        name: Bytes::copy_from_slice(value.get_str("id")?.as_bytes()),
-        from: value.get_str("from")?.to_owned(),
-        news,
-        load: load_report::from_load(&value),
+    Some(WorkerCallback {
+        request_name: Bytes::copy_from_slice(value.get_str("id")?.as_bytes()),
+        worker_name: value.get_str("from")?.to_owned(),
+        event: news,
+        load_report: load_report::from_load(&value),
     })
 }
--- a/src/server/frontend/response.rs
+++ b/src/server/frontend/response.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use crate::server::frontend::request_parser::RequestError;
-use crate::server::messages::Reply;
+use crate::server::messages::FinalAnswer;
 
 /// An answer to write.
 pub(super) struct Answer {
@@ -32,16 +32,16 @@
     }
 }
 
-impl From<Reply> for Answer {
-    fn from(reply: Reply) -> Self {
+impl From<FinalAnswer> for Answer {
+    fn from(reply: FinalAnswer) -> Self {
         match reply {
-            Reply::Served(result) => Answer::new("200 OK", result),
-            Reply::Rejected { hold_off_s } => Answer::reject(hold_off_s),
-            Reply::Returned => Answer::reject(0.0),
-            Reply::Failed | Reply::Moved(_) => {
+            FinalAnswer::Served(result) => Answer::new("200 OK", result),
+            FinalAnswer::Rejected { retry_after_s: hold_off_s } => Answer::reject(hold_off_s),
+            FinalAnswer::RejectedUnstarted => Answer::reject(0.0),
+            FinalAnswer::Failed | FinalAnswer::Migrated(_) => {
                 Answer::new("502 Bad Gateway", "failed, the job may have run\n")
             }
-            Reply::Duplicate => Answer::new("409 Conflict", "this X-Request-Id is in use\n"),
+            FinalAnswer::DuplicateId => Answer::new("409 Conflict", "this X-Request-Id is in use\n"),
         }
     }
 }
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -64,7 +64,7 @@
 /// Why a call changes nothing: what holds is not the operators' to change.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("this process is {}", .0.name())]
-pub struct Unchanged(pub Phase);
+pub struct TransitionRejected(pub Phase);
 
 /// The state, and since when it holds.
 pub struct Lifecycle {
@@ -142,11 +142,11 @@
     ///
     /// # Errors
     /// If the process is starting, replaced or stopping.
-    pub fn pause(&self) -> Result<(), Unchanged> {
+    pub fn pause(&self) -> Result<(), TransitionRejected> {
         match self.phase() {
             Phase::Serving => self.leave(Phase::Draining, PAUSE_TAKES),
             Phase::Draining | Phase::Drained => {}
-            other => return Err(Unchanged(other)),
+            other => return Err(TransitionRejected(other)),
         }
         Ok(())
     }
@@ -155,10 +155,10 @@
     ///
     /// # Errors
     /// If the process is starting, replaced or stopping.
-    pub fn resume(&self) -> Result<(), Unchanged> {
+    pub fn resume(&self) -> Result<(), TransitionRejected> {
         match self.phase() {
             Phase::Serving | Phase::Draining | Phase::Drained => self.phase.send_replace(Phase::Serving),
-            other => return Err(Unchanged(other)),
+            other => return Err(TransitionRejected(other)),
         };
         Ok(())
     }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -16,13 +16,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::server::descriptor_budget::Shares;
-use crate::server::engine_queue::{Message, Queue};
-use crate::server::frontend::Front;
-use crate::server::lifecycle::handover_frames::{link, Frame, Inbox, Outbox};
-use crate::server::lifecycle::peer_processes::Peers;
+use crate::server::descriptor_budget::DescriptorBudgets;
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
+use crate::server::frontend::Frontend;
+use crate::server::lifecycle::handover_frames::{link, FrameReceiver, FrameSender, HandoverFrame};
+use crate::server::lifecycle::peer_processes::PeerProcesses;
 use crate::server::lifecycle::Lifecycle;
-use crate::server::messages::{Passed, PeerId, Side};
+use crate::server::messages::{CallbackRelay, PeerProcessId, ProcessRole};
 use crate::server::metrics::Counters;
 
 /// The name of the Unix socket in `$TMPDIR`, which is this scheduler's alone.
@@ -46,8 +46,8 @@
 
 /// The way to the old process, from the new one.
 pub struct Predecessor {
-    outbox: Outbox,
-    inbox: Inbox,
+    outbox: FrameSender,
+    inbox: FrameReceiver,
 }
 
 /// The socket for clients: from the process that has it, else bound anew.
@@ -79,7 +79,7 @@
 async fn offered(place: Option<&Path>, address: SocketAddr) -> Option<(TcpListener, Predecessor)> {
     let (outbox, mut inbox) = link(UnixStream::connect(place?).await.ok()?);
     let (frame, socket) = timeout(OFFER, inbox.next()).await.ok()??;
-    let (Frame::Listener, Some(socket)) = (frame, socket) else { return None };
+    let (HandoverFrame::Listener, Some(socket)) = (frame, socket) else { return None };
     let listener = std::net::TcpListener::from(socket);
     listener.set_nonblocking(true).ok()?;
     let listener = TcpListener::from_std(listener).ok()?;
@@ -95,15 +95,15 @@
     /// The socket for clients.
     pub listener: Rc<TcpListener>,
     /// What may be passed on, or comes in.
-    pub front: Rc<Front>,
+    pub front: Rc<Frontend>,
     /// The state.
     pub lifecycle: Rc<Lifecycle>,
     /// The way to the engine.
-    pub queue: Queue,
+    pub queue: EngineQueue,
     /// The links.
-    pub peers: Peers,
+    pub peers: PeerProcesses,
     /// The bounds that two processes share.
-    pub shares: Rc<Shares>,
+    pub shares: Rc<DescriptorBudgets>,
     /// Says whether discovery has spoken.
     pub counters: Rc<Counters>,
 }
@@ -115,7 +115,7 @@
             Some(Predecessor { outbox, inbox }) => {
                 tracing::info!("taking over from the process that serves");
                 let this = Rc::clone(&self);
-                let id = self.join(outbox.clone(), Side::Old);
+                let id = self.join(outbox.clone(), ProcessRole::Predecessor);
                 spawn_local(async move {
                     this.hear(id, inbox).await;
                     this.part(id);
@@ -131,7 +131,7 @@
         };
         spawn_local(Rc::clone(&self.front).run(Rc::clone(&self.listener)));
         self.lifecycle.start();
-        let _ = said.map(|outbox| outbox.send(Frame::Serving, None));
+        let _ = said.map(|outbox| outbox.send(HandoverFrame::Serving, None));
         while let Some(place) = self.place.as_deref() {
             let Ok(door) = meet(place).inspect_err(|error| {
                 tracing::warn!("no upgrade can find this process: {error}");
@@ -155,13 +155,13 @@
             let Ok(socket) = self.listener.as_fd().try_clone_to_owned() else { continue };
             tracing::info!("a new process takes over");
             let (outbox, inbox) = link(stream);
-            outbox.send(Frame::Listener, Some(socket));
-            let id = self.join(outbox.clone(), Side::New);
+            outbox.send(HandoverFrame::Listener, Some(socket));
+            let id = self.join(outbox.clone(), ProcessRole::Successor);
             self.hear(id, inbox).await;
             self.part(id);
             let served = self.front.has_successor();
             self.front.succeeded_by(None);
-            self.queue.send(Message::Succeeded(false));
+            self.queue.send(EngineMessage::SuccessorChanged(false));
             self.lifecycle.restore();
             tracing::warn!("the new process is gone");
             if served {
@@ -170,60 +170,68 @@
         }
     }
 
-    fn join(&self, outbox: Outbox, side: Side) -> PeerId {
+    fn join(&self, outbox: FrameSender, side: ProcessRole) -> PeerProcessId {
         let id = self.peers.join(outbox);
         self.peers.introduce(id);
-        self.queue.send(Message::Joined(id, side));
+        self.queue.send(EngineMessage::PeerProcessJoined(id, side));
         self.shares.among(1 + self.peers.count());
         id
     }
 
-    fn part(&self, id: PeerId) {
+    fn part(&self, id: PeerProcessId) {
         self.peers.part(id);
         self.shares.among(1 + self.peers.count());
     }
 
     /// Takes what the other process says, until its end.
-    async fn hear(&self, id: PeerId, mut inbox: Inbox) {
+    async fn hear(&self, id: PeerProcessId, mut inbox: FrameReceiver) {
         while let Some((frame, socket)) = inbox.next().await {
             match (frame, socket) {
-                (Frame::Serving, _) => {
+                (HandoverFrame::Serving, _) => {
                     let successor = self.peers.outbox(id);
-                    let alike = successor.as_ref().is_some_and(Outbox::is_alike);
+                    let alike = successor.as_ref().is_some_and(FrameSender::is_alike);
                     if !alike {
                         tracing::info!("the new process is of another build: jobs are finished here");
                     }
                     self.lifecycle.replace();
                     self.front.succeeded_by(successor);
-                    self.queue.send(Message::Succeeded(alike));
+                    self.queue.send(EngineMessage::SuccessorChanged(alike));
                 }
-                (Frame::Connection { worth, spoke }, Some(socket)) => {
+                (HandoverFrame::IdleConnection { worth, spoke }, Some(socket)) => {
                     if let Some(stream) = adopted(socket) {
                         spawn_local(Rc::clone(&self.front).adopt(stream, worth, spoke));
                     }
                 }
-                (Frame::LearnedState(learnt, names), _) => {
-                    self.queue.send(Message::LearnedState(learnt, names))
+                (HandoverFrame::LearnedState(learnt, names), _) => {
+                    self.queue.send(EngineMessage::LearnedState(learnt, names))
                 }
-                (Frame::Opened(name), _) => self.peers.note(id, name, true),
-                (Frame::Closed(name), _) => self.peers.note(id, name, false),
-                (Frame::Transaction { moved, ahead, keep }, Some(socket)) => {
+                (HandoverFrame::RequestOpened(name), _) => self.peers.note(id, name, true),
+                (HandoverFrame::RequestClosed(name), _) => self.peers.note(id, name, false),
+                (
+                    HandoverFrame::Request { request: moved, read_ahead: ahead, keep_alive: keep },
+                    Some(socket),
+                ) => {
                     self.peers.note(id, moved.payload.name.clone(), false);
                     if let Some(stream) = adopted(socket) {
                         // Handed in before the next frame is read, which may be a call-back for it.
-                        let (left, pending) = (moved.left, self.queue.take_over(moved));
+                        let (left, pending) = (moved.time_left, self.queue.take_over(moved));
                         spawn_local(Rc::clone(&self.front).take_over(stream, ahead, keep, pending, left));
                     }
                 }
-                (Frame::CallBack(call_back, hops), _) => {
-                    let passed = Some(Passed { from: id, hops });
-                    self.queue.send(Message::CallBack(call_back, passed));
+                (HandoverFrame::Callback(call_back, hops), _) => {
+                    let passed = Some(CallbackRelay { from: id, relays: hops });
+                    self.queue.send(EngineMessage::Callback(call_back, passed));
                 }
-                (Frame::Sent(name, class, work), _) => {
-                    self.peers.pass(Some(id), &Frame::Sent(name.clone(), class, work));
-                    self.queue.send(Message::SentElsewhere(name, class, work));
+                (HandoverFrame::WorkSent(name, class, work), _) => {
+                    self.peers.pass(Some(id), &HandoverFrame::WorkSent(name.clone(), class, work));
+                    self.queue.send(EngineMessage::SentByOtherProcess(name, class, work));
                 }
-                (Frame::Listener | Frame::Connection { .. } | Frame::Transaction { .. }, _) => {}
+                (
+                    HandoverFrame::Listener
+                    | HandoverFrame::IdleConnection { .. }
+                    | HandoverFrame::Request { .. },
+                    _,
+                ) => {}
             }
         }
     }
--- a/src/server/lifecycle/handover_frames.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -19,8 +19,8 @@
 use tokio::sync::mpsc;
 
 use crate::scheduling::interface::{LearnedState, WorkerId};
-use crate::server::frontend::connection_eviction::Worth;
-use crate::server::messages::{CallBack, Moved};
+use crate::server::frontend::connection_eviction::EvictionClass;
+use crate::server::messages::{MigratedRequest, WorkerCallback};
 
 /// The longest frame: a call-back with its result is the largest.
 const FRAME_BYTES: usize = 256 * 1024;
@@ -31,68 +31,71 @@
 /// tell each other the frames that last, which is enough to take over: the old process then closes idle
 /// connections instead of passing them on, and finishes its jobs itself.
 const FORM: u8 = 2;
-/// Frames before this one in [`Frame`] last: their bytes stay as they are for good.
+/// Frames before this one in [`HandoverFrame`] last: their bytes stay as they are for good.
 const LASTING: u8 = 5;
 
 /// What the processes tell each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Frame {
+pub enum HandoverFrame {
     /// From the old one, with the socket on which clients are accepted.
     Listener,
     /// From the new one: it serves, and the old one is to accept no more.
     Serving,
     /// A transaction of this name is open.
-    Opened(Bytes),
+    RequestOpened(Bytes),
     /// It is open no more.
-    Closed(Bytes),
+    RequestClosed(Bytes),
     /// A call-back for a transaction that is not open where it came in, and how often it was passed on.
-    CallBack(CallBack, u8),
+    Callback(WorkerCallback, u8),
     /// With a client's connection on which no message has begun.
-    Connection {
+    IdleConnection {
         /// What it has carried.
-        worth: Worth,
+        worth: EvictionClass,
         /// It has carried a message before.
         spoke: bool,
     },
     /// From the old one: what it has learnt of the members, with their names.
     LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
     /// A transaction, with the connection on which its client waits.
-    Transaction {
+    Request {
         /// The transaction.
-        moved: Box<Moved>,
+        request: Box<MigratedRequest>,
         /// What the client has sent beyond it.
-        ahead: Bytes,
+        read_ahead: Bytes,
         /// The client keeps the connection.
-        keep: bool,
+        keep_alive: bool,
     },
     /// A job of this class went to the member of this name, with so much work.
-    Sent(String, usize, f64),
+    WorkSent(String, usize, f64),
 }
 
-impl Frame {
+impl HandoverFrame {
     fn lasts(&self) -> bool {
-        use Frame::{CallBack, Closed, Listener, Opened, Serving};
-        matches!(self, Listener | Serving | Opened(_) | Closed(_) | CallBack(..))
+        use HandoverFrame::{Callback, Listener, RequestClosed, RequestOpened, Serving};
+        matches!(self, Listener | Serving | RequestOpened(_) | RequestClosed(_) | Callback(..))
     }
 
     fn carries_socket(&self) -> bool {
-        matches!(self, Frame::Listener | Frame::Connection { .. } | Frame::Transaction { .. })
+        matches!(
+            self,
+            HandoverFrame::Listener | HandoverFrame::IdleConnection { .. } | HandoverFrame::Request { .. }
+        )
     }
 }
 
 /// The sending side; frames are written in their order by a task of their own.
 #[derive(Clone)]
-pub struct Outbox {
-    sender: mpsc::UnboundedSender<(Frame, Option<OwnedFd>)>,
+pub struct FrameSender {
+    sender: mpsc::UnboundedSender<(HandoverFrame, Option<OwnedFd>)>,
     /// Frames that are not written yet.
     queued: Rc<Cell<usize>>,
     alike: Rc<Cell<bool>>,
 }
 
-impl Outbox {
+impl FrameSender {
     /// Sends a frame, and a socket with those that carry one. On a link that has ended it is dropped, and so is
     /// what the other process could not read.
-    pub fn send(&self, frame: Frame, socket: Option<OwnedFd>) {
+    pub fn send(&self, frame: HandoverFrame, socket: Option<OwnedFd>) {
         if !self.is_alike() && !frame.lasts() {
             return;
         }
@@ -113,7 +116,7 @@
 }
 
 /// The receiving side.
-pub struct Inbox {
+pub struct FrameReceiver {
     stream: Rc<UnixStream>,
     buffer: BytesMut,
     sockets: VecDeque<OwnedFd>,
@@ -121,7 +124,7 @@
 }
 
 /// The two sides of a link.
-pub fn link(stream: UnixStream) -> (Outbox, Inbox) {
+pub fn link(stream: UnixStream) -> (FrameSender, FrameReceiver) {
     let stream = Rc::new(stream);
     let (sender, mut frames) = mpsc::unbounded_channel();
     let (queued, alike) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(true)));
@@ -135,10 +138,13 @@
         }
     });
     let (buffer, sockets) = (BytesMut::new(), VecDeque::new());
-    (Outbox { sender, queued, alike: Rc::clone(&alike) }, Inbox { stream, buffer, sockets, alike })
+    (
+        FrameSender { sender, queued, alike: Rc::clone(&alike) },
+        FrameReceiver { stream, buffer, sockets, alike },
+    )
 }
 
-async fn write(stream: &UnixStream, frame: &Frame, mut socket: Option<OwnedFd>) -> io::Result<()> {
+async fn write(stream: &UnixStream, frame: &HandoverFrame, mut socket: Option<OwnedFd>) -> io::Result<()> {
     let body = postcard::to_allocvec(frame).map_err(io::Error::other)?;
     let mut bytes = Vec::from((1 + body.len() as u32).to_be_bytes());
     bytes.push(FORM);
@@ -160,9 +166,9 @@
     Ok(())
 }
 
-impl Inbox {
+impl FrameReceiver {
     /// The next frame and the socket that it carries; `None` at the end of the link, in whatever way.
-    pub async fn next(&mut self) -> Option<(Frame, Option<OwnedFd>)> {
+    pub async fn next(&mut self) -> Option<(HandoverFrame, Option<OwnedFd>)> {
         loop {
             if let Some(length) = self.buffer.get(..4) {
                 let length = u32::from_be_bytes(length.try_into().ok()?) as usize;
@@ -179,7 +185,7 @@
                             continue; // who knows what it says
                         }
                     }
-                    let frame: Frame = postcard::from_bytes(body).ok()?;
+                    let frame: HandoverFrame = postcard::from_bytes(body).ok()?;
                     let socket = if frame.carries_socket() { Some(self.sockets.pop_front()?) } else { None };
                     return Some((frame, socket));
                 }
@@ -215,32 +221,40 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::server::messages::News;
+    use crate::server::messages::CallbackEvent;
 
     /// Other builds read these bytes: what is written here may be added to and never changed.
     #[test]
     fn frames_that_last_keep_their_bytes() {
         let name = || Bytes::from_static(b"r1");
-        let call_back = |news| CallBack { name: name(), from: "m".to_owned(), news, load: Vec::new() };
-        let frames: [(Frame, &[u8]); 7] = [
-            (Frame::Listener, &[0]),
-            (Frame::Serving, &[1]),
-            (Frame::Opened(name()), b"\x02\x02r1"),
-            (Frame::Closed(name()), b"\x03\x02r1"),
-            (Frame::CallBack(call_back(News::Started), 1), b"\x04\x02r1\x01m\0\0\x01"),
+        let call_back = |news| WorkerCallback {
+            request_name: name(),
+            worker_name: "m".to_owned(),
+            event: news,
+            load_report: Vec::new(),
+        };
+        let frames: [(HandoverFrame, &[u8]); 7] = [
+            (HandoverFrame::Listener, &[0]),
+            (HandoverFrame::Serving, &[1]),
+            (HandoverFrame::RequestOpened(name()), b"\x02\x02r1"),
+            (HandoverFrame::RequestClosed(name()), b"\x03\x02r1"),
+            (HandoverFrame::Callback(call_back(CallbackEvent::Started), 1), b"\x04\x02r1\x01m\0\0\x01"),
             (
-                Frame::CallBack(call_back(News::Progress(0.5)), 1),
+                HandoverFrame::Callback(call_back(CallbackEvent::Progress(0.5)), 1),
                 b"\x04\x02r1\x01m\x01\0\0\0\0\0\0\xe0\x3f\0\x01",
             ),
-            (Frame::CallBack(call_back(News::Done(name())), 2), b"\x04\x02r1\x01m\x02\x02r1\0\x02"),
+            (
+                HandoverFrame::Callback(call_back(CallbackEvent::Completed(name())), 2),
+                b"\x04\x02r1\x01m\x02\x02r1\0\x02",
+            ),
         ];
         for (frame, bytes) in frames {
             assert!(frame.lasts() && bytes[0] < LASTING);
             assert_eq!(postcard::to_allocvec(&frame).unwrap(), bytes, "{frame:?}");
-            let read: Frame = postcard::from_bytes(bytes).unwrap();
+            let read: HandoverFrame = postcard::from_bytes(bytes).unwrap();
             assert_eq!(postcard::to_allocvec(&read).unwrap(), bytes, "{read:?}");
         }
-        let passing = Frame::Connection { worth: Worth::None, spoke: false };
+        let passing = HandoverFrame::IdleConnection { worth: EvictionClass::NeverUsed, spoke: false };
         assert!(!passing.lasts() && postcard::to_allocvec(&passing).unwrap()[0] == LASTING);
     }
 }
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -13,7 +13,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-use crate::server::lifecycle::{Lifecycle, Unchanged};
+use crate::server::lifecycle::{Lifecycle, TransitionRejected};
 use crate::server::metrics::Counters;
 
 /// Callers served at a time. One more takes the place of the one that has been there for longest: an
@@ -27,15 +27,15 @@
 const RETRY: Duration = Duration::from_millis(10);
 
 /// The door of one scheduler.
-pub struct Door {
+pub struct OperatorInterface {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
 }
 
-impl Door {
+impl OperatorInterface {
     /// A door to this scheduler.
     pub fn new(lifecycle: Rc<Lifecycle>, counters: Rc<Counters>) -> Self {
-        Door { lifecycle, counters }
+        OperatorInterface { lifecycle, counters }
     }
 
     /// Takes callers for good.
@@ -88,7 +88,7 @@
     }
 
     fn answer(&self, line: &[u8]) -> String {
-        let changed = |result: Result<(), Unchanged>| match result {
+        let changed = |result: Result<(), TransitionRejected>| match result {
             Ok(()) => format!("+OK {}\n", self.lifecycle.phase().name()),
             Err(error) => format!("-ERR {error}\n"),
         };
--- a/src/server/lifecycle/peer_processes.rs
+++ b/src/server/lifecycle/peer_processes.rs
@@ -7,12 +7,12 @@
 
 use bytes::Bytes;
 
-use crate::server::lifecycle::handover_frames::{Frame, Outbox};
-use crate::server::messages::PeerId;
+use crate::server::lifecycle::handover_frames::{FrameSender, HandoverFrame};
+use crate::server::messages::PeerProcessId;
 
 struct Peer {
-    id: PeerId,
-    outbox: Outbox,
+    id: PeerProcessId,
+    outbox: FrameSender,
     /// Transactions that are open there.
     names: HashSet<Bytes>,
 }
@@ -20,33 +20,35 @@
 /// The processes that this one has a link to. They form a line, old to new, so that what is passed to all
 /// but the one it came from reaches each of them once.
 #[derive(Clone, Default)]
-pub struct Peers {
+pub struct PeerProcesses {
     peers: Rc<RefCell<Vec<Peer>>>,
     next: Rc<Cell<u64>>,
 }
 
-impl Peers {
+impl PeerProcesses {
     /// Adds a link.
-    pub fn join(&self, outbox: Outbox) -> PeerId {
-        let id = PeerId(self.next.get());
+    pub fn join(&self, outbox: FrameSender) -> PeerProcessId {
+        let id = PeerProcessId(self.next.get());
         self.next.set(id.0 + 1);
         self.peers.borrow_mut().push(Peer { id, outbox, names: HashSet::new() });
         id
     }
 
     /// A link has ended, and whatever was open there with it.
-    pub fn part(&self, id: PeerId) {
+    pub fn part(&self, id: PeerProcessId) {
         let mut peers = self.peers.borrow_mut();
         if let Some(at) = peers.iter().position(|peer| peer.id == id) {
             let gone = peers.remove(at);
             for name in gone.names {
-                peers.iter().for_each(|peer| peer.outbox.send(Frame::Closed(name.clone()), None));
+                peers
+                    .iter()
+                    .for_each(|peer| peer.outbox.send(HandoverFrame::RequestClosed(name.clone()), None));
             }
         }
     }
 
     /// The way to one of them.
-    pub fn outbox(&self, id: PeerId) -> Option<Outbox> {
+    pub fn outbox(&self, id: PeerProcessId) -> Option<FrameSender> {
         self.peers.borrow().iter().find(|peer| peer.id == id).map(|peer| peer.outbox.clone())
     }
 
@@ -66,30 +68,30 @@
     }
 
     /// Tells one what is open at the others; its own engine tells the rest.
-    pub fn introduce(&self, id: PeerId) {
+    pub fn introduce(&self, id: PeerProcessId) {
         let peers = self.peers.borrow();
         let Some(new) = peers.iter().find(|peer| peer.id == id) else { return };
         for name in peers.iter().filter(|peer| peer.id != id).flat_map(|peer| &peer.names) {
-            new.outbox.send(Frame::Opened(name.clone()), None);
+            new.outbox.send(HandoverFrame::RequestOpened(name.clone()), None);
         }
     }
 
     /// Says something to one of them.
-    pub fn tell(&self, id: PeerId, frame: Frame) {
+    pub fn tell(&self, id: PeerProcessId, frame: HandoverFrame) {
         if let Some(peer) = self.peers.borrow().iter().find(|peer| peer.id == id) {
             peer.outbox.send(frame, None);
         }
     }
 
     /// Says something to all but the one that it came from; whether there is such a one.
-    pub fn pass(&self, from: Option<PeerId>, frame: &Frame) -> bool {
+    pub fn pass(&self, from: Option<PeerProcessId>, frame: &HandoverFrame) -> bool {
         let peers = self.peers.borrow();
         let others = peers.iter().filter(|peer| Some(peer.id) != from);
         others.map(|peer| peer.outbox.send(frame.clone(), None)).count() > 0
     }
 
     /// One of them says that a transaction is open there, or is open no more.
-    pub fn note(&self, id: PeerId, name: Bytes, open: bool) {
+    pub fn note(&self, id: PeerProcessId, name: Bytes, open: bool) {
         if let Some(peer) = self.peers.borrow_mut().iter_mut().find(|peer| peer.id == id) {
             if open {
                 peer.names.insert(name.clone());
@@ -97,6 +99,9 @@
                 peer.names.remove(&name);
             }
         }
-        self.pass(Some(id), &if open { Frame::Opened(name) } else { Frame::Closed(name) });
+        self.pass(
+            Some(id),
+            &if open { HandoverFrame::RequestOpened(name) } else { HandoverFrame::RequestClosed(name) },
+        );
     }
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -7,13 +7,13 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::config::{Config, ConfigError, NoteAddresses};
+use crate::config::{Config, ConfigError, GossipAddresses};
 use crate::scheduling::interface::Settings;
-use crate::server::descriptor_budget::Shares;
-use crate::server::engine_queue::{Message, Queue};
-use crate::server::frontend::Front;
-use crate::server::peers::site_links::{Said, Sites};
-use crate::server::workers::endpoint::Dialer;
+use crate::server::descriptor_budget::DescriptorBudgets;
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
+use crate::server::frontend::Frontend;
+use crate::server::peers::site_links::{SiteLinkSettings, SiteLinks};
+use crate::server::workers::endpoint::WorkerConnector;
 
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
@@ -27,7 +27,7 @@
 pub mod operator {
     use std::path::{Path, PathBuf};
 
-    use crate::server::peers::site_links::{read_secret, GatewayError, Said};
+    use crate::server::peers::site_links::{read_secret, GatewayError, SiteLinkSettings};
 
     /// Why it cannot be used.
     #[derive(Debug, thiserror::Error)]
@@ -47,13 +47,13 @@
     ///
     /// # Errors
     /// Names the file, and each mistake with its place.
-    pub fn load(path: &Path) -> Result<Option<Said>, OperatorError> {
+    pub fn load(path: &Path) -> Result<Option<SiteLinkSettings>, OperatorError> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|error| OperatorError::File(path.into(), error))?;
         let file = chutesaddle_operator_config::read(&path.display().to_string(), &text)?;
         let Some(file) = file.gateway else { return Ok(None) };
         let secret = read_secret(&file.secret)?;
-        Ok(Some(Said { file, secret }))
+        Ok(Some(SiteLinkSettings { file, secret }))
     }
 }
 
@@ -64,7 +64,7 @@
     /// The operator's file, if there is one.
     pub operator: Option<PathBuf>,
     /// The links to other sites, if there are any.
-    pub sites: Option<Rc<Sites>>,
+    pub sites: Option<Rc<SiteLinks>>,
     /// What was told at the start and holds until the end.
     pub name: String,
     /// The same.
@@ -76,15 +76,15 @@
     /// Where discovery is followed.
     pub discovery: watch::Sender<SocketAddr>,
     /// The ways between the schedulers.
-    pub notes: watch::Sender<Option<NoteAddresses>>,
+    pub notes: watch::Sender<Option<GossipAddresses>>,
     /// The front, the way to the engine, and the bounds on connections to members.
-    pub front: Rc<Front>,
+    pub front: Rc<Frontend>,
     /// See `front`.
-    pub queue: Queue,
+    pub queue: EngineQueue,
     /// See `front`.
-    pub dialer: Rc<Dialer>,
+    pub dialer: Rc<WorkerConnector>,
     /// See `front`.
-    pub shares: Rc<Shares>,
+    pub shares: Rc<DescriptorBudgets>,
 }
 
 impl Reload {
@@ -108,27 +108,27 @@
 
     /// Takes up what can change in flight. The list that the file knows is older than what discovery has
     /// told since, and the seed is spent: both are passed over.
-    fn take(&mut self, config: Config, said: Option<Said>) {
+    fn take(&mut self, config: Config, said: Option<SiteLinkSettings>) {
         let (settings, mut kept) = self.settings.reconfigured(config.settings);
         kept.extend((config.name != self.name).then_some("name"));
         kept.extend((config.listen != self.listen).then_some("listen"));
-        kept.extend((config.ops != self.ops).then_some("ops"));
+        kept.extend((config.operator_listen != self.ops).then_some("ops"));
         match (&self.sites, said) {
             (Some(sites), Some(said)) => kept.extend(sites.configure(said)),
             (None, None) => {}
             _ => kept.push("gateway"),
         }
-        self.shares.configure(config.sockets);
+        self.shares.configure(config.descriptor_limit);
         self.dialer.configure(settings.connect_timeout_s, settings.connection_idle_timeout_s);
         // The engine takes these up before any transaction that the front numbers by them.
-        self.queue.send(Message::Settings(Box::new(settings.clone())));
+        self.queue.send(EngineMessage::SettingsChanged(Box::new(settings.clone())));
         self.front.configure(settings.clone());
         self.settings = settings;
         self.discovery
             .send_if_modified(|address| std::mem::replace(address, config.discovery) != config.discovery);
         self.notes.send_if_modified(|notes| {
-            *notes != config.notes && {
-                *notes = config.notes;
+            *notes != config.gossip && {
+                *notes = config.gossip;
                 true
             }
         });
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::scheduling::state::RequestRecord;
-use crate::server::attempt_end::ConnectionEnd;
+use crate::server::attempt_end::AttemptEnd;
 
 /// A number for a name that is the same in every scheduler, whatever its build: what all choose by it, they
 /// choose alike.
@@ -29,7 +29,7 @@
 
 /// What a flow sends: passed on as the client wrote it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Payload {
+pub struct RequestPayload {
     /// `X-Request-Id`, by which the member's call-backs name the transaction.
     pub name: Bytes,
     /// The target of the request line.
@@ -44,7 +44,7 @@
 
 /// A job that a client wants done, as a front hands it over.
 #[derive(Debug)]
-pub struct Transaction {
+pub struct ClientRequest {
     /// Index into [`Settings::classes`].
     pub class: usize,
     /// Index into [`Settings::tenants`].
@@ -56,129 +56,129 @@
     /// Memory it needs.
     pub memory: f64,
     /// Its expected work in seconds, if the client gave a hint.
-    pub hint: Option<f64>,
+    pub estimated_work_s: Option<f64>,
     /// The number of what it concerns, if the path names that.
-    pub object: Option<u64>,
+    pub affinity_key: Option<u64>,
     /// What goes to the member.
-    pub payload: Payload,
+    pub payload: RequestPayload,
     /// Where it came from, if it crossed from another site.
     pub origin: Option<Origin>,
 }
 
 /// The one final answer to a transaction.
 #[derive(Debug)]
-pub enum Reply {
+pub enum FinalAnswer {
     /// The result that a member gave.
     Served(Bytes),
     /// Rejected: trying again is harmless, best after this many seconds.
     Rejected {
         /// 0 for no advice.
-        hold_off_s: f64,
+        retry_after_s: f64,
     },
     /// Rejected, and nothing of it has run: said to the site that it came from, and to nobody else.
-    Returned,
+    RejectedUnstarted,
     /// Failed; it may have run.
     Failed,
     /// Not taken: its id is in use by a transaction that is still open.
-    Duplicate,
+    DuplicateId,
     /// Its client waits on: the process that has taken over is to answer.
-    Moved(Box<Moved>),
+    Migrated(Box<MigratedRequest>),
 }
 
-impl Reply {
+impl FinalAnswer {
     /// Its name in the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Reply::Served(_) => "served",
-            Reply::Rejected { .. } => "rejected",
-            Reply::Returned => "returned",
-            Reply::Failed => "failed",
-            Reply::Duplicate => "duplicate",
-            Reply::Moved(_) => "moved",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected { .. } => "rejected",
+            FinalAnswer::RejectedUnstarted => "returned",
+            FinalAnswer::Failed => "failed",
+            FinalAnswer::DuplicateId => "duplicate",
+            FinalAnswer::Migrated(_) => "moved",
         }
     }
 }
 
 /// What a member tells of a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum News {
+pub enum CallbackEvent {
     /// It has begun.
     Started,
     /// So much of it is done.
     Progress(f64),
     /// It is done, with this result.
-    Done(Bytes),
+    Completed(Bytes),
     /// It has ended in another way.
-    Ended(ConnectionEnd),
+    Ended(AttemptEnd),
 }
 
 /// News of a job, with the names that the member knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CallBack {
+pub struct WorkerCallback {
     /// The transaction's name.
-    pub name: Bytes,
+    pub request_name: Bytes,
     /// The member's name.
-    pub from: String,
+    pub worker_name: String,
     /// What it tells.
-    pub news: News,
+    pub event: CallbackEvent,
     /// Its load report, by name.
-    pub load: Vec<(String, f64)>,
+    pub load_report: Vec<(String, f64)>,
 }
 
 /// How a call-back came here from another process.
 #[derive(Clone, Copy, Debug)]
-pub struct Passed {
+pub struct CallbackRelay {
     /// The process that it came from.
-    pub from: PeerId,
+    pub from: PeerProcessId,
     /// How often it has been passed on.
-    pub hops: u8,
+    pub relays: u8,
 }
 
 /// What the engine tells a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum AttemptCommand {
     /// The job has ended: finish the exchange, if it goes quickly.
-    Settle,
+    Finish,
     /// Give the job up.
-    Withdraw,
+    Cancel,
     /// Leave the job alone: another process sees to it from now on.
-    Release,
+    Detach,
 }
 
 /// On which side of an upgrade another process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum ProcessRole {
     /// It is replaced by this one.
-    Old,
+    Predecessor,
     /// It replaces this one.
-    New,
+    Successor,
 }
 
 /// A transaction on its way to another process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Moved {
+pub struct MigratedRequest {
     pub(super) class: usize,
-    pub(super) hint: Option<f64>,
+    pub(super) estimated_work_s: Option<f64>,
     /// Time to its deadline.
-    pub left: Duration,
-    pub(super) attempts: Vec<MovedAttempt>,
+    pub time_left: Duration,
+    pub(super) attempts: Vec<MigratedAttempt>,
     /// What the decision module knows of it.
     pub(super) record: RequestRecord,
     /// What goes to members.
-    pub payload: Payload,
+    pub payload: RequestPayload,
 }
 
 /// An attempt of it, which is over or has been taken by the member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct MovedAttempt {
-    pub(super) member: String,
+pub(super) struct MigratedAttempt {
+    pub(super) worker_name: String,
     pub(super) address: Option<SocketAddr>,
     pub(super) open: bool,
 }
 
 /// Names a link for as long as it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerId(pub(super) u64);
+pub struct PeerProcessId(pub(super) u64);
 
 #[cfg(test)]
 mod tests {
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::server::attempt_end::ConnectionEnd;
+use crate::server::attempt_end::AttemptEnd;
 
 /// A number that only grows.
 #[derive(Default)]
@@ -120,8 +120,8 @@
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Server-side flows by how they ended, in the order of [`ConnectionEnd::ALL`].
-            pub ends: [Counter; ConnectionEnd::ALL.len()],
+            /// Server-side flows by how they ended, in the order of [`AttemptEnd::ALL`].
+            pub ends: [Counter; AttemptEnd::ALL.len()],
             /// By class, in the order of the settings.
             classes: RefCell<Vec<Rc<ClassCounters>>>,
             /// Of the gateway to other sites.
@@ -259,7 +259,7 @@
     }
 
     /// Counts the end of a flow.
-    pub fn ended(&self, end: ConnectionEnd) {
+    pub fn ended(&self, end: AttemptEnd) {
         self.ends[end as usize].add();
     }
 }
@@ -269,7 +269,7 @@
         for (name, value) in self.plain() {
             writeln!(f, "{name} {value}")?;
         }
-        for (end, counter) in ConnectionEnd::ALL.iter().zip(&self.ends) {
+        for (end, counter) in AttemptEnd::ALL.iter().zip(&self.ends) {
             writeln!(f, "flows_ended_{} {}", end.name(), counter.get())?;
         }
         Ok(())
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -10,9 +10,9 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::config::NoteAddresses;
+use crate::config::GossipAddresses;
 use crate::scheduling::gossip::{is_note, MOST_BYTES};
-use crate::server::engine_queue::{Message, Queue};
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::Phase;
 use crate::server::metrics::Counters;
 
@@ -20,32 +20,32 @@
 const TRY_AGAIN: Duration = Duration::from_millis(100);
 
 /// Where the engine puts its notes. The newest one tells all, so that it takes the place of one that still waits.
-pub type Outbox = watch::Sender<Vec<u8>>;
+pub type GossipSender = watch::Sender<Vec<u8>>;
 
 /// The way that notes take.
-pub struct Datagrams {
+pub struct GossipTransport {
     notes: watch::Receiver<Vec<u8>>,
-    queue: Queue,
+    queue: EngineQueue,
     counters: Rc<Counters>,
     phase: watch::Receiver<Phase>,
-    addresses: watch::Receiver<Option<NoteAddresses>>,
+    addresses: watch::Receiver<Option<GossipAddresses>>,
 }
 
 /// A place for the engine's notes, and where they come out of it.
-pub fn outbox() -> (Outbox, watch::Receiver<Vec<u8>>) {
+pub fn outbox() -> (GossipSender, watch::Receiver<Vec<u8>>) {
     watch::channel(Vec::new())
 }
 
-impl Datagrams {
+impl GossipTransport {
     /// Carries `notes` out and what comes in to the queue, by the addresses that hold at the time.
     pub fn new(
         notes: watch::Receiver<Vec<u8>>,
-        queue: Queue,
+        queue: EngineQueue,
         counters: Rc<Counters>,
         phase: watch::Receiver<Phase>,
-        addresses: watch::Receiver<Option<NoteAddresses>>,
+        addresses: watch::Receiver<Option<GossipAddresses>>,
     ) -> Self {
-        Datagrams { notes, queue, counters, phase, addresses }
+        GossipTransport { notes, queue, counters, phase, addresses }
     }
 
     /// Runs for good. Only one of the processes of an upgrade has the socket: the one that serves.
@@ -98,9 +98,9 @@
 /// Sends and receives until receiving fails.
 async fn carry(
     socket: &UdpSocket,
-    addresses: &NoteAddresses,
+    addresses: &GossipAddresses,
     notes: &mut watch::Receiver<Vec<u8>>,
-    queue: &Queue,
+    queue: &EngineQueue,
     counters: &Counters,
 ) -> io::Error {
     let mut bytes = [0; MOST_BYTES + 1]; // one more than any: what is cut off there is too long
@@ -123,7 +123,7 @@
                         continue;
                     };
                     counters.notes_heard.add();
-                    queue.send(Message::Note(from, note.to_vec()));
+                    queue.send(EngineMessage::GossipReceived(from, note.to_vec()));
                 }
             },
         }
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -19,9 +19,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::server::engine_queue::{Message, Queue};
+use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::{Lifecycle, Phase};
-use crate::server::peers::site_messages::{Heard, LinkInbox, LinkOutbox};
+use crate::server::peers::site_messages::{LinkInbox, LinkOutbox, SiteLinkEvent};
 
 /// Callers that may be greeting at a time; one more is closed at once.
 const GREETING: usize = 32;
@@ -77,7 +77,7 @@
 
 /// What the operator has said, with the secret.
 #[derive(Clone)]
-pub struct Said {
+pub struct SiteLinkSettings {
     /// The file.
     pub file: GatewayFile,
     /// What its `secret-file` holds.
@@ -85,12 +85,12 @@
 }
 
 /// All links of one process.
-pub struct Sites {
-    said: watch::Sender<Rc<Said>>,
+pub struct SiteLinks {
+    said: watch::Sender<Rc<SiteLinkSettings>>,
     instance: Instance,
     /// Where the clock of the links and of the decisions begins.
     origin: Instant,
-    queue: Queue,
+    queue: EngineQueue,
     lifecycle: Rc<Lifecycle>,
     next: Cell<u64>,
     /// Peers that a task sees to: a second one for the same would take the link from the first for good.
@@ -98,18 +98,18 @@
     greeting: Cell<usize>,
 }
 
-impl Sites {
+impl SiteLinks {
     /// The links that the operator has asked for.
     pub fn new(
-        said: Said,
+        said: SiteLinkSettings,
         instance: Instance,
         origin: Instant,
-        queue: Queue,
+        queue: EngineQueue,
         lifecycle: Rc<Lifecycle>,
     ) -> Rc<Self> {
         let said = watch::Sender::new(Rc::new(said));
         let (next, greeting, dialling) = (Cell::new(0), Cell::new(0), RefCell::default());
-        Rc::new(Sites { said, instance, origin, queue, lifecycle, next, dialling, greeting })
+        Rc::new(SiteLinks { said, instance, origin, queue, lifecycle, next, dialling, greeting })
     }
 
     /// Begins to dial and to take calls.
@@ -130,20 +130,20 @@
     }
 
     /// Takes up what the operator says now; what cannot change in flight is named.
-    pub fn configure(self: &Rc<Self>, said: Said) -> Vec<&'static str> {
+    pub fn configure(self: &Rc<Self>, said: SiteLinkSettings) -> Vec<&'static str> {
         let old = Rc::clone(&self.said.borrow());
         let mut kept = Vec::new();
         kept.extend((said.file.site != old.file.site).then_some("gateway site"));
         kept.extend((said.file.listen != old.file.listen).then_some("gateway listen"));
         let file = GatewayFile { site: old.file.site.clone(), listen: old.file.listen, ..said.file };
-        self.tell(Heard::Configure(Box::new(file.decisions.clone())));
-        self.said.send_replace(Rc::new(Said { file, secret: said.secret }));
+        self.tell(SiteLinkEvent::Configure(Box::new(file.decisions.clone())));
+        self.said.send_replace(Rc::new(SiteLinkSettings { file, secret: said.secret }));
         self.dial_all();
         kept
     }
 
-    fn tell(&self, heard: Heard) {
-        self.queue.send(Message::Gateway(Box::new(heard)));
+    fn tell(&self, heard: SiteLinkEvent) {
+        self.queue.send(EngineMessage::SiteLink(Box::new(heard)));
     }
 
     fn now(&self) -> Duration {
@@ -160,7 +160,7 @@
         let mut phase = self.lifecycle.watch();
         loop {
             let serves = *phase.borrow_and_update() == Phase::Serving;
-            self.tell(Heard::Drain(!serves));
+            self.tell(SiteLinkEvent::Drain(!serves));
             if phase.changed().await.is_err() {
                 return;
             }
@@ -272,7 +272,7 @@
     async fn connect(
         &self,
         address: SocketAddr,
-        said: &Said,
+        said: &SiteLinkSettings,
     ) -> Result<(TcpStream, Box<Link>, Peer), GatewayError> {
         let stream = timeout(said.file.link.greeting, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| GatewayError::Link(LinkError::Slow))??;
@@ -284,7 +284,7 @@
     async fn greet<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         mut stream: S,
-        said: &Said,
+        said: &SiteLinkSettings,
         dialled: bool,
     ) -> Result<(S, Box<Link>, Peer), GatewayError> {
         let mut nonce = [0; 16];
@@ -328,9 +328,9 @@
         let id = self.link_id();
         let (outbox, inbox) = LinkOutbox::pair();
         let (site, instance) = (peer.site.clone(), peer.instance);
-        self.tell(Heard::Up { link: id, site, instance, dialled, outbox });
+        self.tell(SiteLinkEvent::Up { link: id, site, instance, dialled, outbox });
         let why = self.carry(&mut stream, &mut link, id, inbox, moved).await;
-        self.tell(Heard::Down(id));
+        self.tell(SiteLinkEvent::Down(id));
         if !matches!(why, GatewayError::Io(_) | GatewayError::Link(LinkError::Bye(_))) {
             // The other end's log should say why, too; it may be gone, or take nothing any more.
             let _ = link.send(&Frame::Bye(why.to_string()));
@@ -376,7 +376,7 @@
                             *at += bytes;
                             if *at == transmit.bytes.len() {
                                 if let Some(offer) = transmit.offers {
-                                    self.tell(Heard::Written(id, offer));
+                                    self.tell(SiteLinkEvent::Written(id, offer));
                                 }
                                 writing = None;
                             }
@@ -391,7 +391,7 @@
                         let taken = link.input(self.now(), &read, &mut frames);
                         read.clear();
                         for frame in frames.drain(..) {
-                            self.tell(Heard::Said(id, frame));
+                            self.tell(SiteLinkEvent::SiteLinkSettings(id, frame));
                         }
                         taken.map_err(GatewayError::from)
                     }
@@ -412,7 +412,7 @@
             match (link.round_trip(), round_trip) {
                 (Some(new), old) if old.is_none_or(|old| differs(new, old)) => {
                     round_trip = Some(new);
-                    self.tell(Heard::RoundTrip(id, new));
+                    self.tell(SiteLinkEvent::RoundTrip(id, new));
                 }
                 _ => {}
             }
@@ -421,7 +421,7 @@
 }
 
 /// Changes of the settings, and the name and address for which a link was dialled.
-type Moved = (watch::Receiver<Rc<Said>>, (String, SocketAddr));
+type Moved = (watch::Receiver<Rc<SiteLinkSettings>>, (String, SocketAddr));
 
 /// Ends when the operator names another address for the peer. One that is listed no more keeps its link until
 /// the decisions close it.
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -6,7 +6,7 @@
 use chutesaddle_site_link::Frame;
 use tokio::sync::mpsc;
 
-use crate::server::messages::Reply;
+use crate::server::messages::FinalAnswer;
 
 /// Frames that may wait for a link's task. What waits behind it is bounded in bytes by the link.
 const FRAMES: usize = 4096;
@@ -33,7 +33,7 @@
 
 /// What the engine hears of other sites.
 #[derive(Debug)]
-pub enum Heard {
+pub enum SiteLinkEvent {
     /// A link is up.
     Up {
         /// Its number.
@@ -50,13 +50,13 @@
     /// It has ended.
     Down(LinkId),
     /// Something was said on it.
-    Said(LinkId, Frame),
+    SiteLinkSettings(LinkId, Frame),
     /// The last byte of an offer is written.
     Written(LinkId, u64),
     /// The time there and back has been measured.
     RoundTrip(LinkId, Duration),
     /// A transaction that came in has its answer.
-    Answered(Origin, Reply),
+    Answered(Origin, FinalAnswer),
     /// Whether this process empties itself.
     Drain(bool),
     /// The operator's settings have changed.
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -5,32 +5,32 @@
 
 use tokio::time::timeout;
 
-use crate::server::attempt_end::ConnectionEnd;
+use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::{Connection, HttpError};
 use crate::server::load_report::{from_body, Report};
-use crate::server::workers::endpoint::{Member, Use};
+use crate::server::workers::endpoint::{Use, WorkerEndpoint};
 
 /// Asks a member once, within the time in which a connection has to come up. The report is empty where it sends
 /// none. A connection that got no whole answer is closed.
-pub async fn probe(member: Rc<Member>, reports: bool) -> (ConnectionEnd, Report) {
-    let mut connection = match Member::connection(&member, Use::Job).await {
+pub async fn probe(member: Rc<WorkerEndpoint>, reports: bool) -> (AttemptEnd, Report) {
+    let mut connection = match WorkerEndpoint::connection(&member, Use::Job).await {
         Ok(connection) => connection,
         Err(end) => return (end, Report::new()),
     };
     let end = match timeout(member.patience(), ask(&mut connection.http, reports)).await {
-        Err(_) => ConnectionEnd::DeadlinePassed,
+        Err(_) => AttemptEnd::DeadlinePassed,
         Ok(Ok((status, body, keep))) => {
             if keep {
                 member.keep(connection);
             }
-            let end = if status == 200 { ConnectionEnd::Done } else { ConnectionEnd::Returned };
+            let end = if status == 200 { AttemptEnd::Completed } else { AttemptEnd::RejectedByWorker };
             return (end, from_body(body));
         }
         Ok(Err(HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong)) => {
-            ConnectionEnd::Garbled
+            AttemptEnd::MalformedResponse
         }
-        Ok(Err(_)) if member.is_stale(&connection) => ConnectionEnd::Stale,
-        Ok(Err(_)) => ConnectionEnd::BrokeWaiting,
+        Ok(Err(_)) if member.is_stale(&connection) => AttemptEnd::StaleConnection,
+        Ok(Err(_)) => AttemptEnd::ResetWhileWaiting,
     };
     (end, Report::new())
 }
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -7,8 +7,8 @@
 
 use tokio::time::{timeout, Instant};
 
-use crate::server::attempt_end::ConnectionEnd;
-use crate::server::descriptor_budget::{Budget, Share};
+use crate::server::attempt_end::AttemptEnd;
+use crate::server::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::server::http::Connection;
 use crate::server::metrics::Counters;
 
@@ -25,9 +25,9 @@
 const NO_DESCRIPTOR: [i32; 2] = [24, 23];
 
 /// What all members share: the bounds on connections.
-pub struct Dialer {
+pub struct WorkerConnector {
     /// Descriptors that connections to members may hold.
-    budget: Rc<Budget>,
+    budget: Rc<DescriptorBudget>,
     connect_timeout: Cell<Duration>,
     /// A kept connection is closed after this, well before the member would.
     idle: Cell<Duration>,
@@ -37,11 +37,17 @@
     counters: Rc<Counters>,
 }
 
-impl Dialer {
+impl WorkerConnector {
     /// For connections within `budget` to members that close theirs after `conn_idle_s`.
-    pub fn new(budget: Rc<Budget>, connect_timeout_s: f64, conn_idle_s: f64, counters: Rc<Counters>) -> Self {
+    pub fn new(
+        budget: Rc<DescriptorBudget>,
+        connect_timeout_s: f64,
+        conn_idle_s: f64,
+        counters: Rc<Counters>,
+    ) -> Self {
         let (connect_timeout, idle) = (Cell::default(), Cell::default());
-        let dialer = Dialer { budget, connect_timeout, idle, fresh: Cell::new(Duration::MAX), counters };
+        let dialer =
+            WorkerConnector { budget, connect_timeout, idle, fresh: Cell::new(Duration::MAX), counters };
         dialer.configure(connect_timeout_s, conn_idle_s);
         dialer
     }
@@ -69,13 +75,13 @@
 }
 
 /// A connection to a member, good for one request at a time.
-pub struct MemberConnection {
+pub struct WorkerConnection {
     /// The connection.
     pub http: Connection,
     address: SocketAddr,
     /// For how long it stood idle before this use; `None` if it is new.
     idle: Option<Duration>,
-    _share: Share,
+    _share: DescriptorPermit,
 }
 
 /// What a connection is wanted for.
@@ -88,24 +94,24 @@
 }
 
 /// One member of the pool.
-pub struct Member {
+pub struct WorkerEndpoint {
     /// Its name in the pool.
     pub name: String,
     address: Cell<SocketAddr>,
     active: Cell<bool>,
     started_s: Cell<f64>,
-    kept: RefCell<Vec<(Instant, MemberConnection)>>,
+    kept: RefCell<Vec<(Instant, WorkerConnection)>>,
     /// Jobs of this scheduler that the member has taken.
     held: Cell<usize>,
     /// Spare connections that are coming up.
     opening: Cell<usize>,
-    dialer: Rc<Dialer>,
+    dialer: Rc<WorkerConnector>,
 }
 
-impl Member {
+impl WorkerEndpoint {
     /// A member that takes no work until the pool has said where it is.
-    pub fn new(name: String, address: SocketAddr, dialer: Rc<Dialer>) -> Self {
-        Member {
+    pub fn new(name: String, address: SocketAddr, dialer: Rc<WorkerConnector>) -> Self {
+        WorkerEndpoint {
             name,
             address: Cell::new(address),
             active: Cell::new(false),
@@ -151,7 +157,7 @@
     ///
     /// # Errors
     /// Why there is none; nothing was sent then.
-    pub async fn connection(this: &Rc<Self>, wanted: Use) -> Result<MemberConnection, ConnectionEnd> {
+    pub async fn connection(this: &Rc<Self>, wanted: Use) -> Result<WorkerConnection, AttemptEnd> {
         this.prune();
         loop {
             // The last one is the one that was in use last.
@@ -170,21 +176,21 @@
     }
 
     /// Whether a connection that broke before anything came was a kept one; what that teaches is noted.
-    pub fn is_stale(&self, connection: &MemberConnection) -> bool {
+    pub fn is_stale(&self, connection: &WorkerConnection) -> bool {
         connection.idle.inspect(|&idle| self.dialer.was_stale(idle)).is_some()
     }
 
-    async fn connect(&self) -> Result<MemberConnection, ConnectionEnd> {
-        let share = Budget::take(&self.dialer.budget).ok_or(ConnectionEnd::NoDescriptor)?;
+    async fn connect(&self) -> Result<WorkerConnection, AttemptEnd> {
+        let share = DescriptorBudget::take(&self.dialer.budget).ok_or(AttemptEnd::NoDescriptor)?;
         let address = self.address.get();
         self.dialer.counters.member_connects.add();
         match timeout(self.dialer.patience(), Connection::connect(address)).await {
-            Ok(Ok(http)) => Ok(MemberConnection { http, address, idle: None, _share: share }),
+            Ok(Ok(http)) => Ok(WorkerConnection { http, address, idle: None, _share: share }),
             Ok(Err(error)) if error.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e)) => {
-                Err(ConnectionEnd::NoDescriptor)
+                Err(AttemptEnd::NoDescriptor)
             }
-            Ok(Err(_)) => Err(ConnectionEnd::ConnectRefused),
-            Err(_) => Err(ConnectionEnd::ConnectTimedOut),
+            Ok(Err(_)) => Err(AttemptEnd::ConnectRefused),
+            Err(_) => Err(AttemptEnd::ConnectTimedOut),
         }
     }
 
@@ -213,7 +219,7 @@
     }
 
     /// Keeps a connection whose last answer has been read whole.
-    pub fn keep(&self, connection: MemberConnection) {
+    pub fn keep(&self, connection: WorkerConnection) {
         let mut kept = self.kept.borrow_mut();
         if connection.address == self.address.get() && connection.http.is_quiet() {
             if kept.len() >= KEPT {
@@ -231,7 +237,7 @@
 }
 
 /// A job that the member has taken.
-pub struct Held(Rc<Member>);
+pub struct Held(Rc<WorkerEndpoint>);
 
 impl Drop for Held {
     fn drop(&mut self) {
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 use chutesaddle::scheduling::interface::AttemptOutcome;
-use chutesaddle::server::attempt_end::ConnectionEnd;
-use chutesaddle::server::descriptor_budget::Budget;
-use chutesaddle::server::messages::{Order, Payload};
+use chutesaddle::server::attempt_end::AttemptEnd;
+use chutesaddle::server::descriptor_budget::DescriptorBudget;
+use chutesaddle::server::messages::{AttemptCommand, RequestPayload};
 use chutesaddle::server::metrics::Counters;
-use chutesaddle::server::workers::attempt::Flow;
-use chutesaddle::server::workers::endpoint::{Dialer, Member};
+use chutesaddle::server::workers::attempt::AttemptTask;
+use chutesaddle::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -19,13 +19,18 @@
 use tokio::time::{timeout, Instant};
 
 /// A flow to a member at `address`, and the engine's end of it.
-fn flow(address: SocketAddr, active: bool, descriptors: usize) -> (Flow, oneshot::Sender<Order>) {
+fn flow(
+    address: SocketAddr,
+    active: bool,
+    descriptors: usize,
+) -> (AttemptTask, oneshot::Sender<AttemptCommand>) {
     let counters = Rc::new(Counters::default());
-    let dialer = Rc::new(Dialer::new(Budget::new(descriptors), 0.3, 60.0, Rc::clone(&counters)));
-    let member = Rc::new(Member::new("m1".into(), address, dialer));
+    let dialer =
+        Rc::new(WorkerConnector::new(DescriptorBudget::new(descriptors), 0.3, 60.0, Rc::clone(&counters)));
+    let member = Rc::new(WorkerEndpoint::new("m1".into(), address, dialer));
     member.update(address, active, 0.0);
     let bytes = Bytes::from_static;
-    let payload = Payload {
+    let payload = RequestPayload {
         name: bytes(b"r1"),
         target: bytes(b"/a"),
         key: None,
@@ -35,14 +40,14 @@
     let (sender, order) = oneshot::channel();
     let deadline = Instant::now() + Duration::from_secs(60);
     (
-        Flow {
-            member,
+        AttemptTask {
+            worker: member,
             payload: Rc::new(payload),
             deadline,
-            order,
+            command: order,
             counters,
             class: Rc::default(),
-            taken: Rc::default(),
+            accepted: Rc::default(),
         },
         sender,
     )
@@ -50,10 +55,10 @@
 
 /// Rule 3: the connect takes time, and the member may have been told to drain meanwhile.
 #[rstest]
-#[case::it_drains_now(false, 8, ConnectionEnd::MemberInactive)]
-#[case::no_descriptor_is_left(true, 0, ConnectionEnd::NoDescriptor)]
+#[case::it_drains_now(false, 8, AttemptEnd::WorkerInactive)]
+#[case::no_descriptor_is_left(true, 0, AttemptEnd::NoDescriptor)]
 #[tokio::test]
-async fn nothing_is_written(#[case] active: bool, #[case] descriptors: usize, #[case] end: ConnectionEnd) {
+async fn nothing_is_written(#[case] active: bool, #[case] descriptors: usize, #[case] end: AttemptEnd) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (flow, _order) = flow(listener.local_addr().unwrap(), active, descriptors);
     let ended = flow.run().await; // drops the member, and with it the connection
@@ -70,8 +75,8 @@
 async fn what_is_given_up_before_it_begins_is_never_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (flow, order) = flow(listener.local_addr().unwrap(), true, 8);
-    order.send(Order::Withdraw).unwrap();
-    assert_eq!(flow.run().await, (ConnectionEnd::WithdrawnUnsent, None));
+    order.send(AttemptCommand::Cancel).unwrap();
+    assert_eq!(flow.run().await, (AttemptEnd::CancelledUnsent, None));
 }
 
 /// A machine that is cut off answers no connect at all: here one whose backlog is full.
@@ -86,32 +91,29 @@
         filling.push(stream.unwrap());
     }
     let (flow, _order) = flow(address, true, 8);
-    assert_eq!(flow.run().await, (ConnectionEnd::ConnectTimedOut, None));
+    assert_eq!(flow.run().await, (AttemptEnd::ConnectTimedOut, None));
 }
 
 /// Rule 2 rests on this: only what certainly never left this machine whole proves that the job never ran.
 #[test]
 fn only_unsent_or_returned_jobs_never_ran() {
-    let never_ran = |end: &ConnectionEnd| {
+    let never_ran = |end: &AttemptEnd| {
         matches!(
             end.outcome(),
             AttemptOutcome::RejectedByWorker | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         )
     };
-    let found: Vec<_> = ConnectionEnd::ALL.into_iter().filter(never_ran).collect();
-    use ConnectionEnd::*;
+    let found: Vec<_> = AttemptEnd::ALL.into_iter().filter(never_ran).collect();
+    use AttemptEnd::*;
     let expected = [
-        Returned,
+        RejectedByWorker,
         ConnectRefused,
         ConnectTimedOut,
         NoDescriptor,
-        BrokeSending,
-        WithdrawnUnsent,
-        MemberInactive,
+        ResetWhileSending,
+        CancelledUnsent,
+        WorkerInactive,
     ];
     assert_eq!(found, expected);
-    assert!(
-        ConnectionEnd::ALL.iter().enumerate().all(|(i, end)| *end as usize == i),
-        "counters are in order"
-    );
+    assert!(AttemptEnd::ALL.iter().enumerate().all(|(i, end)| *end as usize == i), "counters are in order");
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::config::endpoint_list::MemberState;
+use chutesaddle::config::endpoint_list::EndpointState;
 use chutesaddle::config::Config;
 use chutesaddle::scheduling::interface::*;
 use common::*;
@@ -29,7 +29,7 @@
 fn nested_settings_reach_the_one_settings_type() {
     let config = read(TEXT).unwrap();
     let s = &config.settings;
-    assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 512));
+    assert_eq!((config.seed, config.descriptor_limit), (0x8c1f_30d2_7a5b_e964, 512));
     assert_eq!((s.scheduler_count, s.scheduler_index, s.event_interval_s), (3, 2, 0.005));
     assert_eq!((s.classes[0].name.as_str(), s.classes[0].idempotency), ("draw_map", Idempotency::WithKey));
     assert_eq!((s.classes[0].objective_per_work, s.classes[0].required_kind), (2.5, None));
@@ -43,10 +43,10 @@
 /// Once, every scheduler crashed on reading its first list: the last entry was cut short by a node.
 #[test]
 fn the_known_pool_is_read_to_its_last_entry() {
-    let known = read(TEXT).unwrap().known;
-    assert_eq!((known.version, known.full, known.unreadable), (41, true, 1));
-    let members: Vec<_> = known.members.iter().map(|m| (m.name.as_str(), m.state, m.started_s)).collect();
-    assert_eq!(members, [("s-1", MemberState::Active, 1.5), ("s-3", MemberState::Leaving, 0.0)]);
+    let known = read(TEXT).unwrap().known_endpoints;
+    assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (41, true, 1));
+    let members: Vec<_> = known.entries.iter().map(|m| (m.name.as_str(), m.state, m.started_s)).collect();
+    assert_eq!(members, [("s-1", EndpointState::Active, 1.5), ("s-3", EndpointState::Draining, 0.0)]);
 }
 
 const WAYS: &str = r#""peer_listen":"127.0.0.1:7946","peers":["127.0.0.2:1","127.0.0.3:1"],
@@ -60,9 +60,9 @@
         [(TEXT, false), (&with_ways, false), (&allowed(TEXT), false), (&allowed(&with_ways), true)]
     {
         let config = read(text).unwrap();
-        assert_eq!((config.settings.gossip_allowed, config.notes.is_some()), (both, both));
+        assert_eq!((config.settings.gossip_allowed, config.gossip.is_some()), (both, both));
     }
-    let ways = read(&allowed(&with_ways)).unwrap().notes.unwrap();
+    let ways = read(&allowed(&with_ways)).unwrap().gossip.unwrap();
     assert_eq!((ways.peers.len(), ways.all.port(), ways.listen.port()), (2, 1, 7946));
     for (from, to, named) in [
         ("127.0.0.3:1", "nowhere", "peers"),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use chutesaddle::scheduling::interface::*;
-use chutesaddle::server::attempt_end::ConnectionEnd;
+use chutesaddle::server::attempt_end::AttemptEnd;
 use common::*;
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
 
 /// Plays one cell; cells of workers go by odd and even numbers, so 3 is in the group of 1 and 2 is not: what follows an attempt of this class at worker 1 that ended so. `moved`: the request goes
 /// over to another process right after.
-fn follows(end: ConnectionEnd, class: usize, other: u64, moved: bool) -> &'static str {
+fn follows(end: AttemptEnd, class: usize, other: u64, moved: bool) -> &'static str {
     let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
     b.send(Event::RequestReceived(request(1, class, b.now)));
     assert_eq!(routes(&b.run(0.2)), [(1, 1)], "the first attempt");
@@ -25,7 +25,7 @@
     let entries = vec![WorkerInfo { state: WorkerState::Draining, ..worker(1) }, worker(other)];
     b.send(Event::WorkersListed { whole: false, cached: false, entries: entries.clone() });
     let mut actions = b.end(1, 0, end.outcome());
-    if end == ConnectionEnd::Done {
+    if end == AttemptEnd::Completed {
         assert!(routes(&b.run(30.0)).is_empty(), "it is over");
         return "served";
     }
@@ -49,8 +49,8 @@
 #[rstest]
 fn what_follows_each_end(#[values(false, true)] moved: bool) {
     let table = table();
-    assert_eq!(table.len(), ConnectionEnd::ALL.len());
-    for end in ConnectionEnd::ALL {
+    assert_eq!(table.len(), AttemptEnd::ALL.len());
+    for end in AttemptEnd::ALL {
         let row =
             table.iter().find(|row| row.0 == end.name()).unwrap_or_else(|| panic!("{end:?} has no row"));
         let unrun = end.outcome().proves_not_executed();
@@ -76,7 +76,7 @@
         assert_eq!(routes(&b.run(0.2)).len(), 1);
         let draining = WorkerInfo { state: WorkerState::Draining, ..worker(1) };
         b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(3)] });
-        let mut second = b.end(1, 0, ConnectionEnd::BrokeWaiting.outcome());
+        let mut second = b.end(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
         second.extend(b.run(0.3));
         if class != 1 {
             let to = routes(&second)[0].1;
@@ -85,7 +85,7 @@
                 [worker(other), draining.clone(), WorkerInfo { state: WorkerState::Draining, ..worker(3) }];
             b.send(Event::WorkersListed { whole: false, cached: false, entries: gone[1..].to_vec() });
             b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(2)] });
-            b.end(1, 1, ConnectionEnd::ConnectRefused.outcome());
+            b.end(1, 1, AttemptEnd::ConnectRefused.outcome());
             assert_eq!(!routes(&b.run(30.0)).is_empty(), again, "class {class}");
         } else {
             assert!(routes(&second).is_empty() && routes(&b.run(30.0)).is_empty());
@@ -94,12 +94,12 @@
 }
 
 #[rstest]
-#[case::that_must_run_once(1, 1, ConnectionEnd::Failed, true)]
-#[case::that_has_had_all_its_attempts(0, 4, ConnectionEnd::Failed, false)]
+#[case::that_must_run_once(1, 1, AttemptEnd::Failed, true)]
+#[case::that_has_had_all_its_attempts(0, 4, AttemptEnd::Failed, false)]
 fn a_request_for_which_nothing_can_be_done_is_answered_at_once(
     #[case] class: usize,
     #[case] attempts: usize,
-    #[case] end: ConnectionEnd,
+    #[case] end: AttemptEnd,
     #[case] fails: bool,
 ) {
     // Held for a worker that it could not be sent to, it was answered after its aim; where late answers have a
