--- /dev/null
+++ b/src/server/engine/attempts.rs
@@ -0,0 +1,165 @@
+//! Attempts: how one is sent, cancelled and ended, and how a worker is asked for its capacity.
+//!
+//! The engine keeps a number and a state for each attempt; the exchange with the worker is a task of its own
+//! ([`crate::server::workers::attempt`]), which reports its end through the engine's queue. A callback may
+//! have ended the attempt before, in which case the task's report is ignored.
+
+use std::cell::Cell;
+use std::future::Future;
+use std::rc::Rc;
+
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+
+use super::request_table::{Attempt, AttemptChange};
+use super::Engine;
+use crate::scheduling::interface::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
+use crate::server::attempt_end::AttemptEnd;
+use crate::server::engine_queue::EngineMessage;
+use crate::server::lifecycle::handover_frames::HandoverFrame;
+use crate::server::load_report::Report;
+use crate::server::workers::attempt::AttemptTask;
+use crate::server::workers::capacity_probe::probe;
+
+/// How an attempt ended, with the load that its worker reported along with it.
+pub(super) struct Ending {
+    pub(super) end: AttemptEnd,
+    pub(super) load: LoadReport,
+}
+
+impl Engine {
+    /// Sends an attempt to a worker. The event that is returned, if any, says that it was not sent.
+    pub(super) fn dispatch(&mut self, id: RequestId, worker_id: WorkerId) -> Option<Event> {
+        let request = self.requests.get_mut(id)?;
+        let Some(worker) = self.workers.get(&worker_id).filter(|_| request.is_waiting()) else {
+            return self.not_dispatched(id, worker_id);
+        };
+        let (command, commands) = oneshot::channel();
+        let accepted = Rc::new(Cell::new(false));
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt::running(worker_id, command, Rc::clone(&accepted)));
+        self.counters.flows.add();
+        let name = request.payload.name.escape_ascii();
+        tracing::debug!(request = %name, attempt, worker = worker.name, "attempt dispatched");
+        if let Some(forwarding) = &mut self.forwarding {
+            forwarding.runs_at_this_site(&self.settings.classes[request.class], &request.payload);
+        }
+        let task = AttemptTask {
+            worker: Rc::clone(worker),
+            payload: Rc::clone(&request.payload),
+            deadline: request.deadline,
+            command: commands,
+            counters: Rc::clone(&self.counters),
+            class: self.counters.class(request.class),
+            accepted,
+        };
+        let (worker_name, class) = (worker.name.clone(), request.class);
+        let work_s = request.estimated_work_s.unwrap_or(0.0);
+        self.spawn_attempt(id, attempt, task.run());
+        self.recent_sends.expire(&self.settings);
+        self.peers.pass(None, &HandoverFrame::WorkSent(worker_name.clone(), class, work_s));
+        self.recent_sends.add(worker_name, class, work_s);
+        None
+    }
+
+    /// An earlier action of the same batch has answered the request, or the worker was removed from the
+    /// endpoint list: nothing is sent, and the dispatcher is notified so.
+    fn not_dispatched(&mut self, id: RequestId, worker: WorkerId) -> Option<Event> {
+        let request = self.requests.get_mut(id)?;
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt::ended(worker));
+        Some(Event::AttemptEnded(AttemptEnded {
+            request: id,
+            attempt,
+            outcome: AttemptEnd::WorkerInactive.outcome(),
+            client_answered: !request.is_waiting(),
+            load: LoadReport::default(),
+        }))
+    }
+
+    /// Cancels an attempt; its end follows.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
+        if let Some(attempt) = self.requests.attempt_mut(id, attempt) {
+            attempt.change(AttemptChange::Cancel);
+        }
+    }
+
+    /// The task of an attempt has ended, with the load report of the worker's answer.
+    pub(super) fn attempt_task_ended(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        end: AttemptEnd,
+        report: Report,
+    ) {
+        let load = self.load_of(&report);
+        self.attempt_ended(id, attempt, Ending { end, load });
+    }
+
+    /// Notifies the dispatcher of the end of an attempt, once.
+    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: usize, ending: Ending) {
+        let Ending { end, load } = ending;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let client_answered = !request.is_waiting();
+        let Some(ended) = request.attempts.get_mut(attempt).filter(|attempt| attempt.is_open()) else {
+            return;
+        };
+        ended.change(AttemptChange::End);
+        let outcome = end.outcome();
+        let name = request.payload.name.escape_ascii();
+        let free_slots = load.free_slots.unwrap_or(-1.0);
+        tracing::debug!(request = %name, attempt, end = end.name(), free_slots, "attempt ended");
+        request.may_have_run |= !outcome.proves_not_executed();
+        self.counters.ended(end);
+        self.notify_dispatcher(Event::AttemptEnded(AttemptEnded {
+            request: id,
+            attempt,
+            outcome,
+            client_answered,
+            load,
+        }));
+        self.forget_if_done(id);
+    }
+
+    /// Sends a worker a capacity probe. The event that is returned, if any, says that the worker was removed
+    /// from the endpoint list meanwhile.
+    pub(super) fn probe_worker(&self, worker: WorkerId) -> Option<Event> {
+        let Some(endpoint) = self.workers.get(&worker) else {
+            let outcome = AttemptEnd::WorkerInactive.outcome();
+            return Some(Event::ProbeEnded { worker, outcome, load: LoadReport::default() });
+        };
+        self.counters.probes.add();
+        let (endpoint, queue) = (Rc::clone(endpoint), self.queue.clone());
+        let asks_for_load = !self.settings.load_report_names.is_empty();
+        spawn_local(async move {
+            let (end, report) = probe(endpoint, asks_for_load).await;
+            queue.send(EngineMessage::ProbeEnded(worker, end, report));
+        });
+        None
+    }
+
+    /// Runs the task of an attempt, and reports its end to this engine.
+    pub(super) fn spawn_attempt(
+        &self,
+        request: RequestId,
+        attempt: usize,
+        task: impl Future<Output = (AttemptEnd, Option<String>)> + 'static,
+    ) {
+        let queue = self.queue.clone();
+        spawn_local(async move {
+            let (end, load_header) = task.await;
+            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_header));
+        });
+    }
+
+    /// A load report in the dispatcher's fields; values that the settings do not name are ignored.
+    pub(super) fn load_of(&self, report: &Report) -> LoadReport {
+        let mut load = LoadReport::default();
+        for (name, value) in report {
+            if let Some(index) = self.settings.load_report_names.iter().position(|known| known == name) {
+                load.set(self.settings.load_report_fields[index], *value);
+            }
+        }
+        load
+    }
+}
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -1,146 +1,217 @@
-//! Moves transactions to the process that has taken over, with all that is known of them: no job may end
-//! with the process that happened to take it.
+//! Migration of requests to the process that replaces this one in an upgrade, and from the one that it
+//! replaces.
+//!
+//! A request migrates with all that is known of it, because none may fail only because the process that
+//! accepted it exits. It waits until no attempt of it is being sent or cancelled: that state is in a socket
+//! and cannot be written down. Requests that are at another site, or came from one, stay: they end with the
+//! process that holds the link.
+//!
+//! The frames are in [`crate::server::lifecycle::handover_frames`], the sockets of the clients in
+//! [`crate::server::frontend`].
 
+use std::cell::Cell;
+use std::collections::HashSet;
 use std::rc::Rc;
 
+use bytes::Bytes;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::site_forwarding::Travel;
-use super::{Attempt, Due, Engine, Live};
+use super::request_table::{Attempt, AttemptChange, RequestFacts, TrackedRequest, WaitEnd};
+use super::timers::Timer;
+use super::Engine;
 use crate::scheduling::interface::{Event, RequestId, WorkerId};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
-use crate::server::messages::{CallbackRelay, FinalAnswer, MigratedAttempt, MigratedRequest, WorkerCallback};
+use crate::server::messages::{FinalAnswer, MigratedAttempt, MigratedRequest, PeerProcessId, ProcessRole};
 use crate::server::metrics::Gauge;
 use crate::server::workers::attempt::AttemptTask;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
-/// A call-back that has been passed on so often belongs nowhere.
-const HOPS: u8 = 8;
+/// Whether requests migrate from this process.
+#[derive(Debug, Default)]
+pub(super) enum MigrationState {
+    /// There is no process to which they could.
+    #[default]
+    Off,
+    /// Another process has replaced this one.
+    Migrating {
+        /// The names of the requests that have migrated to it.
+        migrated: HashSet<Bytes>,
+    },
+}
+
+impl MigrationState {
+    /// A successor is there, or is there no more. With it go the requests that have migrated to it.
+    fn change(&mut self, has_successor: bool) {
+        let before = std::mem::take(self);
+        *self = match (before, has_successor) {
+            (MigrationState::Off, true) => MigrationState::Migrating { migrated: HashSet::new() },
+            (MigrationState::Migrating { migrated }, true) => MigrationState::Migrating { migrated },
+            (MigrationState::Off | MigrationState::Migrating { .. }, false) => MigrationState::Off,
+        };
+    }
+
+    /// Whether requests migrate.
+    pub(super) fn is_migrating(&self) -> bool {
+        match self {
+            MigrationState::Off => false,
+            MigrationState::Migrating { .. } => true,
+        }
+    }
+
+    /// Whether the request of this name has migrated.
+    pub(super) fn has_migrated(&self, name: &Bytes) -> bool {
+        match self {
+            MigrationState::Off => false,
+            MigrationState::Migrating { migrated } => migrated.contains(name),
+        }
+    }
+
+    fn record(&mut self, name: Bytes) {
+        match self {
+            MigrationState::Off => {}
+            MigrationState::Migrating { migrated } => {
+                migrated.insert(name);
+            }
+        }
+    }
+}
 
 impl Engine {
-    /// Moves what can be moved: transactions whose client waits, and of which no attempt is being sent or
-    /// given up at this moment.
-    pub(super) fn move_out(&mut self) {
-        if !self.moves {
+    /// A successor is there, or is there no more.
+    pub(super) fn successor_changed(&mut self, has_successor: bool) {
+        self.migration.change(has_successor);
+        self.migrate_requests();
+    }
+
+    /// Migrates the requests that can: their client waits, and no attempt is being sent or cancelled now.
+    pub(super) fn migrate_requests(&mut self) {
+        if !self.migration.is_migrating() {
             return;
         }
-        let settled = |a: &Attempt| !a.open || (a.taken.get() && !a.withdrawn);
-        // What is at another site, or came from one, ends with the process that holds its link.
-        let stays = |live: &Live| matches!(live.travel, Travel::Away(_) | Travel::CameIn);
-        let movable = |live: &Live| live.reply.is_some() && live.attempts.iter().all(settled) && !stays(live);
-        let movable = self.live.iter().filter(|(_, live)| movable(live)).map(|(&id, _)| id);
-        for id in movable.collect::<Vec<_>>() {
-            let (Some(record), Some(mut live)) = (self.dispatcher.hand_over(id), self.live.remove(&id))
-            else {
-                continue;
-            };
-            let attempts = live.attempts.iter_mut().map(|attempt| {
-                attempt.order(super::AttemptCommand::Detach);
-                let member = self.members.get(&attempt.worker);
-                MigratedAttempt {
-                    worker_name: self.name(attempt.worker),
-                    address: member.map(|member| member.address()),
-                    open: attempt.open,
-                }
+        let ready: Vec<RequestId> =
+            self.requests.iter().filter(|(_, request)| can_migrate(request)).map(|(id, _)| id).collect();
+        for id in ready {
+            self.migrate_request(id);
+        }
+    }
+
+    fn migrate_request(&mut self, id: RequestId) {
+        let (record, request) = (self.dispatcher.hand_over(id), self.requests.remove(id));
+        let (Some(record), Some(mut request)) = (record, request) else { return };
+        let mut attempts = Vec::with_capacity(request.attempts.len());
+        for attempt in &mut request.attempts {
+            let open = attempt.is_open();
+            attempt.change(AttemptChange::Detach);
+            attempts.push(MigratedAttempt {
+                worker_name: self.worker_name(attempt.worker),
+                address: self.workers.get(&attempt.worker).map(|worker| worker.address()),
+                open,
             });
-            let moved = MigratedRequest {
-                class: live.class,
-                estimated_work_s: live.hint,
-                time_left: live.deadline.saturating_duration_since(Instant::now()),
-                attempts: attempts.collect(),
-                record,
-                payload: (*live.payload).clone(),
-            };
-            self.names.remove(&moved.payload.name);
-            self.moved.insert(moved.payload.name.clone());
-            self.counters.transactions_moved.add();
-            let _ = live.reply.take().map(|reply| reply.send(FinalAnswer::Migrated(Box::new(moved))));
+        }
+        let migrated = MigratedRequest {
+            class: request.class,
+            estimated_work_s: request.estimated_work_s,
+            time_left: request.deadline.saturating_duration_since(Instant::now()),
+            attempts,
+            record,
+            payload: (*request.payload).clone(),
+        };
+        self.migration.record(migrated.payload.name.clone());
+        self.counters.transactions_moved.add();
+        if let Some(reply) = request.end_wait(WaitEnd::Answered) {
+            // A client that has disconnected this instant needs no answer from the other process either.
+            let _ = reply.send(FinalAnswer::Migrated(Box::new(migrated)));
         }
     }
 
-    /// Takes over a transaction from another process.
+    /// Takes over a request that has migrated from another process.
     pub(super) fn take_over(
         &mut self,
         id: RequestId,
-        moved: MigratedRequest,
+        migrated: MigratedRequest,
         reply: oneshot::Sender<FinalAnswer>,
     ) {
-        let MigratedRequest { class, estimated_work_s: hint, time_left: left, attempts, record, payload } =
-            moved;
-        if class >= self.settings.classes.len() || self.names.contains_key(&payload.name) {
+        let MigratedRequest { class, estimated_work_s, time_left, attempts, record, payload } = migrated;
+        if class >= self.settings.classes.len() || self.requests.id_of(&payload.name).is_some() {
+            // A client that has disconnected needs no answer.
             let _ = reply.send(FinalAnswer::Failed);
             return;
         }
-        let deadline = Instant::now() + left;
+        let deadline = Instant::now() + time_left;
         let workers: Vec<WorkerId> =
-            attempts.iter().map(|attempt| self.number(&attempt.worker_name)).collect();
-        let payload = Rc::new(payload);
+            attempts.iter().map(|attempt| self.worker_id(&attempt.worker_name)).collect();
         self.counters.transactions_adopted.add();
-        self.names.insert(payload.name.clone(), id);
-        let active = Some(Gauge::hold(&self.counters.active));
         let (tenant, slots, memory) = record.needs();
-        let mut live = Live {
-            class,
-            hint,
-            reply: Some(reply),
-            active,
-            payload,
-            deadline,
-            attempts: Vec::new(),
-            tenant,
-            slots,
-            memory,
-            may_have_run: true, // the other process knows, and what has run must not cross
-            travel: Travel::None,
-            rank: -1.0,
-        };
-        for (n, (attempt, &worker)) in attempts.into_iter().zip(&workers).enumerate() {
-            let taken = Rc::new(std::cell::Cell::new(true));
-            let (sender, order) = oneshot::channel();
-            let member = self.members.get(&worker).cloned().or_else(|| {
-                let dialer = Rc::clone(&self.dialer);
-                attempt
-                    .address
-                    .map(|address| Rc::new(WorkerEndpoint::new(attempt.worker_name, address, dialer)))
-            });
-            if let Some(member) = member.filter(|_| attempt.open) {
-                let flow = AttemptTask {
-                    worker: member,
-                    payload: Rc::clone(&live.payload),
-                    deadline,
-                    command: order,
-                    counters: Rc::clone(&self.counters),
-                    class: self.counters.class(class),
-                    accepted: Rc::clone(&taken),
-                };
-                self.spawn(id, n, flow.run_taken());
-            }
-            live.attempts.push(Attempt {
-                worker,
-                open: attempt.open,
-                taken,
-                withdrawn: false,
-                order: Some(sender),
-            });
+        let facts = RequestFacts { class, tenant, deadline, slots, memory, estimated_work_s, payload };
+        let mut request = TrackedRequest::new(facts, reply, Gauge::hold(&self.counters.active));
+        // The other process knows whether it ran. Here it counts as run, so that it is not forwarded.
+        request.may_have_run = true;
+        for (attempt, &worker) in attempts.into_iter().zip(&workers) {
+            self.resume_attempt(id, &mut request, worker, attempt);
         }
-        self.live.insert(id, live);
-        self.set_timer(deadline, Due::Deadline(id));
+        self.requests.insert(id, request);
+        self.timers.set(deadline, Timer::Deadline(id));
         let record = record.renumbered(id, self.clock.at(deadline), &workers);
-        self.tell(Event::RequestTakenOver(Box::new(record)));
+        self.notify_dispatcher(Event::RequestTakenOver(Box::new(record)));
     }
 
-    /// Passes on a call-back for a transaction that is not open here; whether there is somebody to pass it
-    /// to. One that has been moved is known to the other process, or will be within the next frames.
-    pub(super) fn pass_on(&self, call_back: &WorkerCallback, passed: Option<CallbackRelay>) -> bool {
-        let hops = passed.map_or(0, |passed| passed.relays);
-        let from = passed.map(|passed| passed.from).filter(|_| !self.moved.contains(&call_back.request_name));
-        hops < HOPS && self.peers.pass(from, &HandoverFrame::Callback(call_back.clone(), hops + 1))
+    /// Adds an attempt of a migrated request. An open one was accepted by its worker: only callbacks, the
+    /// deadline or a cancellation can end it.
+    fn resume_attempt(
+        &self,
+        id: RequestId,
+        request: &mut TrackedRequest,
+        worker: WorkerId,
+        migrated: MigratedAttempt,
+    ) {
+        if !migrated.open {
+            request.attempts.push(Attempt::ended(worker));
+            return;
+        }
+        let (command, commands) = oneshot::channel();
+        let accepted = Rc::new(Cell::new(true));
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt::running(worker, command, Rc::clone(&accepted)));
+        let endpoint = self.workers.get(&worker).cloned().or_else(|| {
+            let connector = Rc::clone(&self.connector);
+            let address = migrated.address?;
+            Some(Rc::new(WorkerEndpoint::new(migrated.worker_name, address, connector)))
+        });
+        // Without an address there is nowhere to send a cancellation.
+        let Some(endpoint) = endpoint else { return };
+        let task = AttemptTask {
+            worker: endpoint,
+            payload: Rc::clone(&request.payload),
+            deadline: request.deadline,
+            command: commands,
+            counters: Rc::clone(&self.counters),
+            class: self.counters.class(request.class),
+            accepted,
+        };
+        self.spawn_attempt(id, attempt, task.run_taken());
     }
 
-    /// The name of a member.
-    pub(super) fn name(&self, worker: WorkerId) -> String {
-        let found = self.numbers.iter().find(|(_, id)| **id == worker);
-        found.map(|(name, _)| name.clone()).unwrap_or_default()
+    /// Notifies a process that has joined of what it must know: the open requests, and the work that workers
+    /// were sent lately; a successor also of the learned state.
+    pub(super) fn peer_process_joined(&mut self, peer: PeerProcessId, role: ProcessRole) {
+        if role == ProcessRole::Successor {
+            let learned = self.dispatcher.learned_state();
+            let names = learned.workers().map(|worker| (worker, self.worker_name(worker))).collect();
+            self.peers.tell(peer, HandoverFrame::LearnedState(Box::new(learned), names));
+        }
+        for name in self.requests.names() {
+            self.peers.tell(peer, HandoverFrame::RequestOpened(name.clone()));
+        }
+        self.recent_sends.expire(&self.settings);
+        for frame in self.recent_sends.frames() {
+            self.peers.tell(peer, frame);
+        }
     }
 }
+
+fn can_migrate(request: &TrackedRequest) -> bool {
+    request.is_waiting()
+        && request.attempts.iter().all(Attempt::can_migrate)
+        && !request.forwarding.ends_with_this_process()
+}
--- /dev/null
+++ b/src/server/engine/request_table.rs
@@ -0,0 +1,307 @@
+//! The requests that the engine tracks, and the states of each and of its attempts.
+//!
+//! A request is tracked from its acceptance until it has no client waiting and no attempt running. Two enums
+//! say where it stands: [`ClientState`] (is an answer owed?) and, for each attempt, [`AttemptState`]. What it
+//! has to do with other sites is a third one, [`ForwardingState`]. Each has one function that changes it.
+//!
+//! The table holds these records and finds them by number or by name. It decides nothing: see
+//! [`super::requests`] for what happens to a request, and [`super::attempts`] for what happens to an attempt.
+
+use std::cell::Cell;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::site_forwarding::ForwardingState;
+use crate::scheduling::interface::{RequestId, WorkerId};
+use crate::server::messages::{AttemptCommand, FinalAnswer, RequestPayload};
+use crate::server::metrics::Gauged;
+
+/// Whether the client of a request still waits for its answer.
+pub(super) enum ClientState {
+    /// It does.
+    Waiting {
+        /// Where the final answer goes.
+        reply: oneshot::Sender<FinalAnswer>,
+        /// Counts the request as active.
+        active: Gauged,
+    },
+    /// It has its answer; or another process is to give it, and answers its notices.
+    Answered,
+    /// It closed its connection before the answer.
+    Disconnected,
+}
+
+/// How the wait of a client ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WaitEnd {
+    /// With the final answer, or with the migration to another process.
+    Answered,
+    /// The client closed its connection.
+    Disconnected,
+}
+
+/// What has become of an attempt, as far as the engine knows.
+#[derive(Debug)]
+pub(super) enum AttemptState {
+    /// Its task runs.
+    Running {
+        /// Ends the task.
+        command: oneshot::Sender<AttemptCommand>,
+    },
+    /// Its task was told to cancel, and its end is on its way.
+    Cancelling,
+    /// The dispatcher was notified of its end, or it was never sent.
+    Ended,
+}
+
+/// Why the engine needs the task of an attempt no more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptChange {
+    /// The attempt is to be cancelled at the worker.
+    Cancel,
+    /// The attempt has ended: the task may finish its exchange.
+    End,
+    /// Another process sees to it from now on.
+    Detach,
+}
+
+/// One attempt of a request at one worker.
+pub(super) struct Attempt {
+    pub(super) worker: WorkerId,
+    state: AttemptState,
+    /// Set by the task once the worker has accepted the request (202): only callbacks are awaited then.
+    pub(super) accepted: Rc<Cell<bool>>,
+}
+
+impl Attempt {
+    /// An attempt whose task obeys `command`.
+    pub(super) fn running(
+        worker: WorkerId,
+        command: oneshot::Sender<AttemptCommand>,
+        accepted: Rc<Cell<bool>>,
+    ) -> Self {
+        Attempt { worker, state: AttemptState::Running { command }, accepted }
+    }
+
+    /// An attempt that has ended, or was never sent.
+    pub(super) fn ended(worker: WorkerId) -> Self {
+        Attempt { worker, state: AttemptState::Ended, accepted: Rc::default() }
+    }
+
+    /// Whether its end is still to come.
+    pub(super) fn is_open(&self) -> bool {
+        match self.state {
+            AttemptState::Running { .. } | AttemptState::Cancelling => true,
+            AttemptState::Ended => false,
+        }
+    }
+
+    /// Whether its task runs and was not told to cancel.
+    pub(super) fn is_running(&self) -> bool {
+        match self.state {
+            AttemptState::Running { .. } => true,
+            AttemptState::Cancelling | AttemptState::Ended => false,
+        }
+    }
+
+    /// Whether another process can see to it: it is over, or the worker has accepted it and nobody cancels it.
+    pub(super) fn can_migrate(&self) -> bool {
+        match self.state {
+            AttemptState::Running { .. } => self.accepted.get(),
+            AttemptState::Cancelling => false,
+            AttemptState::Ended => true,
+        }
+    }
+
+    /// Changes the state, and commands the task accordingly. Nothing else changes it.
+    pub(super) fn change(&mut self, change: AttemptChange) {
+        let before = std::mem::replace(&mut self.state, AttemptState::Ended);
+        let (after, command) = match (before, change) {
+            (AttemptState::Running { command }, AttemptChange::Cancel) => {
+                (AttemptState::Cancelling, Some((command, AttemptCommand::Cancel)))
+            }
+            (AttemptState::Running { command }, AttemptChange::End) => {
+                (AttemptState::Ended, Some((command, AttemptCommand::Finish)))
+            }
+            (AttemptState::Running { command }, AttemptChange::Detach) => {
+                (AttemptState::Ended, Some((command, AttemptCommand::Detach)))
+            }
+            (AttemptState::Cancelling, AttemptChange::End) => (AttemptState::Ended, None),
+            (AttemptState::Cancelling, AttemptChange::Cancel | AttemptChange::Detach) => {
+                (AttemptState::Cancelling, None)
+            }
+            (AttemptState::Ended, AttemptChange::Cancel | AttemptChange::End | AttemptChange::Detach) => {
+                (AttemptState::Ended, None)
+            }
+        };
+        self.state = after;
+        if let Some((sender, command)) = command {
+            // A task that has ended by itself receives nothing, and needs nothing.
+            let _ = sender.send(command);
+        }
+    }
+}
+
+/// A request from its acceptance until nothing of it is left to do.
+pub(super) struct TrackedRequest {
+    /// Index into the settings' classes.
+    pub(super) class: usize,
+    /// Index into the settings' tenants.
+    pub(super) tenant: usize,
+    /// When its client stops waiting.
+    pub(super) deadline: Instant,
+    /// Slots that it takes at a worker.
+    pub(super) slots: f64,
+    /// Memory that it takes at a worker.
+    pub(super) memory: f64,
+    /// Its expected work in seconds, if its client gave a hint.
+    pub(super) estimated_work_s: Option<f64>,
+    /// What goes to workers.
+    pub(super) payload: Rc<RequestPayload>,
+    /// Private, so that only [`TrackedRequest::end_wait`] changes it.
+    client: ClientState,
+    /// In the order in which the dispatcher asked for them: the index is the attempt's number.
+    pub(super) attempts: Vec<Attempt>,
+    /// An attempt has ended in a way that does not prove that it never ran.
+    pub(super) may_have_run: bool,
+    /// What it has to do with other sites.
+    pub(super) forwarding: ForwardingState,
+    /// What it was worth when the dispatcher received it; below 0 where it is beyond its tenant's quota.
+    pub(super) priority: f64,
+}
+
+/// The parts of a [`TrackedRequest`] that are known when it begins.
+pub(super) struct RequestFacts {
+    pub(super) class: usize,
+    pub(super) tenant: usize,
+    pub(super) deadline: Instant,
+    pub(super) slots: f64,
+    pub(super) memory: f64,
+    pub(super) estimated_work_s: Option<f64>,
+    pub(super) payload: RequestPayload,
+}
+
+impl TrackedRequest {
+    /// A request without attempts, whose answer goes to `reply`.
+    pub(super) fn new(facts: RequestFacts, reply: oneshot::Sender<FinalAnswer>, active: Gauged) -> Self {
+        let RequestFacts { class, tenant, deadline, slots, memory, estimated_work_s, payload } = facts;
+        TrackedRequest {
+            class,
+            tenant,
+            deadline,
+            slots,
+            memory,
+            estimated_work_s,
+            payload: Rc::new(payload),
+            client: ClientState::Waiting { reply, active },
+            attempts: Vec::new(),
+            may_have_run: false,
+            forwarding: ForwardingState::Local,
+            priority: -1.0,
+        }
+    }
+
+    /// Whether the client waits for its answer.
+    pub(super) fn is_waiting(&self) -> bool {
+        match self.client {
+            ClientState::Waiting { .. } => true,
+            ClientState::Answered | ClientState::Disconnected => false,
+        }
+    }
+
+    /// Ends the wait of the client; gives where the answer goes if it was waiting. Nothing else changes that
+    /// state, so that there is one final answer.
+    pub(super) fn end_wait(&mut self, end: WaitEnd) -> Option<oneshot::Sender<FinalAnswer>> {
+        if !self.is_waiting() {
+            return None;
+        }
+        let after = match end {
+            WaitEnd::Answered => ClientState::Answered,
+            WaitEnd::Disconnected => ClientState::Disconnected,
+        };
+        match std::mem::replace(&mut self.client, after) {
+            ClientState::Waiting { reply, active } => {
+                drop(active);
+                Some(reply)
+            }
+            ClientState::Answered | ClientState::Disconnected => None,
+        }
+    }
+
+    /// Whether an attempt is open.
+    pub(super) fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_open)
+    }
+
+    /// Whether it is certain that nothing of it has run or will run here.
+    pub(super) fn never_ran(&self) -> bool {
+        !self.may_have_run && !self.has_open_attempt()
+    }
+}
+
+/// The tracked requests, by number and by name.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: HashMap<RequestId, TrackedRequest>,
+    /// Numbers by `X-Request-Id`, the name that workers use in callbacks.
+    ids: HashMap<Bytes, RequestId>,
+}
+
+impl RequestTable {
+    /// Adds a request.
+    pub(super) fn insert(&mut self, id: RequestId, request: TrackedRequest) {
+        self.ids.insert(request.payload.name.clone(), id);
+        self.requests.insert(id, request);
+    }
+
+    /// Removes a request.
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
+        let request = self.requests.remove(&id)?;
+        self.ids.remove(&request.payload.name);
+        Some(request)
+    }
+
+    /// The request of this number.
+    pub(super) fn get(&self, id: RequestId) -> Option<&TrackedRequest> {
+        self.requests.get(&id)
+    }
+
+    /// The same, to be changed.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut TrackedRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// An attempt of a request, by its number.
+    pub(super) fn attempt_mut(&mut self, id: RequestId, attempt: usize) -> Option<&mut Attempt> {
+        self.requests.get_mut(&id)?.attempts.get_mut(attempt)
+    }
+
+    /// The number of the request of this name.
+    pub(super) fn id_of(&self, name: &Bytes) -> Option<RequestId> {
+        self.ids.get(name).copied()
+    }
+
+    /// Whether a request has this name or this number.
+    pub(super) fn is_in_use(&self, name: &Bytes, id: RequestId) -> bool {
+        self.ids.contains_key(name) || self.requests.contains_key(&id)
+    }
+
+    /// Whether there is none.
+    pub(super) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    /// All requests, in no order.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &TrackedRequest)> {
+        self.requests.iter().map(|(&id, request)| (id, request))
+    }
+
+    /// The names of all requests, in no order.
+    pub(super) fn names(&self) -> impl Iterator<Item = &Bytes> {
+        self.ids.keys()
+    }
+}
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -1,470 +1,261 @@
-//! The engine's part in the gateway: transactions that cross, those that come in, and what the decisions of
-//! `chutesaddle-gateway` need to know of this site. With no gateway, everything here is a no-op.
+//! The engine's part in forwarding requests to other sites, and in running theirs.
+//!
+//! `chutesaddle-gateway` decides: which request is forwarded, over which site link, and what this site grants
+//! to others. It knows no request beyond what the engine states as a candidate. The engine translates in both
+//! directions: events of the site links and of this site's load for the gateway, and the gateway's actions
+//! into frames, answers and requests of this site. Without a gateway, everything here does nothing.
+//!
+//! | module | question it answers |
+//! | --- | --- |
+//! | `links` | which site links are up, and how a frame is sent on one |
+//! | `frames` | what a received frame means to the gateway |
+//! | `candidates` | which requests are stated to the gateway, when and with which limits |
+//! | `outbound` | how a request of this site is forwarded, comes back or is answered from there |
+//! | `inbound` | how a request of another site is run here |
+//!
+//! The bytes on a link are in `chutesaddle-site-link`, its sockets in [`crate::server::peers`].
+
+mod candidates;
+mod frames;
+mod inbound;
+mod links;
+mod outbound;
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_gateway::{
-    self as gateway, Action, Answer, Candidate, CrossingId, Effect as Repeats, Event as GatewayEvent,
-    Gateway, Instance, JobId, LinkId, Origin, Outcome, Pressure,
-};
+use chutesaddle_gateway::{self as gateway, Action, Event as GatewayEvent, Gateway, LinkId, Origin};
 use chutesaddle_site_link::{Frame, Job};
-use tokio::task::{spawn_local, AbortHandle};
+use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::{Engine, Live};
-use crate::scheduling::interface::{
-    CapacitySummary, DeduplicationScope, Event, Idempotency, RequestClass, RequestId,
-};
+use super::Engine;
+use crate::scheduling::interface::{RequestClass, RequestId};
 use crate::scheduling::state::RequestRecord;
-use crate::server::engine_queue::EngineMessage;
-use crate::server::messages::{object_of, ClientRequest, FinalAnswer, RequestPayload};
-use crate::server::metrics::{Counters, LinkFigures};
-use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
-
-/// How often to look how this site stands while something waits or slots run out, and while there is room.
-const LOOK: Duration = Duration::from_millis(10);
-const LOOK_IDLE: Duration = Duration::from_millis(50);
-/// So few free slots may be gone before the next look at leisure.
-const FEW_FREE: f64 = 3.0;
-/// An outcome may be asked for at least this long, whatever the class's window: a link's longest reconnect and
-/// a little more.
-const LEAST_KEPT: Duration = Duration::from_secs(10);
+use crate::server::messages::RequestPayload;
+use crate::server::metrics::Counters;
 
-/// Links that a site may have to this one: one, and those of the processes that it replaces.
-const LINKS_OF_A_SITE: usize = 8;
+use links::SiteLink;
 
-/// What a transaction has to do with other sites.
+/// What a request has to do with other sites.
 #[derive(Debug)]
-pub(super) enum Travel {
-    /// Nothing.
-    None,
+pub(super) enum ForwardingState {
+    /// Nothing: it is a request of this site, at this site.
+    Local,
     /// It came from another site.
-    CameIn,
-    /// It is at another site. What the module here knew of it, if it goes back to it; else it is rejected with
-    /// this hold-off when it comes back.
-    Away(Result<Box<RequestRecord>, f64>),
-    /// It has been, and came back unstarted.
-    CameBack,
+    Inbound,
+    /// It is at another site, or is being offered to one.
+    Outbound(OnReturn),
+    /// It was, and came back unstarted; it is not forwarded again.
+    Returned,
 }
 
-struct Link {
-    site: String,
-    dialled: bool,
-    outbox: LinkOutbox,
+/// What happens to a forwarded request that comes back unstarted.
+#[derive(Debug)]
+pub(super) enum OnReturn {
+    /// The dispatcher resumes it from this record.
+    Resume(Box<RequestRecord>),
+    /// It is rejected: the dispatcher had rejected it before.
+    Reject {
+        /// The advice that goes with the rejection, in seconds.
+        retry_after_s: f64,
+    },
 }
 
-/// The state of the gateway in the engine.
-pub(super) struct Crossings {
-    gateway: Gateway,
-    /// Where the gateway's clock begins.
-    origin: Instant,
-    links: HashMap<LinkId, Link>,
-    /// The tasks that wait for the answers to what came in.
-    came_in: HashMap<Origin, AbortHandle>,
-    /// What an offer carries, between hearing it and the decision to take it.
-    offered: Option<(Origin, Box<Job>)>,
-    look_at: Instant,
-    counters: Rc<Counters>,
+/// What happens to a request between this site and others.
+#[derive(Debug)]
+pub(super) enum ForwardingChange {
+    /// It is offered to the gateway, which forwards it now or not at all.
+    Offered {
+        /// See [`OnReturn::Reject`].
+        retry_after_s: f64,
+    },
+    /// The gateway does not forward it.
+    Kept,
+    /// It is sent to another site.
+    Forwarded(OnReturn),
+    /// It has come back unstarted.
+    Returned,
 }
 
-impl Crossings {
-    pub(super) fn new(gateway: Gateway, origin: Instant, counters: Rc<Counters>) -> Self {
-        counters.gateway.enable();
-        let (links, came_in) = (HashMap::new(), HashMap::new());
-        Crossings { gateway, origin, links, came_in, offered: None, look_at: origin, counters }
-    }
-
-    /// When [`Engine::look_across`] is due.
-    pub(super) fn look_at(&self) -> Instant {
-        self.look_at
+impl ForwardingState {
+    /// Changes the state; gives what is to happen to a request that comes back. Nothing else changes it.
+    pub(super) fn change(&mut self, change: ForwardingChange) -> Option<OnReturn> {
+        let before = std::mem::replace(self, ForwardingState::Returned);
+        let (after, returned) = match (before, change) {
+            (ForwardingState::Local, ForwardingChange::Offered { retry_after_s }) => {
+                (ForwardingState::Outbound(OnReturn::Reject { retry_after_s }), None)
+            }
+            (ForwardingState::Local, ForwardingChange::Forwarded(on_return)) => {
+                (ForwardingState::Outbound(on_return), None)
+            }
+            (ForwardingState::Local, ForwardingChange::Kept | ForwardingChange::Returned) => {
+                (ForwardingState::Local, None)
+            }
+            // One that was offered is answered by whoever offered it.
+            (ForwardingState::Outbound(OnReturn::Reject { .. }), ForwardingChange::Kept) => {
+                (ForwardingState::Returned, None)
+            }
+            (ForwardingState::Outbound(on_return), ForwardingChange::Returned) => {
+                (ForwardingState::Returned, Some(on_return))
+            }
+            (
+                state @ ForwardingState::Outbound(OnReturn::Resume(_)),
+                ForwardingChange::Offered { .. } | ForwardingChange::Kept | ForwardingChange::Forwarded(_),
+            )
+            | (
+                state @ ForwardingState::Outbound(OnReturn::Reject { .. }),
+                ForwardingChange::Offered { .. } | ForwardingChange::Forwarded(_),
+            )
+            | (
+                state @ (ForwardingState::Inbound | ForwardingState::Returned),
+                ForwardingChange::Offered { .. }
+                | ForwardingChange::Kept
+                | ForwardingChange::Forwarded(_)
+                | ForwardingChange::Returned,
+            ) => (state, None),
+        };
+        *self = after;
+        returned
     }
 
-    fn now(&self) -> gateway::Time {
-        self.origin.elapsed()
+    /// Whether it is a request of this site that was never forwarded.
+    pub(super) fn is_local(&self) -> bool {
+        match self {
+            ForwardingState::Local => true,
+            ForwardingState::Inbound | ForwardingState::Outbound(_) | ForwardingState::Returned => false,
+        }
     }
 
-    /// A transaction of this class is sent to a member of this site.
-    pub(super) fn runs_here(&mut self, class: &RequestClass, payload: &RequestPayload) {
-        if let Repeats::Keyed { key, window } = effect(class, payload) {
-            let mut none = Vec::new();
-            self.gateway.handle(self.origin.elapsed(), GatewayEvent::RanHere { key, window }, &mut none);
+    /// Whether it came from another site.
+    pub(super) fn is_inbound(&self) -> bool {
+        match self {
+            ForwardingState::Inbound => true,
+            ForwardingState::Local | ForwardingState::Outbound(_) | ForwardingState::Returned => false,
         }
     }
 
-    fn say(&mut self, link: LinkId, frame: Frame) {
-        if self.links.get(&link).is_some_and(|link| !link.outbox.send(frame)) {
-            self.close(link);
+    /// Whether it is at another site.
+    pub(super) fn is_outbound(&self) -> bool {
+        match self {
+            ForwardingState::Outbound(_) => true,
+            ForwardingState::Local | ForwardingState::Inbound | ForwardingState::Returned => false,
         }
     }
 
-    /// A link has ended, or is to end: its task notices that the way to it is closed.
-    fn close(&mut self, link: LinkId) {
-        let Some(gone) = self.links.remove(&link) else { return };
-        let others = |l: &Link| l.site == gone.site && l.dialled == gone.dialled;
-        let up = self.links.values().any(others);
-        let figures = &self.counters.gateway;
-        figures.link(&gone.site, gone.dialled, |figures| *figures = LinkFigures { up, room: 0, ..*figures });
+    /// Whether it hangs on a site link of this process, so that it cannot migrate.
+    pub(super) fn ends_with_this_process(&self) -> bool {
+        self.is_inbound() || self.is_outbound()
     }
+}
 
-    fn show(&self) {
-        let figures = &self.counters.gateway;
-        figures.all.set(self.gateway.figures());
-        figures.stance.set(self.gateway.stance());
-    }
+/// An offer that was received, until the gateway has decided on it.
+struct PendingOffer {
+    origin: Origin,
+    job: Box<Job>,
 }
 
-/// What a repeat does. A key that not even all members of one site hold together binds like a job that must
-/// not run twice: where it goes is nothing that can be known across sites.
-fn effect(class: &RequestClass, payload: &RequestPayload) -> Repeats {
-    match (class.idempotency, class.deduplication_scope, &payload.key) {
-        (Idempotency::Idempotent, ..) => Repeats::Repeatable,
-        (Idempotency::WithKey, DeduplicationScope::All, Some(key)) => {
-            let window = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
-            Repeats::Keyed { key: key.clone(), window }
-        }
-        _ => Repeats::Once,
-    }
+/// The gateway, the site links, and the requests of other sites that run here.
+pub(super) struct SiteForwarding {
+    gateway: Gateway,
+    /// Where the gateway's clock begins.
+    clock_origin: Instant,
+    links: HashMap<LinkId, SiteLink>,
+    /// The tasks that wait for the answers to requests of other sites.
+    inbound: HashMap<Origin, AbortHandle>,
+    pending_offer: Option<PendingOffer>,
+    next_load_update: Instant,
+    counters: Rc<Counters>,
 }
 
-impl Engine {
-    /// Hands the gateway an event and carries out what it decides.
-    fn across(&mut self, news: GatewayEvent) {
-        let Some(crossings) = &mut self.crossings else { return };
-        let mut actions = Vec::new();
-        crossings.gateway.handle(crossings.now(), news, &mut actions);
-        for action in actions {
-            self.carry_out(action);
-        }
-        if let Some(crossings) = &self.crossings {
-            crossings.show();
+impl SiteForwarding {
+    /// Starts without any link.
+    pub(super) fn new(gateway: Gateway, clock_origin: Instant, counters: Rc<Counters>) -> Self {
+        counters.gateway.enable();
+        SiteForwarding {
+            gateway,
+            clock_origin,
+            links: HashMap::new(),
+            inbound: HashMap::new(),
+            pending_offer: None,
+            next_load_update: clock_origin,
+            counters,
         }
     }
 
-    /// Tells the gateway how this site stands, and what waits here in vain.
-    pub(super) fn look_across(&mut self, now: Instant) {
-        let Some(crossings) = self.crossings.as_mut().filter(|crossings| now >= crossings.look_at) else {
-            return;
-        };
-        let standing = self.dispatcher.capacity_summary();
-        let tight = standing.waiting > 0 || (standing.free < FEW_FREE && !self.live.is_empty());
-        crossings.look_at = now + if tight { LOOK } else { LOOK_IDLE };
-        let CapacitySummary { slots, free, waiting, backlog_s: clear_s } = standing;
-        let clear = Duration::try_from_secs_f64(clear_s).unwrap_or_default();
-        let pressure = Pressure { slots, free, waiting, clear };
-        self.across(GatewayEvent::Pressure(pressure));
-        self.across(GatewayEvent::Tick);
-        let wants = |c: &Crossings| c.gateway.wants_candidates(c.now());
-        if self.crossings.as_deref().is_some_and(wants) {
-            let clock = self.clock.at(now);
-            let waiting: Vec<(RequestId, f64)> = self.dispatcher.waiting_requests().collect();
-            let candidate = |(id, latest): (RequestId, f64)| self.candidate(id, latest - clock, false);
-            let candidates: Vec<Candidate> = waiting.into_iter().filter_map(candidate).collect();
-            if !candidates.is_empty() {
-                self.across(GatewayEvent::Candidates(candidates));
-            }
-        }
+    /// When [`Engine::update_gateway_load`] is due.
+    pub(super) fn next_load_update(&self) -> Instant {
+        self.next_load_update
     }
 
-    fn candidate(&self, id: RequestId, start_in_s: f64, refused: bool) -> Option<Candidate> {
-        let live = self.live.get(&id).filter(|live| live.reply.is_some())?;
-        let unsent = live.attempts.is_empty() && matches!(live.travel, Travel::None);
-        Some(Candidate {
-            job: JobId(id.0),
-            effect: effect(&self.settings.classes[live.class], &live.payload),
-            rank: live.rank,
-            inside: live.rank >= 0.0,
-            slots: live.slots.ceil().clamp(1.0, 65_536.0) as u32,
-            start_in: Duration::try_from_secs_f64(start_in_s).unwrap_or_default(),
-            left: live.deadline.saturating_duration_since(Instant::now()),
-            refused,
-            travelled: !unsent,
-        })
+    fn now(&self) -> gateway::Time {
+        self.clock_origin.elapsed()
     }
 
-    /// A transaction that the module has refused crosses instead, if it may; else its answer follows at once.
-    pub(super) fn crosses_instead(&mut self, id: RequestId, hold_off_s: f64) -> bool {
-        if self.crossings.as_ref().is_none_or(|c| !c.gateway.wants_candidates(c.now())) {
-            return false;
+    /// An attempt of this class is sent to a worker of this site: its idempotency key is bound to this site.
+    pub(super) fn runs_at_this_site(&mut self, class: &RequestClass, payload: &RequestPayload) {
+        if let gateway::Effect::Keyed { key, window } = candidates::repeat_effect(class, payload) {
+            // The gateway only records it: there are no actions.
+            let mut actions = Vec::new();
+            let now = self.now();
+            self.gateway.handle(now, GatewayEvent::RanHere { key, window }, &mut actions);
         }
-        let Some(live) = self.live.get(&id).filter(|live| live.attempts.is_empty()) else { return false };
-        let deadline = self.clock.at(live.deadline);
-        let latest = self.dispatcher.latest_start(live.class, live.hint, deadline);
-        // What is refused while there is time left is what is worth least here: it comes last there, too.
-        let start_in = latest - self.clock.at(Instant::now());
-        self.offer_alone(id, start_in, hold_off_s)
     }
 
-    /// Whether an earlier transaction with its key may have run at another site: then this one goes there too,
-    /// or is rejected.
-    pub(super) fn bound_elsewhere(&mut self, id: RequestId) -> bool {
-        let (Some(crossings), Some(live)) = (&self.crossings, self.live.get(&id)) else { return false };
-        let key = live.payload.key.as_ref();
-        if !key.is_some_and(|key| crossings.gateway.bound_elsewhere(crossings.now(), key)) {
-            return false;
-        }
-        let hold_off_s = self.settings.max_retry_after_s;
-        let start_in = live.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
-        if !self.offer_alone(id, start_in, hold_off_s) {
-            self.answer(id, self.rejection(id, hold_off_s));
-            self.forget(id);
-        }
-        true
+    fn publish_metrics(&self) {
+        let metrics = &self.counters.gateway;
+        metrics.all.set(self.gateway.figures());
+        metrics.stance.set(self.gateway.stance());
     }
+}
 
-    /// Offers the gateway one transaction that the module does not have; whether it crosses.
-    fn offer_alone(&mut self, id: RequestId, start_in: f64, hold_off_s: f64) -> bool {
-        let Some(candidate) = self.candidate(id, start_in, true).filter(|c| !c.travelled) else {
-            return false;
-        };
-        if let Some(live) = self.live.get_mut(&id) {
-            live.travel = Travel::Away(Err(hold_off_s));
-        }
-        self.across(GatewayEvent::Candidates(vec![candidate]));
-        let away = |live: &Live| matches!(live.travel, Travel::Away(_));
-        self.live.get(&id).is_some_and(away)
-    }
+/// The longest time for which a key or an outcome is kept, whatever the settings say.
+const MAX_WINDOW: Duration = Duration::from_secs(24 * 3600);
 
-    /// The client of a transaction that may be at another site has left.
-    pub(super) fn left_away(&mut self, id: RequestId) {
-        if self.crossings.is_some() {
-            self.across(GatewayEvent::ClientDisconnected(JobId(id.0)));
-        }
-    }
+/// How long workers of a class drop repeats with the same idempotency key.
+fn deduplication_window(class: &RequestClass) -> Duration {
+    Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, MAX_WINDOW.as_secs_f64()))
+}
 
-    /// Takes up what was heard from other sites.
-    pub(super) fn heard(&mut self, heard: SiteLinkEvent) {
-        let Some(crossings) = &mut self.crossings else { return };
-        match heard {
-            SiteLinkEvent::Up { link, site, instance, dialled, outbox } => {
-                let Some(number) = crossings.gateway.site(&site) else { return };
-                let same = |l: &&Link| l.site == site && l.dialled == dialled;
-                if crossings.links.values().filter(same).count() >= LINKS_OF_A_SITE {
-                    return; // dropping the way to it closes it
-                }
-                crossings.counters.gateway.link(&site, dialled, |figures| figures.up = true);
-                crossings.links.insert(link, Link { site, dialled, outbox });
-                let instance = Instance(instance);
-                self.across(match dialled {
-                    true => GatewayEvent::Up { link, site: number, instance },
-                    false => GatewayEvent::Joined { link, site: number, instance },
-                });
-            }
-            SiteLinkEvent::Down(link) => {
-                crossings.close(link);
-                self.across(GatewayEvent::Down(link));
-                self.across(GatewayEvent::Parted(link));
-            }
-            SiteLinkEvent::SiteLinkSettings(link, frame) => self.said(link, frame),
-            SiteLinkEvent::Written(link, id) => self.across(GatewayEvent::Written(link, CrossingId(id))),
-            SiteLinkEvent::RoundTrip(link, time) => {
-                if let Some(known) = crossings.links.get(&link) {
-                    let figures = &crossings.counters.gateway;
-                    figures.link(&known.site, known.dialled, |figures| figures.round_trip = time);
-                }
-                self.across(GatewayEvent::RoundTrip(link, time));
-            }
-            SiteLinkEvent::Answered(origin, reply) => {
-                crossings.came_in.remove(&origin);
-                self.across(GatewayEvent::Finished(
-                    origin,
-                    match reply {
-                        FinalAnswer::Served(result) => Outcome::Served(result),
-                        // A name that is in use here was not taken, and nothing of it ran.
-                        FinalAnswer::RejectedUnstarted | FinalAnswer::DuplicateId => Outcome::Unstarted,
-                        FinalAnswer::Rejected { .. } => Outcome::Rejected,
-                        FinalAnswer::Failed | FinalAnswer::Migrated(_) => Outcome::Failed,
-                    },
-                ));
-            }
-            SiteLinkEvent::Drain(drain) => self.across(GatewayEvent::Drain(drain)),
-            SiteLinkEvent::Configure(config) => self.across(GatewayEvent::Configure(*config)),
+impl Engine {
+    /// Notifies the gateway of an event, and performs the actions that it decides on.
+    fn notify_gateway(&mut self, event: GatewayEvent) {
+        let Some(forwarding) = &mut self.forwarding else { return };
+        let mut actions = Vec::new();
+        forwarding.gateway.handle(forwarding.now(), event, &mut actions);
+        for action in actions {
+            self.perform_gateway_action(action);
         }
-    }
-
-    /// What was said on a link. Each frame is for one direction; the other end has no business with the rest.
-    fn said(&mut self, link: LinkId, frame: Frame) {
-        let Some(crossings) = &mut self.crossings else { return };
-        let Some(known) = crossings.links.get(&link) else { return };
-        let id = CrossingId;
-        let news = match (known.dialled, frame) {
-            (true, Frame::Grant { epoch, limit, term_us }) => {
-                let term = Duration::from_micros(term_us);
-                let figures = &crossings.counters.gateway;
-                figures.link(&known.site, true, |figures| figures.room = limit);
-                GatewayEvent::Granted { link, epoch: Instance(epoch), limit, term }
-            }
-            (true, Frame::Taken(n)) => GatewayEvent::Taken(link, id(n)),
-            (true, Frame::GivenBack(n, _)) => GatewayEvent::Returned(link, id(n)),
-            (true, Frame::Ended(n, outcome)) => GatewayEvent::AttemptEnded(link, id(n), outcome),
-            (true, Frame::Told(n, known)) => GatewayEvent::Told(link, id(n), known),
-            (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
-                let slots = job.slots.ceil().clamp(1.0, 65_536.0) as u32;
-                // One of a peer that is listed no more is heard, too: it is given back, and its sender goes on.
-                let Some(origin) = crossings.gateway.origin(link, id(crossing)) else { return };
-                crossings.offered = Some((origin, job));
-                GatewayEvent::Offered {
-                    link,
-                    crossing: id(crossing),
-                    epoch: Instance(epoch),
-                    slots,
-                    left: Duration::from_micros(left_us),
-                    keep: Duration::from_micros(keep_us).min(Duration::from_secs(24 * 3600)),
-                }
-            }
-            (false, Frame::Withdraw(n)) => GatewayEvent::Withdrawn(link, id(n)),
-            (false, Frame::Ask(ids)) => GatewayEvent::Asked(link, ids.into_iter().map(id).collect()),
-            (false, Frame::Acknowledge(n)) => GatewayEvent::Acknowledged(link, id(n)),
-            (dialled, frame) => {
-                let site = known.site.clone();
-                tracing::warn!(site, dialled, ?frame, "a frame that is not for this end; the link is closed");
-                crossings.close(link);
-                return;
-            }
-        };
-        self.across(news);
-        if let Some(crossings) = &mut self.crossings {
-            crossings.offered = None;
+        if let Some(forwarding) = &self.forwarding {
+            forwarding.publish_metrics();
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
-        let Some(crossings) = &mut self.crossings else { return };
+    fn perform_gateway_action(&mut self, action: Action) {
+        let Some(forwarding) = &mut self.forwarding else { return };
         match action {
             Action::Cross { job, link, crossing, epoch, left } => {
-                self.leaves(RequestId(job.0), link, crossing, epoch, left);
-            }
-            Action::Stay(job, why) => {
-                // One that was offered alone is answered by whoever offered it.
-                if let Some(live) = self.live.get_mut(&RequestId(job.0)) {
-                    if matches!(live.travel, Travel::Away(Err(_))) {
-                        live.travel = Travel::CameBack;
-                    }
-                }
-                tracing::trace!(job = job.0, ?why, "stays");
+                self.forward(RequestId(job.0), outbound::Forward { link, crossing, epoch, left });
             }
-            Action::Return(job) => self.returns(RequestId(job.0)),
-            Action::Answer(job, answer) => {
-                let id = RequestId(job.0);
-                let hold_off_s = self.settings.max_retry_after_s;
-                self.answer(
-                    id,
-                    match answer {
-                        Answer::Served(result) => FinalAnswer::Served(result),
-                        Answer::Rejected => FinalAnswer::Rejected { retry_after_s: hold_off_s },
-                        Answer::Failed => FinalAnswer::Failed,
-                    },
-                );
-                self.forget(id);
-            }
-            Action::Withdraw(link, id) => crossings.say(link, Frame::Withdraw(id.0)),
+            Action::Stay(job, reason) => self.not_forwarded(RequestId(job.0), reason),
+            Action::Return(job) => self.forwarded_request_returned(RequestId(job.0)),
+            Action::Answer(job, answer) => self.forwarded_request_answered(RequestId(job.0), answer),
+            Action::Withdraw(link, id) => forwarding.send(link, Frame::Withdraw(id.0)),
             Action::Ask(link, ids) => {
-                crossings.say(link, Frame::Ask(ids.into_iter().map(|id| id.0).collect()));
+                forwarding.send(link, Frame::Ask(ids.into_iter().map(|id| id.0).collect()));
             }
-            Action::Acknowledge(link, id) => crossings.say(link, Frame::Acknowledge(id.0)),
+            Action::Acknowledge(link, id) => forwarding.send(link, Frame::Acknowledge(id.0)),
             Action::Grant { link, limit, term } => {
-                let epoch = crossings.gateway.instance().0;
-                crossings.say(link, Frame::Grant { epoch, limit, term_us: term.as_micros() as u64 });
-            }
-            Action::Take { link, origin, left } => self.take_in(link, origin, left),
-            Action::GiveBack(link, id, why) => crossings.say(link, Frame::GivenBack(id.0, why)),
-            Action::Tell(link, id, outcome) => crossings.say(link, Frame::Ended(id.0, outcome)),
-            Action::Say(link, id, known) => crossings.say(link, Frame::Told(id.0, known)),
-            Action::Drop(origin) => {
-                // The task holds the transaction; without it, its client counts as gone.
-                let _ = crossings.came_in.remove(&origin).inspect(AbortHandle::abort);
-            }
-            Action::Close(link) => crossings.close(link),
-        }
-    }
-
-    fn leaves(&mut self, id: RequestId, link: LinkId, crossing: CrossingId, epoch: Instance, left: Duration) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        if matches!(live.travel, Travel::None) {
-            // Nothing of it stays with the module, which would refuse it meanwhile.
-            match self.dispatcher.hand_over(id) {
-                Some(record) => live.travel = Travel::Away(Ok(Box::new(record))),
-                None => live.travel = Travel::Away(Err(self.settings.max_retry_after_s)),
+                let epoch = forwarding.gateway.instance().0;
+                forwarding.send(link, Frame::Grant { epoch, limit, term_us: term.as_micros() as u64 });
             }
+            Action::Take { link, origin, left } => self.accept_offer(link, origin, left),
+            Action::GiveBack(link, id, reason) => forwarding.send(link, Frame::GivenBack(id.0, reason)),
+            Action::Tell(link, id, outcome) => forwarding.send(link, Frame::Ended(id.0, outcome)),
+            Action::Say(link, id, known) => forwarding.send(link, Frame::Told(id.0, known)),
+            Action::Drop(origin) => forwarding.abort_inbound(origin),
+            Action::Close(link) => forwarding.close(link),
         }
-        let class = &self.settings.classes[live.class];
-        let keep = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
-        let payload = &live.payload;
-        let job = Job {
-            class: class.name.clone(),
-            tenant: self.settings.tenants.get(live.tenant).map(|t| t.name.clone()).unwrap_or_default(),
-            hint: live.hint,
-            slots: live.slots,
-            memory: live.memory,
-            name: payload.name.clone(),
-            target: payload.target.clone(),
-            key: payload.key.clone(),
-            content_type: payload.content_type.clone(),
-            body: payload.body.clone(),
-        };
-        self.counters.class(live.class).crossed.add();
-        if let Some(crossings) = &mut self.crossings {
-            let (crossing, epoch, left_us) = (crossing.0, epoch.0, left.as_micros() as u64);
-            let keep_us = keep.max(LEAST_KEPT).as_micros() as u64;
-            crossings.say(link, Frame::Offer { crossing, epoch, left_us, keep_us, job: Box::new(job) });
-        }
-    }
-
-    /// It never ran elsewhere: the module here goes on with it.
-    fn returns(&mut self, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        match std::mem::replace(&mut live.travel, Travel::CameBack) {
-            Travel::Away(Ok(record)) => {
-                let deadline = self.clock.at(live.deadline);
-                self.tell(Event::RequestTakenOver(Box::new(record.renumbered(id, deadline, &[]))));
-            }
-            Travel::Away(Err(hold_off_s)) => {
-                self.answer(id, FinalAnswer::Rejected { retry_after_s: hold_off_s });
-                self.forget(id);
-            }
-            other => live.travel = other,
-        }
-    }
-
-    /// Hands a transaction of another site to the module here, like any other.
-    fn take_in(&mut self, link: LinkId, origin: Origin, left: Duration) {
-        let Some(crossings) = &mut self.crossings else { return };
-        let Some((_, job)) = crossings.offered.take().filter(|(offered, _)| *offered == origin) else {
-            return;
-        };
-        let class = self.settings.classes.iter().position(|class| class.name == job.class);
-        let tenant = match self.settings.tenants.iter().position(|tenant| tenant.name == job.tenant) {
-            None if self.settings.tenants.is_empty() => Some(0),
-            known => known,
-        };
-        let bound = |key| crossings.gateway.bound_elsewhere(crossings.now(), key);
-        let (Some(class), Some(tenant), false) = (class, tenant, job.key.as_ref().is_some_and(bound)) else {
-            return self.across(GatewayEvent::Finished(origin, Outcome::Unstarted));
-        };
-        crossings.say(link, Frame::Taken(origin.crossing.0));
-        let Job { hint, slots, memory, name, target, key, content_type, body, .. } = *job;
-        let object = object_of(&target);
-        let payload = RequestPayload { name, target, key, content_type, body };
-        let deadline = Instant::now() + left;
-        let (slots, memory) = (slots.max(0.0), memory.max(0.0));
-        let transaction = ClientRequest {
-            class,
-            tenant,
-            deadline,
-            slots,
-            memory,
-            estimated_work_s: hint,
-            affinity_key: object,
-            payload,
-            origin: Some(origin),
-        };
-        let mut pending = self.queue.submit(Box::new(transaction));
-        let queue = self.queue.clone();
-        let task = spawn_local(async move {
-            let reply = pending.reply().await;
-            queue.send(EngineMessage::SiteLink(Box::new(SiteLinkEvent::Answered(origin, reply))));
-        });
-        crossings.came_in.insert(origin, task.abort_handle());
     }
 }
--- /dev/null
+++ b/src/server/engine/site_forwarding/links.rs
@@ -0,0 +1,112 @@
+//! The site links as the engine knows them, and what is received from them.
+
+use chutesaddle_gateway::{CrossingId, Event as GatewayEvent, Instance, LinkId, Origin, Outcome};
+use chutesaddle_site_link::Frame;
+
+use super::SiteForwarding;
+use crate::server::engine::Engine;
+use crate::server::messages::FinalAnswer;
+use crate::server::metrics::LinkFigures;
+use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
+
+/// Links that one site may have to this one: its own, and those of the processes that it replaces.
+const MAX_LINKS_PER_SITE: usize = 8;
+
+/// A site link that is up.
+pub(super) struct SiteLink {
+    pub(super) site: String,
+    /// This end has dialled: requests of this site go out on it. On the others, requests come in.
+    pub(super) dialled: bool,
+    pub(super) outbox: LinkOutbox,
+}
+
+/// A link that has just come up.
+struct NewLink {
+    link: LinkId,
+    instance: Instance,
+    site_link: SiteLink,
+}
+
+impl SiteForwarding {
+    /// Sends a frame; a link that takes none any more is closed.
+    pub(super) fn send(&mut self, link: LinkId, frame: Frame) {
+        if self.links.get(&link).is_some_and(|link| !link.outbox.send(frame)) {
+            self.close(link);
+        }
+    }
+
+    /// Forgets a link that has ended, or closes one: its task ends once its outbox is dropped.
+    pub(super) fn close(&mut self, link: LinkId) {
+        let Some(closed) = self.links.remove(&link) else { return };
+        let same_direction = |other: &SiteLink| other.site == closed.site && other.dialled == closed.dialled;
+        let up = self.links.values().any(same_direction);
+        self.counters.gateway.link(&closed.site, closed.dialled, |figures| {
+            *figures = LinkFigures { up, room: 0, ..*figures };
+        });
+    }
+}
+
+impl Engine {
+    /// Handles what a site link, an inbound request or the operator has to say.
+    pub(in crate::server::engine) fn site_link_event(&mut self, event: SiteLinkEvent) {
+        let Some(forwarding) = &mut self.forwarding else { return };
+        match event {
+            SiteLinkEvent::Up { link, site, instance, dialled, outbox } => {
+                let site_link = SiteLink { site, dialled, outbox };
+                self.link_up(NewLink { link, instance: Instance(instance), site_link });
+            }
+            SiteLinkEvent::Down(link) => {
+                forwarding.close(link);
+                self.notify_gateway(GatewayEvent::Down(link));
+                self.notify_gateway(GatewayEvent::Parted(link));
+            }
+            SiteLinkEvent::SiteLinkSettings(link, frame) => self.frame_received(link, frame),
+            SiteLinkEvent::Written(link, id) => {
+                self.notify_gateway(GatewayEvent::Written(link, CrossingId(id)));
+            }
+            SiteLinkEvent::RoundTrip(link, time) => {
+                if let Some(known) = forwarding.links.get(&link) {
+                    let metrics = &forwarding.counters.gateway;
+                    metrics.link(&known.site, known.dialled, |figures| figures.round_trip = time);
+                }
+                self.notify_gateway(GatewayEvent::RoundTrip(link, time));
+            }
+            SiteLinkEvent::Answered(origin, answer) => self.inbound_answered(origin, answer),
+            SiteLinkEvent::Drain(draining) => self.notify_gateway(GatewayEvent::Drain(draining)),
+            SiteLinkEvent::Configure(config) => self.notify_gateway(GatewayEvent::Configure(*config)),
+        }
+    }
+
+    /// Adds a link, unless its site is unknown or has too many. Dropping its outbox closes it.
+    fn link_up(&mut self, new: NewLink) {
+        let Some(forwarding) = &mut self.forwarding else { return };
+        let NewLink { link, instance, site_link } = new;
+        let Some(site) = forwarding.gateway.site(&site_link.site) else { return };
+        let dialled = site_link.dialled;
+        let same_direction = |other: &&SiteLink| other.site == site_link.site && other.dialled == dialled;
+        if forwarding.links.values().filter(same_direction).count() >= MAX_LINKS_PER_SITE {
+            return;
+        }
+        forwarding.counters.gateway.link(&site_link.site, dialled, |figures| figures.up = true);
+        forwarding.links.insert(link, site_link);
+        self.notify_gateway(if dialled {
+            GatewayEvent::Up { link, site, instance }
+        } else {
+            GatewayEvent::Joined { link, site, instance }
+        });
+    }
+
+    /// A request of another site has its answer here.
+    fn inbound_answered(&mut self, origin: Origin, answer: FinalAnswer) {
+        let Some(forwarding) = &mut self.forwarding else { return };
+        forwarding.inbound.remove(&origin);
+        let outcome = match answer {
+            FinalAnswer::Served(result) => Outcome::Served(result),
+            // One whose name is in use here was not accepted, and nothing of it ran.
+            FinalAnswer::RejectedUnstarted | FinalAnswer::DuplicateId => Outcome::Unstarted,
+            FinalAnswer::Rejected { .. } => Outcome::Rejected,
+            FinalAnswer::Failed | FinalAnswer::Migrated(_) => Outcome::Failed,
+        };
+        self.notify_gateway(GatewayEvent::Finished(origin, outcome));
+    }
+}
