--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -1,47 +1,51 @@
-//! How a server-side flow can end, and what each end means to the decision module.
+//! How an attempt can end, and what each end means to the dispatcher.
+//!
+//! This is the one list of ends. What may follow each of them (a retry, a rejection, a failure) is the table in
+//! `docs/endings.md`, which `tests/endings.rs` plays cell by cell. The ends are also counters, in this order, and
+//! travel between the processes of an upgrade: add new ones at the end.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::interface::AttemptOutcome;
 
-/// Each way in which a server-side flow ends; no other type says so.
+/// Each way in which an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// A `done` call-back came.
+    /// The worker's `done` callback: it has completed the request.
     Completed,
-    /// A `failed` call-back came, or the member answered with an error before it took the job.
+    /// The worker's `failed` callback, or an error in place of its acceptance.
     Failed,
-    /// A `returned` call-back came, or 503 or 504 marked as not run.
+    /// The worker's `returned` callback, or 503 or 504 with `X-Not-Run: 1`: it did not run the request.
     RejectedByWorker,
-    /// A `lost` call-back came: the member's agent saw the job die.
+    /// The worker's `lost` callback: its agent saw the request die.
     LostByWorker,
     /// The connection was refused.
     ConnectRefused,
     /// The connection did not come up in time.
     ConnectTimedOut,
-    /// No descriptor was left for a connection.
+    /// This process, or the machine, had no descriptor left for a connection.
     NoDescriptor,
-    /// The connection broke before the last byte was written.
+    /// The connection broke before the last byte of the request was written.
     ResetWhileSending,
-    /// The connection broke, or ended, between the last byte and the answer.
+    /// The connection broke or was closed between the last byte and the answer.
     ResetWhileWaiting,
-    /// The same, before anything came, on a connection that had been kept: the member had most likely
-    /// given it up before.
+    /// The same on a reused connection, before any byte of an answer: the worker had most likely closed it
+    /// before the request.
     StaleConnection,
-    /// What came back is no HTTP.
+    /// The answer is not HTTP.
     MalformedResponse,
-    /// The transaction's deadline passed.
+    /// The deadline of the request passed.
     DeadlinePassed,
-    /// Given up before the last byte was written.
+    /// Cancelled before the last byte was written.
     CancelledUnsent,
-    /// Given up after that.
+    /// Cancelled after that.
     Cancelled,
-    /// The member stopped taking work while the connection came up.
+    /// The worker began to drain, or was removed from the endpoint list, before the first byte was sent.
     WorkerInactive,
 }
 
 impl AttemptEnd {
-    /// All ends, in the order of the counters.
+    /// All ends, in the order of their counters.
     pub const ALL: [AttemptEnd; 15] = [
         AttemptEnd::Completed,
         AttemptEnd::Failed,
@@ -60,8 +64,10 @@
         AttemptEnd::WorkerInactive,
     ];
 
-    /// The one place where an end becomes an outcome. Only what certainly never left this machine whole
-    /// may become an outcome that proves the job never ran.
+    /// What an end means to the dispatcher.
+    ///
+    /// Only a request that certainly never left this machine whole, or that the worker says it did not run, may
+    /// become an outcome that proves that it never ran: what follows may run it a second time.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             AttemptEnd::Completed => AttemptOutcome::Succeeded,
@@ -79,7 +85,7 @@
         }
     }
 
-    /// Its name among the counters.
+    /// Its name in metrics and logs, which operators know: it stays, whatever the variant is called.
     pub fn name(self) -> &'static str {
         match self {
             AttemptEnd::Completed => "done",
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -13,7 +13,8 @@
 //! | module | question it answers |
 //! | --- | --- |
 //! | `requests` | how a request begins, and what a disconnected client or a passed deadline does |
-//! | `request_table` | which requests there are, and in which state each of them and its attempts is |
+//! | `request_table` | which requests there are, and whether their clients wait |
+//! | `attempt_state` | whether an attempt is running, being cancelled, or over |
 //! | `attempts` | how an attempt is dispatched, cancelled and ended |
 //! | `callbacks` | what a worker's callback does |
 //! | `answers` | how a request gets its one final answer, and when it is forgotten |
@@ -24,6 +25,7 @@
 //! | `clock`, `timers` | what time it is, and what is due |
 
 mod answers;
+mod attempt_state;
 mod attempts;
 mod callbacks;
 mod clock;
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use super::request_table::{Attempt, AttemptChange};
+use super::attempt_state::{Attempt, AttemptChange};
 use super::Engine;
 use crate::scheduling::interface::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -17,7 +17,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::request_table::{Attempt, AttemptChange, RequestFacts, TrackedRequest, WaitEnd};
+use super::attempt_state::{Attempt, AttemptChange};
+use super::request_table::{RequestFacts, TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
 use crate::scheduling::interface::{Event, RequestId, WorkerId};
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -1,13 +1,13 @@
-//! The requests that the engine tracks, and the states of each and of its attempts.
+//! The requests that the engine tracks, and whether the client of each still waits.
 //!
-//! A request is tracked from its acceptance until it has no client waiting and no attempt running. Two enums
-//! say where it stands: [`ClientState`] (is an answer owed?) and, for each attempt, [`AttemptState`]. What it
-//! has to do with other sites is a third one, [`ForwardingState`]. Each has one function that changes it.
+//! A request is tracked from its acceptance until no client waits for it and no attempt of it is open. Three enums
+//! say where it stands: [`ClientState`] (is an answer owed?), for each attempt
+//! [`AttemptState`](super::attempt_state::AttemptState), and [`ForwardingState`] (what does it have to do with other
+//! sites?). Each has one function that changes it.
 //!
 //! The table holds these records and finds them by number or by name. It decides nothing: see
 //! [`super::requests`] for what happens to a request, and [`super::attempts`] for what happens to an attempt.
 
-use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -15,9 +15,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+use super::attempt_state::Attempt;
 use super::site_forwarding::ForwardingState;
-use crate::scheduling::interface::{RequestId, WorkerId};
-use crate::server::messages::{AttemptCommand, FinalAnswer, RequestPayload};
+use crate::scheduling::interface::RequestId;
+use crate::server::messages::{FinalAnswer, RequestPayload};
 use crate::server::metrics::Gauged;
 
 /// Whether the client of a request still waits for its answer.
@@ -44,108 +45,6 @@
     Disconnected,
 }
 
-/// What has become of an attempt, as far as the engine knows.
-#[derive(Debug)]
-pub(super) enum AttemptState {
-    /// Its task runs.
-    Running {
-        /// Ends the task.
-        command: oneshot::Sender<AttemptCommand>,
-    },
-    /// Its task was told to cancel, and its end is on its way.
-    Cancelling,
-    /// The dispatcher was notified of its end, or it was never sent.
-    Ended,
-}
-
-/// Why the engine needs the task of an attempt no more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AttemptChange {
-    /// The attempt is to be cancelled at the worker.
-    Cancel,
-    /// The attempt has ended: the task may finish its exchange.
-    End,
-    /// Another process sees to it from now on.
-    Detach,
-}
-
-/// One attempt of a request at one worker.
-pub(super) struct Attempt {
-    pub(super) worker: WorkerId,
-    state: AttemptState,
-    /// Set by the task once the worker has accepted the request (202): only callbacks are awaited then.
-    pub(super) accepted: Rc<Cell<bool>>,
-}
-
-impl Attempt {
-    /// An attempt whose task obeys `command`.
-    pub(super) fn running(
-        worker: WorkerId,
-        command: oneshot::Sender<AttemptCommand>,
-        accepted: Rc<Cell<bool>>,
-    ) -> Self {
-        Attempt { worker, state: AttemptState::Running { command }, accepted }
-    }
-
-    /// An attempt that has ended, or was never sent.
-    pub(super) fn ended(worker: WorkerId) -> Self {
-        Attempt { worker, state: AttemptState::Ended, accepted: Rc::default() }
-    }
-
-    /// Whether its end is still to come.
-    pub(super) fn is_open(&self) -> bool {
-        match self.state {
-            AttemptState::Running { .. } | AttemptState::Cancelling => true,
-            AttemptState::Ended => false,
-        }
-    }
-
-    /// Whether its task runs and was not told to cancel.
-    pub(super) fn is_running(&self) -> bool {
-        match self.state {
-            AttemptState::Running { .. } => true,
-            AttemptState::Cancelling | AttemptState::Ended => false,
-        }
-    }
-
-    /// Whether another process can see to it: it is over, or the worker has accepted it and nobody cancels it.
-    pub(super) fn can_migrate(&self) -> bool {
-        match self.state {
-            AttemptState::Running { .. } => self.accepted.get(),
-            AttemptState::Cancelling => false,
-            AttemptState::Ended => true,
-        }
-    }
-
-    /// Changes the state, and commands the task accordingly. Nothing else changes it.
-    pub(super) fn change(&mut self, change: AttemptChange) {
-        let before = std::mem::replace(&mut self.state, AttemptState::Ended);
-        let (after, command) = match (before, change) {
-            (AttemptState::Running { command }, AttemptChange::Cancel) => {
-                (AttemptState::Cancelling, Some((command, AttemptCommand::Cancel)))
-            }
-            (AttemptState::Running { command }, AttemptChange::End) => {
-                (AttemptState::Ended, Some((command, AttemptCommand::Finish)))
-            }
-            (AttemptState::Running { command }, AttemptChange::Detach) => {
-                (AttemptState::Ended, Some((command, AttemptCommand::Detach)))
-            }
-            (AttemptState::Cancelling, AttemptChange::End) => (AttemptState::Ended, None),
-            (AttemptState::Cancelling, AttemptChange::Cancel | AttemptChange::Detach) => {
-                (AttemptState::Cancelling, None)
-            }
-            (AttemptState::Ended, AttemptChange::Cancel | AttemptChange::End | AttemptChange::Detach) => {
-                (AttemptState::Ended, None)
-            }
-        };
-        self.state = after;
-        if let Some((sender, command)) = command {
-            // A task that has ended by itself receives nothing, and needs nothing.
-            let _ = sender.send(command);
-        }
-    }
-}
-
 /// A request from its acceptance until nothing of it is left to do.
 pub(super) struct TrackedRequest {
     /// Index into the settings' classes.
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -5,8 +5,9 @@
 
 use tokio::sync::oneshot;
 
+use super::attempt_state::AttemptChange;
 use super::attempts::Ending;
-use super::request_table::{AttemptChange, RequestFacts, TrackedRequest, WaitEnd};
+use super::request_table::{RequestFacts, TrackedRequest, WaitEnd};
 use super::site_forwarding::ForwardingState;
 use super::timers::Timer;
 use super::Engine;
--- a/src/server/engine/site_forwarding/inbound.rs
+++ b/src/server/engine/site_forwarding/inbound.rs
@@ -12,7 +12,7 @@
 use crate::scheduling::interface::Settings;
 use crate::server::engine::Engine;
 use crate::server::engine_queue::EngineMessage;
-use crate::server::messages::{object_of, ClientRequest, RequestPayload};
+use crate::server::messages::{affinity_key_of, ClientRequest, RequestPayload};
 use crate::server::peers::site_messages::SiteLinkEvent;
 
 /// The class and tenant of a request in the numbers of this site.
@@ -78,7 +78,7 @@
         slots: slots.max(0.0),
         memory: memory.max(0.0),
         estimated_work_s: hint,
-        affinity_key: object_of(&target),
+        affinity_key: affinity_key_of(&target),
         payload: RequestPayload { name, target, key, content_type, body },
         origin: Some(origin),
     }
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -11,7 +11,9 @@
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::Head;
 use crate::server::load_report;
-use crate::server::messages::{object_of, CallbackEvent, ClientRequest, RequestPayload, WorkerCallback};
+use crate::server::messages::{
+    affinity_key_of, CallbackEvent, ClientRequest, RequestPayload, WorkerCallback,
+};
 
 /// The longest wait that counts.
 const LONGEST_MS: u64 = 3_600_000;
@@ -147,7 +149,7 @@
         slots,
         memory,
         estimated_work_s: hint,
-        affinity_key: object_of(&head.target),
+        affinity_key: affinity_key_of(&head.target),
         payload: RequestPayload {
             name: name.clone(),
             target: head.target.clone(),
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -1,5 +1,13 @@
-//! The words that the network code shares. They lie below all of its modules: nothing here knows a protocol,
-//! a socket or the engine.
+//! The types that the modules of the network code pass to each other: a request, its final answer, a worker's
+//! callback, and a request that migrates to another process.
+//!
+//! They lie below all of these modules and know no protocol, no socket and no engine. What reaches the engine is
+//! listed in [`crate::server::engine_queue`], how an attempt ends in [`crate::server::attempt_end`], and what site
+//! links report in [`crate::server::peers`].
+//!
+//! [`RequestPayload`], [`MigratedRequest`], [`WorkerCallback`] and what they hold are sent between the processes of
+//! an upgrade, which may be of different builds. Their fields are stored by position: none may be added, dropped or
+//! reordered without a new form of the frames ([`crate::server::lifecycle::handover_frames`]).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,25 +20,26 @@
 use crate::scheduling::state::RequestRecord;
 use crate::server::attempt_end::AttemptEnd;
 
-/// A number for a name that is the same in every scheduler, whatever its build: what all choose by it, they
-/// choose alike.
+/// A number for a name, the same in every scheduler of whatever build, so that all of them choose alike by it.
 pub fn stable_number(name: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name)
 }
 
-/// The number of what a request for this target concerns: the last part of the path, as it is written. The class
-/// alone, which is the first part, names nothing.
-pub fn object_of(target: &[u8]) -> Option<u64> {
+/// The affinity key of a request for this target: requests with the same key need the same cached data.
+///
+/// It is the hash of the last segment of the path, as it is written. The first segment is the class; a path
+/// without another one has no key.
+pub fn affinity_key_of(target: &[u8]) -> Option<u64> {
     let path = target.split(|byte| b"?#".contains(byte)).next().unwrap_or_default();
     let mut parts = path.strip_prefix(b"/").unwrap_or(path).split(|byte| *byte == b'/');
     parts.next(); // the class
     parts.next_back().filter(|part| !part.is_empty()).map(stable_number)
 }
 
-/// What a flow sends: passed on as the client wrote it.
+/// What an attempt sends to its worker, as the client wrote it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestPayload {
-    /// `X-Request-Id`, by which the member's call-backs name the transaction.
+    /// `X-Request-Id`, the name of the request in the worker's callbacks.
     pub name: Bytes,
     /// The target of the request line.
     pub target: Bytes,
@@ -42,7 +51,7 @@
     pub body: Bytes,
 }
 
-/// A job that a client wants done, as a front hands it over.
+/// A client's request, as the frontend submits it.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// Index into [`Settings::classes`].
@@ -51,37 +60,37 @@
     pub tenant: usize,
     /// When its client stops waiting.
     pub deadline: Instant,
-    /// Slots it needs.
+    /// Slots that it takes at a worker.
     pub slots: f64,
-    /// Memory it needs.
+    /// Memory that it takes at a worker.
     pub memory: f64,
     /// Its expected work in seconds, if the client gave a hint.
     pub estimated_work_s: Option<f64>,
-    /// The number of what it concerns, if the path names that.
+    /// See [`affinity_key_of`].
     pub affinity_key: Option<u64>,
-    /// What goes to the member.
+    /// What goes to the worker.
     pub payload: RequestPayload,
-    /// Where it came from, if it crossed from another site.
+    /// Where it came from, if another site forwarded it.
     pub origin: Option<Origin>,
 }
 
-/// The one final answer to a transaction.
+/// The one final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// The result that a member gave.
+    /// The result of a worker.
     Served(Bytes),
-    /// Rejected: trying again is harmless, best after this many seconds.
+    /// Rejected: a retry is harmless.
     Rejected {
-        /// 0 for no advice.
+        /// When the client should retry, in seconds; 0 for no advice.
         retry_after_s: f64,
     },
-    /// Rejected, and nothing of it has run: said to the site that it came from, and to nobody else.
+    /// A request of another site is rejected, and nothing of it has run: its own site may still run it.
     RejectedUnstarted,
     /// Failed; it may have run.
     Failed,
-    /// Not taken: its id is in use by a transaction that is still open.
+    /// Not accepted: its id is in use by a request that is still open.
     DuplicateId,
-    /// Its client waits on: the process that has taken over is to answer.
+    /// Not answered here: the client goes on waiting, and the process that replaces this one answers it.
     Migrated(Box<MigratedRequest>),
 }
 
@@ -91,20 +100,20 @@
         match self {
             FinalAnswer::Served(_) => "served",
             FinalAnswer::Rejected { .. } => "rejected",
-            FinalAnswer::RejectedUnstarted => "returned",
+            FinalAnswer::RejectedUnstarted => "rejected_unstarted",
             FinalAnswer::Failed => "failed",
-            FinalAnswer::DuplicateId => "duplicate",
-            FinalAnswer::Migrated(_) => "moved",
+            FinalAnswer::DuplicateId => "duplicate_id",
+            FinalAnswer::Migrated(_) => "migrated",
         }
     }
 }
 
-/// What a member tells of a job.
+/// What a worker notifies of a request that it has accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CallbackEvent {
     /// It has begun.
     Started,
-    /// So much of it is done.
+    /// This fraction of it is done.
     Progress(f64),
     /// It is done, with this result.
     Completed(Bytes),
@@ -112,88 +121,78 @@
     Ended(AttemptEnd),
 }
 
-/// News of a job, with the names that the member knows.
+/// A worker's notification of a request, with the names that the worker knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerCallback {
-    /// The transaction's name.
+    /// The request, by its `X-Request-Id`.
     pub request_name: Bytes,
-    /// The member's name.
+    /// The worker that sent it.
     pub worker_name: String,
-    /// What it tells.
+    /// What has happened.
     pub event: CallbackEvent,
-    /// Its load report, by name.
+    /// The worker's load, by the names that the settings give its values.
     pub load_report: Vec<(String, f64)>,
 }
 
-/// How a call-back came here from another process.
+/// How a callback came from another process of an upgrade.
 #[derive(Clone, Copy, Debug)]
 pub struct CallbackRelay {
     /// The process that it came from.
     pub from: PeerProcessId,
-    /// How often it has been passed on.
+    /// How often it has been passed on, which is bounded.
     pub relays: u8,
 }
 
-/// What the engine tells a flow.
+/// What the engine commands the task of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptCommand {
-    /// The job has ended: finish the exchange, if it goes quickly.
+    /// The attempt has ended: finish the exchange, if that goes quickly.
     Finish,
-    /// Give the job up.
+    /// Cancel the attempt at the worker.
     Cancel,
-    /// Leave the job alone: another process sees to it from now on.
+    /// Leave the attempt alone: another process sees to it from now on.
     Detach,
 }
 
-/// On which side of an upgrade another process is.
+/// What another process of an upgrade is to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessRole {
-    /// It is replaced by this one.
+    /// This process replaces it.
     Predecessor,
-    /// It replaces this one.
+    /// It replaces this process.
     Successor,
 }
 
-/// A transaction on its way to another process.
+/// A request on its way to another process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MigratedRequest {
+    /// Index into the settings' classes, which both processes share.
     pub(super) class: usize,
+    /// Its expected work in seconds, if its client gave a hint.
     pub(super) estimated_work_s: Option<f64>,
     /// Time to its deadline.
     pub time_left: Duration,
+    /// In the order of their numbers.
     pub(super) attempts: Vec<MigratedAttempt>,
-    /// What the decision module knows of it.
+    /// What the dispatcher knows of it.
     pub(super) record: RequestRecord,
-    /// What goes to members.
+    /// What goes to workers.
     pub payload: RequestPayload,
 }
 
-/// An attempt of it, which is over or has been taken by the member.
+/// An attempt of a migrated request. It has ended, or its worker has accepted the request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct MigratedAttempt {
     pub(super) worker_name: String,
+    /// Where the worker was, while it was on the endpoint list.
     pub(super) address: Option<SocketAddr>,
+    /// Its end is still to come.
     pub(super) open: bool,
 }
 
-/// Names a link for as long as it lasts.
+/// Another process of an upgrade, for as long as the link to it is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcessId(pub(super) u64);
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_last_part_of_the_path_names_the_object_and_nothing_else_does() {
-        let same = object_of(b"/cotizar/7f3a9c21e0b4d655");
-        assert!(same.is_some() && same == object_of(b"/cotizar/x/7f3a9c21e0b4d655?again=1#part"));
-        assert_eq!(same, object_of(b"/cesion/7f3a9c21e0b4d655"), "whatever the class");
-        assert_ne!(same, object_of(b"/cotizar/7f3a9c21e0b4d65%35"), "as it is written");
-        let long = [b"/cotizar/".as_slice(), &[b'x'; 300]].concat();
-        assert!(object_of(&long).is_some());
-        for none in ["/cotizar", "/cotizar/", "/", "", "?", "cotizar"] {
-            assert_eq!(object_of(none.as_bytes()), None, "{none}");
-        }
-    }
-}
+mod tests;
