--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! A server-side flow by itself: ends that need a moment which the whole program cannot be held at.
+//! The task of one attempt by itself: ends that need a moment at which the whole program cannot be stopped.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,17 +18,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// A flow to a member at `address`, and the engine's end of it.
-fn flow(
+/// The task of an attempt at the worker at `address`, and the engine's end of it.
+fn attempt_task(
     address: SocketAddr,
     active: bool,
     descriptors: usize,
 ) -> (AttemptTask, oneshot::Sender<AttemptCommand>) {
     let counters = Rc::new(Counters::default());
-    let dialer =
+    let connector =
         Rc::new(WorkerConnector::new(DescriptorBudget::new(descriptors), 0.3, 60.0, Rc::clone(&counters)));
-    let member = Rc::new(WorkerEndpoint::new("m1".into(), address, dialer));
-    member.update(address, active, 0.0);
+    let worker = Rc::new(WorkerEndpoint::new("m1".into(), address, connector));
+    worker.update(address, active, 0.0);
     let bytes = Bytes::from_static;
     let payload = RequestPayload {
         name: bytes(b"r1"),
@@ -37,31 +37,35 @@
         content_type: None,
         body: bytes(b"b"),
     };
-    let (sender, order) = oneshot::channel();
+    let (command, commands) = oneshot::channel();
     let deadline = Instant::now() + Duration::from_secs(60);
     (
         AttemptTask {
-            worker: member,
+            worker,
             payload: Rc::new(payload),
             deadline,
-            command: order,
+            command: commands,
             counters,
             class: Rc::default(),
             accepted: Rc::default(),
         },
-        sender,
+        command,
     )
 }
 
-/// Rule 3: the connect takes time, and the member may have been told to drain meanwhile.
+/// The connect takes time, and the worker may have begun to drain meanwhile.
 #[rstest]
-#[case::it_drains_now(false, 8, AttemptEnd::WorkerInactive)]
-#[case::no_descriptor_is_left(true, 0, AttemptEnd::NoDescriptor)]
+#[case::worker_drains_while_connecting(false, 8, AttemptEnd::WorkerInactive)]
+#[case::no_descriptor_left(true, 0, AttemptEnd::NoDescriptor)]
 #[tokio::test]
-async fn nothing_is_written(#[case] active: bool, #[case] descriptors: usize, #[case] end: AttemptEnd) {
+async fn writes_nothing_when_the_attempt_cannot_be_sent(
+    #[case] active: bool,
+    #[case] descriptors: usize,
+    #[case] end: AttemptEnd,
+) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (flow, _order) = flow(listener.local_addr().unwrap(), active, descriptors);
-    let ended = flow.run().await; // drops the member, and with it the connection
+    let (task, _command) = attempt_task(listener.local_addr().unwrap(), active, descriptors);
+    let ended = task.run().await; // drops the worker, and with it the connection
     assert_eq!(ended, (end, None));
     if active {
         return;
@@ -72,16 +76,16 @@
 }
 
 #[tokio::test]
-async fn what_is_given_up_before_it_begins_is_never_sent() {
+async fn attempt_cancelled_before_it_begins_is_never_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (flow, order) = flow(listener.local_addr().unwrap(), true, 8);
-    order.send(AttemptCommand::Cancel).unwrap();
-    assert_eq!(flow.run().await, (AttemptEnd::CancelledUnsent, None));
+    let (task, command) = attempt_task(listener.local_addr().unwrap(), true, 8);
+    command.send(AttemptCommand::Cancel).unwrap();
+    assert_eq!(task.run().await, (AttemptEnd::CancelledUnsent, None));
 }
 
-/// A machine that is cut off answers no connect at all: here one whose backlog is full.
+/// A machine that is cut off answers no connect: here a listener whose backlog is full.
 #[tokio::test]
-async fn a_connect_that_never_comes_up_has_an_end() {
+async fn connect_without_any_answer_times_out() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -90,13 +94,14 @@
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
         filling.push(stream.unwrap());
     }
-    let (flow, _order) = flow(address, true, 8);
-    assert_eq!(flow.run().await, (AttemptEnd::ConnectTimedOut, None));
+    let (task, _command) = attempt_task(address, true, 8);
+    assert_eq!(task.run().await, (AttemptEnd::ConnectTimedOut, None));
 }
 
-/// Rule 2 rests on this: only what certainly never left this machine whole proves that the job never ran.
+/// Retries of non-idempotent requests rest on this: only what certainly never left this machine whole, or what the
+/// worker says it did not run, proves that it never ran.
 #[test]
-fn only_unsent_or_returned_jobs_never_ran() {
+fn only_unsent_or_returned_attempts_prove_that_they_never_ran() {
     let never_ran = |end: &AttemptEnd| {
         matches!(
             end.outcome(),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -15,9 +15,10 @@
     rows.skip(2).map(cells).map(|cells| (cells[0], cells[1..].to_vec())).collect()
 }
 
-/// Plays one cell; cells of workers go by odd and even numbers, so 3 is in the group of 1 and 2 is not: what follows an attempt of this class at worker 1 that ended so. `moved`: the request goes
-/// over to another process right after.
-fn follows(end: AttemptEnd, class: usize, other: u64, moved: bool) -> &'static str {
+/// Plays one cell of the table: what follows an attempt of this class at worker 1 that ended so, with worker `other`
+/// left. Workers of odd numbers are one cell, so 3 deduplicates together with 1, and 2 does not. `migrated`: the
+/// request migrates to another process right after the end.
+fn follows(end: AttemptEnd, class: usize, other: u64, migrated: bool) -> &'static str {
     let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
     b.send(Event::RequestReceived(request(1, class, b.now)));
     assert_eq!(routes(&b.run(0.2)), [(1, 1)], "the first attempt");
@@ -29,7 +30,7 @@
         assert!(routes(&b.run(30.0)).is_empty(), "it is over");
         return "served";
     }
-    if moved && !failed(&actions, 1) {
+    if migrated && !failed(&actions, 1) {
         assert!(routes(&actions).is_empty(), "nothing is sent before the next round");
         let record = b.d.hand_over(RequestId(1)).expect("it is not over");
         let now = b.now;
@@ -47,7 +48,7 @@
 }
 
 #[rstest]
-fn what_follows_each_end(#[values(false, true)] moved: bool) {
+fn each_end_is_followed_by_what_the_table_says(#[values(false, true)] migrated: bool) {
     let table = table();
     assert_eq!(table.len(), AttemptEnd::ALL.len());
     for end in AttemptEnd::ALL {
@@ -55,21 +56,21 @@
             table.iter().find(|row| row.0 == end.name()).unwrap_or_else(|| panic!("{end:?} has no row"));
         let unrun = end.outcome().proves_not_executed();
         assert_eq!(row.1[0], if unrun { "no" } else { "yes" }, "{end:?}: may it have run");
-        // Repeatable, keyed everywhere, keyed in the group of a worker left, keyed elsewhere, once.
+        // Idempotent, keyed everywhere, keyed in the cell of a worker left, keyed elsewhere, non-idempotent.
         for (column, (class, other)) in [(0, 3), (3, 2), (2, 3), (2, 2), (1, 3)].into_iter().enumerate() {
             let expected = row.1[1 + column];
             assert_eq!(
-                follows(end, class, other, moved),
+                follows(end, class, other, migrated),
                 expected,
-                "{end:?}, column {column}, moved {moved}"
+                "{end:?}, column {column}, migrated {migrated}"
             );
         }
     }
 }
 
 #[test]
-fn an_earlier_attempt_that_may_have_run_decides() {
-    // The first attempt may have run; that the second surely did not changes nothing for the request.
+fn earlier_attempt_that_may_have_run_bars_a_retry() {
+    // The first attempt may have run; that the second certainly did not changes nothing for the request.
     for (class, again) in [(0, true), (1, false), (2, false)] {
         let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
         b.send(Event::RequestReceived(request(1, class, b.now)));
@@ -94,16 +95,15 @@
 }
 
 #[rstest]
-#[case::that_must_run_once(1, 1, AttemptEnd::Failed, true)]
-#[case::that_has_had_all_its_attempts(0, 4, AttemptEnd::Failed, false)]
-fn a_request_for_which_nothing_can_be_done_is_answered_at_once(
+#[case::of_a_non_idempotent_class(1, 1, AttemptEnd::Failed, true)]
+#[case::that_has_used_all_its_attempts(0, 4, AttemptEnd::Failed, false)]
+fn request_that_cannot_be_retried_is_answered_at_once(
     #[case] class: usize,
     #[case] attempts: usize,
     #[case] end: AttemptEnd,
     #[case] fails: bool,
 ) {
-    // Held for a worker that it could not be sent to, it was answered after its aim; where late answers have a
-    // worth, at its deadline.
+    // Waiting for a worker would only delay the same answer, up to the deadline where late answers have a weight.
     let mut s = Settings { capacity_probes_allowed: false, ..settings() };
     s.classes[class].weight_after_objective = 0.5;
     let mut b = Bench::new(s, (1..=6).map(worker).collect());
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The decision module alone where dispatchers outnumber workers: they ask before they send.
+//! The dispatcher alone where schedulers outnumber workers: they probe a worker's capacity before they send.
 
 mod common;
 
@@ -20,7 +20,7 @@
     (1..=n).map(worker).collect()
 }
 
-fn asked(actions: &[Action]) -> Vec<u64> {
+fn probed(actions: &[Action]) -> Vec<u64> {
     let probe = |a: &Action| match a {
         Action::Probe(worker) => Some(worker.0),
         _ => None,
@@ -33,11 +33,10 @@
 }
 
 #[test]
-fn a_job_goes_to_a_worker_that_was_asked_and_has_a_slot() {
-    // Batch at full size: of the jobs sent where the report said 0 free, a tenth started at once.
+fn request_goes_to_a_probed_worker_with_a_free_slot() {
     let mut b = Bench::new(many(), fleet(200));
     b.answer = Some(free(2.0));
-    let first = asked(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
+    let first = probed(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
     assert_eq!(first.len(), 2);
     let sent = routes(&b.run(0.1));
     assert!(sent.len() == 1 && first.contains(&sent[0].1), "{sent:?}");
@@ -46,38 +45,38 @@
     b.answer = Some(free(0.0));
     b.send(Event::RequestReceived(request(1, 0, 100.0)));
     let actions = b.run(0.3);
-    assert!(routes(&actions).is_empty() && asked(&actions).len() >= 4, "it asks others instead");
-    assert!(asked(&actions).len() <= 20, "but ever more slowly");
+    assert!(routes(&actions).is_empty() && probed(&actions).len() >= 4, "it probes others instead");
+    assert!(probed(&actions).len() <= 20, "but ever more slowly");
 }
 
 #[test]
-fn dispatchers_ask_different_workers() {
-    // Full-size days: ties went to the lowest id, so that all chose the same workers.
+fn schedulers_probe_different_workers() {
+    // Ties must not go to the lowest id: all schedulers would choose the same workers.
     let first = |seed| {
         let mut d = chutesaddle::Dispatcher::new(many(), seed);
         let mut out = Vec::new();
         d.handle(1.0, Event::WorkersListed { whole: true, cached: true, entries: fleet(200) }, &mut out);
         d.handle(1.0, Event::RequestReceived(request(1, 0, 1.0)), &mut out);
-        asked(&out)
+        probed(&out)
     };
     let all: std::collections::BTreeSet<u64> = (0..100).flat_map(first).collect();
-    assert!(all.len() > 100, "{} of 200 workers asked by 100 dispatchers", all.len());
+    assert!(all.len() > 100, "{} of 200 workers probed by 100 schedulers", all.len());
 }
 
 #[test]
-fn the_second_question_goes_to_any_zone() {
-    // North: one zone has more traffic than its own workers can carry.
+fn second_probe_goes_to_any_zone() {
+    // One zone may have more traffic than its own workers can carry.
     let zone = |n: u64| WorkerInfo { zone: (n % 2) as u16, ..worker(n) };
     let mut b = Bench::new(many(), (1..=100).map(zone).collect());
     b.answer = Some(free(0.0));
-    let own = asked(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
+    let own = probed(&b.send(Event::RequestReceived(request(1, 0, 100.0))));
     assert!(own.iter().all(|w| w % 2 == 0), "its own zone first: {own:?}");
-    assert!(asked(&b.run(0.3)).iter().any(|w| w % 2 == 1));
+    assert!(probed(&b.run(0.3)).iter().any(|w| w % 2 == 1));
 }
 
 #[test]
-fn a_short_reported_queue_is_taken_on_the_second_question() {
-    // North's overload day: all hunted for the few workers whose stale reports said free.
+fn second_probe_accepts_a_short_reported_queue() {
+    // Otherwise all schedulers go for the few workers whose stale reports say that they have free slots.
     let mut s = many();
     s.load_report_fields.push(LoadReportField::Queue);
     s.classes[0].latency_objective_s = 3.0;
@@ -88,8 +87,8 @@
 }
 
 #[test]
-fn what_waits_unseen_is_not_copied() {
-    // North at full size: copies of crowded jobs made 2.4 attempts a request and the crowd itself.
+fn request_without_reported_start_is_not_hedged() {
+    // Hedging requests that only wait in a queue would make that queue longer.
     let mut b = Bench::new(many(), fleet(100));
     b.answer = Some(free(2.0));
     b.send(Event::RequestReceived(request(1, 0, 100.0)));
@@ -98,8 +97,8 @@
 }
 
 #[test]
-fn without_reports_a_safe_job_that_does_not_start_moves_on() {
-    // Till at full size: half of the jobs sent to workers that had answered had to wait there.
+fn without_load_reports_idempotent_request_that_does_not_start_is_retried_elsewhere() {
+    // A worker that answers its probe may still have a queue.
     let mut s = many();
     (s.load_report_fields, s.hedging_allowed) = (Vec::new(), false);
     let mut b = Bench::new(s, fleet(100));
@@ -117,21 +116,21 @@
 }
 
 #[test]
-fn without_reports_it_asks_only_where_workers_are_few() {
-    // Incidents ib76876 and i6d3732: with two workers or more for each, own traffic tells more.
-    for (dispatchers, asks) in [(12, false), (60, true)] {
+fn without_load_reports_probes_only_where_workers_are_few() {
+    // With several workers for each scheduler, its own traffic tells more than a probe.
+    for (schedulers, probes) in [(12, false), (60, true)] {
         let mut b = Bench::new(
-            Settings { scheduler_count: dispatchers, load_report_fields: Vec::new(), ..many() },
+            Settings { scheduler_count: schedulers, load_report_fields: Vec::new(), ..many() },
             fleet(59),
         );
         let first = b.send(Event::RequestReceived(request(1, 0, b.now)));
-        assert_eq!(!asked(&first).is_empty(), asks, "{dispatchers} dispatchers");
+        assert_eq!(!probed(&first).is_empty(), probes, "{schedulers} schedulers");
     }
 }
 
 #[test]
-fn full_load_refuses_the_lower_priority_at_once() {
-    // Overload days: nobody sees full load in its own queue of one or two jobs.
+fn full_load_rejects_the_lower_priority_at_once() {
+    // No scheduler sees full load in its own queue of one or two requests.
     let mut s = many();
     s.classes[3].priority_weight = 8.0;
     let mut b = Bench::new(s, fleet(100));
@@ -145,8 +144,8 @@
 }
 
 #[test]
-fn a_part_below_one_job_allows_for_chance() {
-    // A tenant of 60 a second is 0.2 a second here: two jobs close together are no sign of more.
+fn quota_share_below_one_request_allows_for_chance() {
+    // Of a quota of 60 a second, each of 300 schedulers has 0.2: two requests close together do not exceed it.
     let mut s = many();
     s.tenants = vec![
         Tenant { name: String::new(), quota_per_s: 60.0 },
@@ -163,7 +162,7 @@
 }
 
 #[test]
-fn unsafe_work_waits_until_a_trial_has_shown_a_worker_sound() {
+fn non_idempotent_request_waits_until_the_worker_has_passed_its_probation() {
     let mut b = Bench::new(many(), fleet(1));
     b.answer = Some(free(2.0));
     b.send(Event::RequestReceived(request(1, 0, b.now)));
@@ -180,7 +179,7 @@
 }
 
 #[test]
-fn list_calls_after_an_outage_are_spread_by_number() {
+fn discovery_polls_after_an_outage_are_spread_by_scheduler_index() {
     let wait = |index| {
         let mut d = chutesaddle::Dispatcher::new(
             Settings { scheduler_index: index, discovery_polled: true, ..many() },
@@ -197,17 +196,17 @@
 }
 
 #[test]
-fn odd_numbers_and_lists_are_survived() {
-    for (index, dispatchers) in [(0, 0), (900, 300), (5, 1)] {
+fn odd_settings_and_endpoint_lists_are_survived() {
+    for (index, schedulers) in [(0, 0), (900, 300), (5, 1)] {
         let mut b = Bench::new(
-            Settings { scheduler_index: index, scheduler_count: dispatchers, ..many() },
+            Settings { scheduler_index: index, scheduler_count: schedulers, ..many() },
             Vec::new(),
         );
         b.answer = Some(free(1.0));
         b.send(Event::RequestReceived(request(1, 0, b.now)));
         let entries: Vec<_> = (0..5000).chain(0..5000).map(worker).collect();
         b.send(Event::WorkersListed { whole: false, cached: false, entries });
-        assert_eq!(routes(&b.run(0.2)).len(), 1, "{index} of {dispatchers}");
+        assert_eq!(routes(&b.run(0.2)).len(), 1, "{index} of {schedulers}");
     }
     let mut s = many();
     s.tenants = vec![Tenant { name: String::new(), quota_per_s: 0.0 }];
@@ -218,8 +217,8 @@
     assert!(refused(&b.run(10.0), 1), "no worker of its kind");
 }
 
-/// 300 dispatchers that nothing tells of queues: no reports, no live weights, no questions.
-fn unseen() -> Settings {
+/// 300 schedulers that know nothing of queues: no load reports, no live weights, no probes.
+fn without_load_data() -> Settings {
     let zones = ["a", "b", "c"].map(String::from).to_vec();
     Settings {
         load_report_fields: Vec::new(),
@@ -231,8 +230,8 @@
     }
 }
 
-/// Where each of 600 dispatchers sends a first job, one that has a turn at every cold worker by chance.
-fn firsts(s: &Settings, workers: &[WorkerInfo], load: impl Fn(&mut Bench)) -> Vec<u64> {
+/// Where each of 600 schedulers sends its first request after `load`.
+fn first_destinations(s: &Settings, workers: &[WorkerInfo], load: impl Fn(&mut Bench)) -> Vec<u64> {
     let mut to = Vec::new();
     for index in 0..600usize {
         let own = Settings { scheduler_index: index % 300, ..s.clone() };
@@ -245,11 +244,11 @@
 }
 
 #[test]
-fn unseen_workers_are_drawn_by_size_and_own_zone() {
-    // CapacitySummary test at a customer whose lists tell no load: all met at the fast kind, two in three in other zones.
+fn workers_of_unknown_load_are_drawn_by_size_and_own_zone() {
+    // Without any of this, all schedulers meet at the fastest kind of worker, and most of them in other zones.
     let size = |n: u64| if n.is_multiple_of(2) { 1.0 } else { 4.0 };
     let line = |n: u64| WorkerInfo { zone: (n / 20) as u16, weight: size(n), ..worker(n) };
-    let to = firsts(&unseen(), &(0..60).map(line).collect::<Vec<_>>(), |_| {});
+    let to = first_destinations(&without_load_data(), &(0..60).map(line).collect::<Vec<_>>(), |_| {});
     let part = |fit: &dyn Fn(u64) -> bool| to.iter().filter(|n| fit(**n)).count() as f64 / to.len() as f64;
     assert!(
         to.len() > 590 && (0.7..0.9).contains(&part(&|n| n % 2 == 1)),
@@ -264,9 +263,9 @@
 }
 
 #[test]
-fn half_of_the_jobs_find_a_connection_from_an_earlier_one() {
-    // The same days: nearly each job opened a connection of its own, as each went to another worker.
-    let again = firsts(&unseen(), &(0..60).map(worker).collect::<Vec<_>>(), |b| {
+fn half_of_the_requests_go_to_a_recently_used_worker() {
+    // Otherwise nearly every request opens a connection of its own, because each goes to another worker.
+    let again = first_destinations(&without_load_data(), &(0..60).map(worker).collect::<Vec<_>>(), |b| {
         for id in 1..=4 {
             b.send(Event::RequestReceived(request(id, 0, b.now)));
             let sent = routes(&b.run(0.2));
@@ -277,8 +276,8 @@
     });
     assert!(again.len() > 590);
     let spread: std::collections::BTreeSet<_> = again.iter().collect();
-    assert!(spread.len() > 50, "each dispatcher keeps workers of its own");
-    let mut b = Bench::new(unseen(), fleet(60));
+    assert!(spread.len() > 50, "each scheduler keeps workers of its own");
+    let mut b = Bench::new(without_load_data(), fleet(60));
     let mut seen: Vec<u64> = Vec::new();
     let mut reused = 0;
     for id in 1..=200 {
@@ -289,12 +288,12 @@
         b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
         b.end(id, 0, AttemptOutcome::Succeeded);
     }
-    assert!(reused >= 100, "{reused} of 200 on a kept connection");
+    assert!(reused >= 100, "{reused} of 200 on a pooled connection");
 }
 
 #[test]
-fn cold_workers_get_jobs_while_warm_ones_have_queues() {
-    // Join day: 70 warm boxes held 750 jobs that waited, 107 new ones 24 jobs in all.
+fn workers_warming_up_get_requests_while_others_have_queues() {
+    // Workers that have just joined must relieve the others, whose queues are long.
     let cold = |n: u64| WorkerInfo { started_at_s: if n < 30 { 90.0 } else { 0.0 }, ..worker(n) };
     let workers: Vec<_> = (0..60).map(cold).collect();
     let waited = |long: f64| {
@@ -309,9 +308,12 @@
         }
     };
     let share = |long: f64| {
-        let to = firsts(&unseen(), &workers, waited(long));
+        let to = first_destinations(&without_load_data(), &workers, waited(long));
         to.iter().filter(|n| **n < 30).count() as f64 / to.len() as f64
     };
     let (idle, crowded) = (share(0.0), share(0.6));
-    assert!(crowded > 0.1 && crowded > 2.0 * idle, "to cold ones: {idle} without queues, {crowded} with");
+    assert!(
+        crowded > 0.1 && crowded > 2.0 * idle,
+        "to workers warming up: {idle} without queues, {crowded} with"
+    );
 }
--- a/tests/server/attempts.rs
+++ b/tests/server/attempts.rs
@@ -1,11 +1,11 @@
-//! Server-side flows: each way to end, cancelling, and the connections kept to members.
+//! Attempts on sockets: each way to end, cancelling, and pooled connections to workers.
 
 use rstest::rstest;
 
 use crate::scenario::{play, World, PLAIN};
 
 #[rstest]
-#[case::passed_on_unchanged(
+#[case::forwarded_unchanged(
     "c1 send job r1 publish-map
     m1 expect POST /publish-map/o1?v=2 HTTP/1.1 & X-Request-Id: r1 & X-Deadline-Ms: & Idempotency-Key: k1 & map of r1
     m1 send 202
@@ -41,13 +41,13 @@
     c1 expect third
     s wait flows_ended_done 2"
 )]
-#[case::a_result_that_is_no_text_is_passed_on_as_json(
+#[case::result_that_is_not_text_is_answered_as_json(
     "c1 send job r1
     m1 expect r1
     c2 send call r1 m1 done \"result\":{\"tiles\":[1,2]}
     c1 expect 200 & {\"tiles\":[1,2]}"
 )]
-#[case::a_stranger_cannot_answer(
+#[case::callback_of_another_worker_is_ignored(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -59,7 +59,7 @@
     c2 send call r1 m1 done
     c1 expect drawn"
 )]
-#[case::a_load_report_may_come_with_any_end(
+#[case::load_report_may_come_with_any_end(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -71,21 +71,21 @@
     m1 send 503 X-Not-Run: 1|X-Load: queue=1,x0=2,junk
     s wait flows_ended_returned 1"
 )]
-fn a_job_is_done(#[case] scenario: &str) {
+fn completed_request_is_answered_once(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
 
-/// Only m1 is there when the job comes, and only m2 when the first flow ends.
+/// Only m1 is listed when the request arrives, and only m2 when the first attempt ends.
 #[rstest]
 #[case::failed("m1 send 202\nc2 send call r1 m1 failed\nc2 expect 200", "failed")]
 #[case::lost("m1 send 202\nc2 send call r1 m1 lost\nc2 expect 200", "lost")]
 #[case::returned("m1 send 202\nc2 send call r1 m1 returned\nc2 expect 200", "returned")]
 #[case::error("m1 send 500", "failed")]
-#[case::turned_away("m1 send 503 X-Not-Run: 1", "returned")]
+#[case::rejected_as_not_run("m1 send 503 X-Not-Run: 1", "returned")]
 #[case::overloaded_but_may_have_run("m1 send 503", "failed")]
 #[case::closed_before_the_answer("m1 close", "broke_waiting")]
-#[case::no_http("m1 send raw nonsense\\r\\n\\r\\n", "garbled")]
-fn each_end_is_counted_and_the_job_is_sent_again(#[case] end: &str, #[case] counter: &str) {
+#[case::not_http("m1 send raw nonsense\\r\\n\\r\\n", "garbled")]
+fn each_end_is_counted_and_the_request_is_retried(#[case] end: &str, #[case] counter: &str) {
     play(
         &PLAIN,
         &format!(
@@ -120,7 +120,7 @@
     m1 expect r2
     s wait member_reuses 1"
 )]
-#[case::closed_by_the_member(
+#[case::closed_by_the_worker(
     PLAIN,
     "c1 send job r1
     m1 expect r1
@@ -135,7 +135,7 @@
     c1 expect 200
     s wait member_connects 2"
 )]
-#[case::with_an_answer_too_many(
+#[case::with_an_unexpected_answer(
     PLAIN,
     "c1 send job r1
     m1 expect r1
@@ -146,7 +146,7 @@
     c1 send job r2
     m1 expect new r2"
 )]
-#[case::the_member_says_close(
+#[case::the_worker_says_close(
     PLAIN,
     "c1 send job r1
     m1 expect r1
@@ -156,7 +156,7 @@
     c1 send job r2
     m1 expect new r2"
 )]
-#[case::gone_without_a_word_when_the_next_job_came(
+#[case::closed_as_the_next_request_arrives(
     PLAIN,
     "c1 send job r1
     m1 expect r1
@@ -176,7 +176,7 @@
     c1 send job r3
     m1 expect new r3"
 )]
-#[case::idle_ones_are_closed_before_the_member_would(
+#[case::closed_when_idle_before_the_worker_would(
     World { conn_idle_s: 0.2, ..PLAIN },
     "c1 send job r1
     m1 expect r1
@@ -185,12 +185,12 @@
     c2 send call r1 m1 done
     c1 expect 200"
 )]
-fn kept_connections(#[case] world: World, #[case] scenario: &str) {
+fn connections_are_reused_only_when_sound(#[case] world: World, #[case] scenario: &str) {
     play(&world, scenario);
 }
 
 #[rstest]
-#[case::the_client_leaves_after_the_202(
+#[case::client_disconnects_after_the_202(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -204,7 +204,7 @@
     c3 send job r2
     m1 expect r2"
 )]
-#[case::the_connection_for_the_delete_is_gone(
+#[case::connection_for_the_delete_is_gone(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -219,7 +219,7 @@
     m1 send 200
     s wait flows_ended_withdrawn 1"
 )]
-#[case::the_client_leaves_before_the_202(
+#[case::client_disconnects_before_the_202(
     "c1 send job r1
     m1 expect r1
     c1 close
@@ -228,7 +228,7 @@
     m1 send 404
     s wait flows_ended_withdrawn 1"
 )]
-#[case::a_member_that_does_not_answer_the_delete(
+#[case::worker_does_not_answer_the_delete(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -238,7 +238,7 @@
     c3 send job r2
     m1 expect new r2"
 )]
-#[case::done_crosses_the_delete(
+#[case::done_callback_crosses_the_delete(
     "c1 send job r1 draw-map 2000
     m1 expect r1
     m1 send 202
@@ -251,18 +251,18 @@
     s wait flows_ended_done 1
     s wait answered_rejected 1"
 )]
-fn a_job_is_given_up(#[case] scenario: &str) {
+fn unneeded_attempt_is_cancelled(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
 
-/// The silent member has not said that the job has begun, so it is moved; no second attempt may begin
-/// before the first has been given up.
+/// The silent worker has not notified that the request has started, so it is retried elsewhere. No second attempt may
+/// begin before the first is cancelled.
 #[rstest]
-#[case::to_a_member_that_serves("m2 send 202\nc2 send call r1 m2 done\nc1 expect drawn")]
-#[case::and_the_first_is_done_after_all(
+#[case::to_a_worker_that_serves("m2 send 202\nc2 send call r1 m2 done\nc1 expect drawn")]
+#[case::and_the_first_completes_after_all(
     "m2 send 202\nc2 send call r1 m1 done\nc1 expect drawn\nm2 expect DELETE"
 )]
-fn a_silent_member_loses_the_job(#[case] then: &str) {
+fn silent_worker_loses_the_request(#[case] then: &str) {
     play(
         &PLAIN,
         &format!(
@@ -281,9 +281,9 @@
     );
 }
 
-/// Once, a job whose DELETE could not be sent was taken for given up and sent elsewhere: a second copy.
+/// A request whose DELETE cannot be sent may still run: sent elsewhere, it would run twice.
 #[test]
-fn what_an_unreachable_member_holds_is_not_sent_elsewhere() {
+fn request_at_an_unreachable_worker_is_not_sent_elsewhere() {
     play(
         &PLAIN,
         "d expect new follow=1
@@ -306,9 +306,9 @@
     );
 }
 
-/// A further connection comes up for the DELETE as soon as the only one is in use again.
+/// Another connection is opened for the DELETE as soon as the only one is in use again.
 #[test]
-fn a_connection_is_spared_for_giving_up() {
+fn connection_is_kept_free_for_cancelling() {
     play(
         &PLAIN,
         "c1 send job r1
@@ -326,9 +326,9 @@
 }
 
 #[rstest]
-#[case::refused("m1 close door\nc1 send job r1 draw-map 900", "connect_refused")]
-#[case::silent_before_the_202("c1 send job r1 draw-map 900\nm1 expect r1", "withdrawn")]
-fn what_cannot_be_served_is_rejected_in_time(#[case] first: &str, #[case] counter: &str) {
+#[case::connection_refused("m1 close door\nc1 send job r1 draw-map 900", "connect_refused")]
+#[case::worker_silent_before_the_202("c1 send job r1 draw-map 900\nm1 expect r1", "withdrawn")]
+fn request_that_cannot_be_served_is_rejected_in_time(#[case] first: &str, #[case] counter: &str) {
     play(
         &PLAIN,
         &format!(
@@ -341,12 +341,12 @@
     );
 }
 
-/// Both programs try a suspect with a question where the settings allow one: on sockets a job was the trial.
+/// Where the settings allow probes, an ejected worker is tried with one and not with a client's request.
 #[rstest]
-#[case::free("200", "Content-Length: 4\\r\\n\\r\\nx0=2")]
-#[case::in_an_object("200", "Content-Length: 8\\r\\n\\r\\n{\"x0\":2}")]
-#[case::nonsense("200", "Content-Length: 3\\r\\n\\r\\n{{{")]
-fn a_suspect_is_asked_before_it_gets_a_job(#[case] status: &str, #[case] rest: &str) {
+#[case::free_slots("200", "Content-Length: 4\\r\\n\\r\\nx0=2")]
+#[case::load_in_an_object("200", "Content-Length: 8\\r\\n\\r\\n{\"x0\":2}")]
+#[case::unreadable_load("200", "Content-Length: 3\\r\\n\\r\\n{{{")]
+fn ejected_worker_is_probed_before_it_gets_a_request(#[case] status: &str, #[case] rest: &str) {
     let scenario = format!(
         "s send config \"may_cancel\":true => \"may_cancel\":true,\"probes\":true
         s send HUP
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -1,10 +1,10 @@
-//! The gateway between two sites: what crosses, what comes back, and what a cut in between leaves of it.
+//! The gateway between two sites: what is forwarded, what comes back, and what a cut between them leaves of it.
 
 use rstest::rstest;
 
 use crate::scenario::{play, SITES};
 
-/// Both slots of the site `a` are taken, and the site `b` has granted its two.
+/// Both slots of the site `a` are in use, and the site `b` has granted its two.
 const FULL: &str = "
     c1 send job r1
     m1 expect r1
@@ -17,8 +17,8 @@
     o1 wait METRICS => svc.gateway.out.limit.b=2
 ";
 
-/// A keyed job crosses and is with the member of the other site.
-const TAKEN: &str = "
+/// A request with an idempotency key is forwarded, and the worker of the other site has it.
+const FORWARDED: &str = "
     c3 send job r3 publish-map 8000 3
     m2 expect r3 & map of r3 & Idempotency-Key: k3
     m2 send 202
@@ -27,7 +27,7 @@
 ";
 
 #[rstest]
-#[case::it_is_answered_once(
+#[case::is_answered_once(
     "
     f1 send call r3 m2 done
     f1 expect 200
@@ -38,7 +38,7 @@
     r1 wait METRICS => svc.gateway.taken=1
     r2 wait METRICS => svc.gateway.open_in=0"
 )]
-#[case::its_client_leaves(
+#[case::is_cancelled_when_its_client_disconnects(
     "
     c3 close
     m2 expect DELETE /jobs/r3
@@ -46,7 +46,7 @@
     r1 wait METRICS => svc.gateway.open_in=0
     o3 wait METRICS => svc.gateway.open_out=0"
 )]
-#[case::cut_after_it_was_taken(
+#[case::survives_a_cut_after_it_was_accepted(
     "
     w send cut
     s expect log no link to the site b
@@ -55,7 +55,7 @@
     f1 send call r3 m2 done
     c3 expect 200 & drawn"
 )]
-#[case::done_during_the_cut(
+#[case::completed_during_the_cut(
     "
     w send cut
     s expect log no link to the site b
@@ -66,7 +66,7 @@
     c3 expect 200 & drawn
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::the_answer_is_lost_on_the_way(
+#[case::survives_the_loss_of_the_answer(
     "
     w send back
     f1 send call r3 m2 done
@@ -75,14 +75,14 @@
     w send sound
     c3 expect 200 & drawn"
 )]
-#[case::the_connection_is_reset(
+#[case::survives_a_connection_reset(
     "
     w send reset
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send call r3 m2 done
     c3 expect 200 & drawn"
 )]
-#[case::the_other_process_dies(
+#[case::other_process_dies(
     "
     t send KILL
     s expect log no link to the site b
@@ -92,7 +92,7 @@
     c1 expect 200
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::the_peer_is_taken_out_of_the_settings(
+#[case::peer_is_removed_from_the_settings(
     "
     s send operator peer \"b\" { => peer \"c\"; /-peer \"b\" {
     s send HUP
@@ -102,7 +102,7 @@
     o3 wait METRICS => svc.gateway.out.up.b=0
     o4 wait METRICS => svc.gateway.unknown=0"
 )]
-#[case::its_own_process_is_stopped(
+#[case::own_process_is_stopped(
     "
     s send TERM
     s expect log stopping, 3 requests
@@ -114,7 +114,7 @@
     c2 expect 200
     s expect exit 0"
 )]
-#[case::the_other_process_is_stopped(
+#[case::other_process_is_stopped(
     "
     t send TERM
     t expect log stopping
@@ -122,7 +122,7 @@
     c3 expect 200 & drawn
     t expect exit 0"
 )]
-#[case::a_repeat_of_its_key_follows_it(
+#[case::repeat_of_its_key_follows_it(
     "
     f1 send call r3 m2 done
     c3 expect 200 & drawn
@@ -138,7 +138,7 @@
     c6 expect 200
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::a_repeat_of_its_key_while_the_other_site_is_gone_is_rejected_at_once(
+#[case::repeat_of_its_key_while_the_other_site_is_gone_is_rejected_at_once(
     "
     t send KILL
     o3 wait METRICS => svc.gateway.out.up.b=0
@@ -146,12 +146,12 @@
     c6 expect HTTP/1.1 503 & Retry-After
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-fn a_keyed_job_that_has_crossed(#[case] then: &str) {
-    play(&SITES, &format!("{FULL}{TAKEN}{then}"));
+fn forwarded_request_with_a_key(#[case] then: &str) {
+    play(&SITES, &format!("{FULL}{FORWARDED}{then}"));
 }
 
 #[rstest]
-#[case::the_offer_is_lost(
+#[case::offer_is_lost(
     "
     w send cut
     c3 send job r3 publish-map 8000 3
@@ -166,7 +166,7 @@
     c3 expect 200 & drawn
     m2 expect silence"
 )]
-#[case::taken_but_the_word_of_it_is_lost(
+#[case::acceptance_is_lost(
     "
     w send back
     c3 send job r3 publish-map 8000 3
@@ -180,7 +180,7 @@
     c3 expect 200 & drawn
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::the_other_site_is_slower_than_the_time_left(
+#[case::other_site_is_slower_than_the_time_left(
     "
     c3 send job r3 publish-map 700 3
     m2 expect r3
@@ -188,7 +188,7 @@
     c3 expect HTTP/1.1 502
     m2 expect DELETE /jobs/r3"
 )]
-#[case::its_name_is_in_use_there_so_it_runs_here(
+#[case::runs_here_when_its_id_is_in_use_there(
     "
     f1 send job r3
     m2 expect r3
@@ -203,7 +203,7 @@
     c5 send call r3 m1 done
     c3 expect 200 & drawn"
 )]
-#[case::a_peer_that_fell_silent_gets_nothing(
+#[case::silent_peer_gets_nothing(
     "
     t send STOP
     s expect log no link to the site b
@@ -213,7 +213,7 @@
     t send CONT
     o3 wait METRICS => svc.gateway.crossed=0"
 )]
-#[case::a_paused_peer_takes_nothing(
+#[case::paused_peer_accepts_nothing(
     "
     r1 send raw PAUSE\\n
     r1 expect +OK
@@ -223,12 +223,12 @@
     m1 expect r3
     o3 wait METRICS => svc.gateway.crossed=0"
 )]
-fn a_job_that_finds_no_room_here(#[case] then: &str) {
+fn request_that_finds_no_capacity_here(#[case] then: &str) {
     play(&SITES, &format!("{FULL}{then}"));
 }
 
 #[test]
-fn work_stays_where_there_is_room() {
+fn requests_stay_where_there_is_capacity() {
     play(
         &SITES,
         "
@@ -245,13 +245,13 @@
 #[rstest]
 #[case::another_protocol("g1 send raw GET / HTTP/1.1\\r\\n\\r\\n", "the other end is no gateway")]
 #[case::a_long_frame("g1 send raw zzzzzzzzzzzz", "the other end is no gateway")]
-fn a_caller_that_is_no_peer_is_turned_down_and_nothing_else_is_hurt(#[case] call: &str, #[case] why: &str) {
+fn caller_that_is_no_peer_is_rejected_and_nothing_else_is_affected(#[case] call: &str, #[case] why: &str) {
     play(
         &SITES,
         &format!(
             "{call}
             t expect log is turned down: {why}
-            {FULL}{TAKEN}
+            {FULL}{FORWARDED}
             f1 send call r3 m2 done
             c3 expect 200 & drawn"
         ),
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_secret_that_cannot_be_read_changes_nothing() {
+fn unreadable_secret_changes_nothing() {
     play(
         &SITES,
         &format!(
@@ -267,16 +267,16 @@
             s send operator secret-file \" => secret-file \"/nowhere
             s send HUP
             s expect log the configuration stays as it is
-            {TAKEN}
+            {FORWARDED}
             f1 send call r3 m2 done
             c3 expect 200 & drawn"
         ),
     );
 }
 
-/// The secret of one side changes: no link comes up any more, and work stays.
+/// The secret of one side changes: no link comes up any more, and requests stay.
 #[test]
-fn a_wrong_secret_keeps_the_sites_apart() {
+fn wrong_secret_keeps_the_sites_apart() {
     play(
         &SITES,
         &format!(
@@ -295,13 +295,13 @@
     );
 }
 
-/// The receiver takes its peer out of its settings: what it has is answered, and its link goes after that.
+/// The receiver removes its peer from its settings: what it has accepted is answered, and then its link is closed.
 #[test]
-fn a_receiver_that_takes_its_peer_out_answers_what_it_has() {
+fn receiver_that_removes_its_peer_answers_what_it_has_accepted() {
     play(
         &SITES,
         &format!(
-            "{FULL}{TAKEN}
+            "{FULL}{FORWARDED}
             t send operator peer \"a\" => peer \"c\"
             t send HUP
             t expect log the configuration is taken up
@@ -313,14 +313,14 @@
     );
 }
 
-/// The sender's process is replaced while its job is away: the old one sees it to its end, the new one has links
-/// of its own.
+/// The sender's process is replaced while a request of it is forwarded: the old one waits for its end, the new one has
+/// links of its own.
 #[test]
-fn an_upgrade_of_the_sender_answers_what_is_away() {
+fn upgrade_of_the_sender_answers_forwarded_requests() {
     play(
         &SITES,
         &format!(
-            "{FULL}{TAKEN}
+            "{FULL}{FORWARDED}
             s2 send START
             s expect log a new process takes over
             d expect new GET /v1/endpoints
@@ -336,14 +336,14 @@
     );
 }
 
-/// The receiver's process is replaced while it has a job of another site: the old one keeps it to its end, and
-/// call-backs that reach the new one find it.
+/// The receiver's process is replaced while it has a request of another site: the old one keeps it to its end, and
+/// callbacks that reach the new one are passed on to it.
 #[test]
-fn an_upgrade_of_the_receiver_answers_what_it_has() {
+fn upgrade_of_the_receiver_answers_what_it_has_accepted() {
     play(
         &SITES,
         &format!(
-            "{FULL}{TAKEN}
+            "{FULL}{FORWARDED}
             t2 send START
             t expect log a new process takes over
             e expect new GET /v1/endpoints
--- a/tests/server/races.rs
+++ b/tests/server/races.rs
@@ -1,19 +1,19 @@
-//! Two events that cross: a close, a signal or a time-out in the very moment of something else. What comes first is
-//! forced by what the parties have seen.
+//! Races: a close, a signal or a timeout at the same moment as something else. The order of the two events is forced
+//! by what each party waits for. The table of them is `docs/races.md`.
 
 use rstest::rstest;
 
 use crate::scenario::{play, PLAIN};
 
-/// More than the scheduler reads ahead of the request that waits.
+/// More than the scheduler reads ahead behind a request that waits.
 fn unread() -> String {
     format!("raw POST /draw-map/b HTTP/1.1\\r\\nX-Pad: {}", "x".repeat(64 * 1024))
 }
 
 #[rstest]
-#[case::while_the_worker_has_the_job("m1 send 202", "m1 expect DELETE /jobs/r1")]
-#[case::before_the_worker_has_answered("", "m1 expect eof")]
-fn a_client_that_closes_behind_unread_bytes_has_gone(#[case] before: &str, #[case] given_up: &str) {
+#[case::after_the_worker_accepted_the_request("m1 send 202", "m1 expect DELETE /jobs/r1")]
+#[case::before_the_worker_answered("", "m1 expect eof")]
+fn client_that_closes_behind_unread_bytes_has_disconnected(#[case] before: &str, #[case] given_up: &str) {
     play(
         &PLAIN,
         &format!(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_close_behind_unread_bytes_ends_a_request_that_no_worker_can_take() {
+fn close_behind_unread_bytes_ends_a_request_that_no_worker_can_run() {
     play(
         &PLAIN,
         &format!(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_its_idle_connection_meets_no_reset() {
+fn request_that_crosses_the_close_of_its_idle_connection_meets_no_reset() {
     play(
         &PLAIN,
         "c1 send job r1
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_last_answer_before_the_exit_survives_what_its_client_sent_behind_the_request() {
+fn last_answer_before_the_exit_survives_bytes_behind_its_request() {
     play(
         &PLAIN,
         &format!(
@@ -97,9 +97,9 @@
 }
 
 /// A client's time runs while its request waits behind another one on the same connection: the worker is told what is
-/// left of it. The scheduler misses discovery, which is silent here, after 1.9 s.
+/// left of it. Discovery is silent here, so that its loss shows that 1.9 s have passed.
 #[test]
-fn a_request_sent_ahead_tells_the_worker_no_more_than_its_client_waits() {
+fn pipelined_request_states_no_more_time_than_its_client_waits() {
     play(
         &PLAIN,
         "c1 send job r1 draw-map 8000
@@ -118,23 +118,23 @@
 }
 
 #[rstest]
-#[case::a_second_sigterm(
+#[case::second_sigterm(
     "s send TERM
     m1 send 202"
 )]
-#[case::a_hangup("s send HUP\nm1 send 202")]
-#[case::an_attempt_that_has_to_be_made_again(
+#[case::sighup("s send HUP\nm1 send 202")]
+#[case::retried_attempt(
     "m1 send HTTP/1.1 503 Busy|X-Not-Run: 1|Content-Length: 0||
     m1 expect r1
     m1 send 202"
 )]
-#[case::a_worker_that_breaks_off_before_its_answer("m1 close\nm1 expect new r1\nm1 send 202")]
-#[case::a_list_in_which_its_worker_drains(
+#[case::worker_that_closes_before_its_answer("m1 close\nm1 expect new r1\nm1 send 202")]
+#[case::endpoint_list_in_which_its_worker_drains(
     "d send some m1:leaving
     s wait pool_updates 1
     m1 send 202"
 )]
-fn what_was_taken_is_answered_though_sigterm_is_followed_by(#[case] next: &str) {
+fn accepted_request_is_answered_though_sigterm_is_followed_by(#[case] next: &str) {
     play(
         &PLAIN,
         &format!(
