--- a/src/config.rs
+++ b/src/config.rs
@@ -8,7 +8,7 @@
 use simd_json::tape::Value;
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 
 pub mod endpoint_list;
 pub mod settings;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -4,9 +4,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use crate::scheduling::interface::{
-    DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant,
-};
+use crate::scheduling::{DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant};
 
 /// A known key whose value cannot be read.
 #[derive(Debug, thiserror::Error, PartialEq)]
--- a/src/scheduling/affinity.rs
+++ b/src/scheduling/affinity.rs
@@ -1,220 +1,200 @@
-//! Where what jobs need is kept.
+//! Affinity: which workers probably have the data that a request needs, and what that is worth.
 //!
-//! Requests may name an object (an account, a file) that a worker must have before it can run the job. Workers
-//! keep some for a while and fetch others while the job holds its slots. How many, for how long and what a
-//! miss costs is told nowhere, and may be nothing at all: it is learnt from run times. For each run it is
-//! noted in which *place* the worker stood for the object, and by how much the run took longer than usual
-//! there; what places differ in is what choosing by them is worth.
+//! Requests may name data (an account, a file) by an affinity key. A worker must have the data before it can run the
+//! request. Workers cache some of it and fetch the rest while the request holds its slots. How many keys they cache, for
+//! how long and what a miss costs is stated nowhere, and may be nothing at all: it is learned from run times. Each run is
+//! filed under the worker's [`Locality`] for the key, with how much longer it took than usual there; the differences
+//! between localities are what preferring one of them saves.
 //!
-//! The places: the worker is one of the object's homes; else this dispatcher sent the object there lately (by how
-//! many others it has sent there since); else neither. Homes follow from the object and the list alone
-//! (rendezvous hashing, weighted by slots), so that all dispatchers name the same ones without talk, and a
-//! worker that comes or goes moves its own share only. An object that is asked for much has more homes: the
-//! first ones in an order of all workers, so that dispatchers that count differently still agree on most.
+//! Preferred workers follow from the key and the endpoint list alone (rendezvous hashing, weighted by slots), so that all
+//! schedulers choose the same ones without communication, and a worker that comes or goes moves its own share of keys
+//! only. A key that is requested often has more preferred workers: the first ones in an order of all workers, so that
+//! schedulers that count differently still agree on most.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::scheduling::decaying_mean::Mean;
-use crate::scheduling::interface::WorkerId;
-use crate::scheduling::random::{chance, spread};
-
-/// Objects counted at the most.
-const MOST: usize = 512;
-/// An object is asked for again, not only once, from this count on.
-const AGAIN: f64 = 1.5;
-/// How long an object stays asked for, in seconds.
-const ASKED: f64 = 30.0;
-/// Run times by place fade with this time constant, in seconds.
-const FADE: f64 = 60.0;
-/// Runs that weigh as much as what is believed before any was seen: that a fetch takes a third of a usual run. Without
-/// such a belief nobody would keep to homes, and none would ever show that they save anything.
-const TRUST: f64 = 10.0;
-/// See `TRUST`.
-const PRIOR: f64 = 0.3;
-/// So many requests put that belief to the test at first.
-const MOST_TRIES: f64 = 0.05;
-/// Less than this part of a usual run is taken for chance.
-const LEAST: f64 = 0.15;
-/// An object has so many homes for each that its share of the requests would fill: each keeps other things too.
-const HOMES: f64 = 2.0;
-/// Objects that are remembered for each worker, the latest first.
-pub(crate) const KEPT: usize = 8;
-/// More than this many usual runs longer than usual, or shorter, is another thing than a fetch.
-const MOST_EXTRA: f64 = 3.0;
-
-/// How a worker stands to an object.
+use crate::scheduling::decaying_mean::DecayingMean;
+use crate::scheduling::identifiers::WorkerId;
+use crate::scheduling::random::{seeded_hash, uniform_draw};
+
+/// Keys counted at the most.
+const MAX_KEYS: usize = 512;
+/// From this decayed count on a key counts as requested repeatedly.
+const REPEATED_REQUESTS: f64 = 1.5;
+/// Counts of requests decay with this time constant.
+const REQUEST_TIME_CONSTANT_S: f64 = 30.0;
+/// Extra run times by locality decay with this time constant.
+const RUN_TIME_CONSTANT_S: f64 = 60.0;
+/// Runs that weigh as much as the prior saving. Without a prior nobody would prefer a worker, and no run would ever show
+/// that it saves anything.
+const PRIOR_RUNS: f64 = 10.0;
+/// What a cached key is assumed to save before any run has shown it, in mean runs.
+const PRIOR_SAVING: f64 = 0.3;
+/// The fraction of requests that ignore affinity at first, to measure what it saves.
+const MAX_EXPLORING_FRACTION: f64 = 0.05;
+/// A saving below this many mean runs counts as noise.
+const MIN_SAVING: f64 = 0.15;
+/// Preferred workers of a key, for each worker that its share of the requests would keep busy: workers cache other keys
+/// too.
+const PREFERRED_WORKERS_PER_SHARE: f64 = 2.0;
+/// Keys remembered for each worker, the latest first.
+pub(crate) const MAX_RECENT_KEYS: usize = 8;
+/// More than this many mean runs longer or shorter than usual has another cause than a fetch.
+const MAX_EXTRA_RUNS: f64 = 3.0;
+
+/// How close a worker is to the data of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Place {
-    /// Sent there lately: how many other objects were sent since, by powers of two.
-    Near(usize),
-    /// One of those that all dispatchers choose for it.
-    Home,
+pub(crate) enum Locality {
+    /// This scheduler sent it the key lately. The number is the bit length of the count of other keys sent since.
+    RecentlySent(usize),
+    /// One of the workers that all schedulers prefer for the key.
+    Preferred,
     /// Neither.
-    Far,
+    Unrelated,
 }
 
-const PLACES: usize = 6;
+const LOCALITIES: usize = 6;
 
-impl Place {
+impl Locality {
     fn index(self) -> usize {
         match self {
-            Place::Near(depth) => depth.min(PLACES - 3),
-            Place::Home => PLACES - 2,
-            Place::Far => PLACES - 1,
+            Locality::RecentlySent(depth) => depth.min(LOCALITIES - 3),
+            Locality::Preferred => LOCALITIES - 2,
+            Locality::Unrelated => LOCALITIES - 1,
         }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Asked {
-    count: Mean,
-    /// Tags of workers, the first first.
-    homes: Vec<u64>,
+struct KeyStatistics {
+    requests: DecayingMean,
+    /// Stable ids of workers, the most preferred first.
+    preferred_workers: Vec<u64>,
 }
 
-/// What is known of the objects.
+/// A ready worker as affinity sees it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WeightedWorker {
+    /// The same at all schedulers; see `WorkerInfo::stable_id`.
+    pub stable_id: u64,
+    /// Its share of the keys is proportional to this.
+    pub weight: f64,
+}
+
+/// What is known of the keys and of what affinity saves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Objects {
-    asked: BTreeMap<u64, Asked>,
-    all: Mean,
-    /// By place: what runs took longer than usual at their worker, in usual runs of the fleet.
-    extra: [Mean; PLACES],
+pub(crate) struct AffinityStatistics {
+    keys: BTreeMap<u64, KeyStatistics>,
+    requests: DecayingMean,
+    /// By locality: what runs took longer than usual at their worker, in mean runs of the fleet.
+    extra_run_time: [DecayingMean; LOCALITIES],
 }
 
-impl Objects {
-    /// Counts a request for an object, and finds its homes once it has been asked for before. `workers` gives
-    /// the tags of those that take work, with their weights. Both change as the list does and as the workers'
-    /// sizes are learnt, so they are asked for each time.
-    pub(crate) fn ask(&mut self, now: f64, object: u64, workers: impl FnOnce() -> Vec<(u64, f64)>) {
-        if self.asked.len() >= MOST && !self.asked.contains_key(&object) {
-            // What was asked for once, or long ago. Were all asked for again and again, no homes would help.
-            self.asked.retain(|_, a| a.count.left(now, ASKED) >= AGAIN);
-            if self.asked.len() >= MOST {
-                self.asked.clear();
-            }
-        }
-        self.all.add(now, ASKED, 1.0, 1.0);
-        let all = self.all.left(now, ASKED);
-        let asked = self.asked.entry(object).or_default();
-        asked.count.add(now, ASKED, 1.0, 1.0);
-        let count = asked.count.left(now, ASKED);
-        if count < AGAIN {
+impl AffinityStatistics {
+    /// Counts a request for a key, and chooses its preferred workers once it is requested repeatedly.
+    ///
+    /// `ready_workers` is called at each such request, as the list and the workers' known sizes change.
+    pub(crate) fn count_request(
+        &mut self,
+        now: f64,
+        key: u64,
+        ready_workers: impl FnOnce() -> Vec<WeightedWorker>,
+    ) {
+        self.make_room_for(now, key);
+        self.requests.add(now, REQUEST_TIME_CONSTANT_S, 1.0, 1.0);
+        let all_requests = self.requests.remaining_weight(now, REQUEST_TIME_CONSTANT_S);
+        let statistics = self.keys.entry(key).or_default();
+        statistics.requests.add(now, REQUEST_TIME_CONSTANT_S, 1.0, 1.0);
+        let key_requests = statistics.requests.remaining_weight(now, REQUEST_TIME_CONSTANT_S);
+        if key_requests < REPEATED_REQUESTS {
             return;
         }
-        let draw = |tag| chance(spread(object, WorkerId(tag)));
-        let key = |(tag, weight): (u64, f64)| (-draw(tag).ln() / weight.max(1e-9), tag);
-        let mut order: Vec<_> = workers().into_iter().map(key).collect();
-        order.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let homes = (HOMES * count / all * order.len() as f64).ceil() as usize;
-        asked.homes = order.into_iter().take(homes.max(1)).map(|worker| worker.1).collect();
-    }
-
-    /// Whether a request goes where it would if nothing were kept anywhere, so that what is believed is put to
-    /// the test: the more often, the less is known. `chance` is evenly spread up to 1.
-    pub(crate) fn tries(&self, now: f64, chance: f64) -> bool {
-        chance < MOST_TRIES * TRUST / (TRUST + self.extra[Place::Far.index()].left(now, FADE))
-    }
-
-    /// Whether any object is asked for again, so that keeping it can save something.
-    pub(crate) fn any_homes(&self) -> bool {
-        self.asked.values().any(|a| !a.homes.is_empty())
+        let order = rendezvous_order(key, ready_workers());
+        let preferred = PREFERRED_WORKERS_PER_SHARE * key_requests / all_requests * order.len() as f64;
+        let preferred = (preferred.ceil() as usize).max(1);
+        statistics.preferred_workers = order.into_iter().take(preferred).collect();
     }
 
-    /// How a worker stands to an object; `kept` is what it was sent lately, the latest first.
-    pub(crate) fn place(&self, object: u64, tag: u64, kept: &[u64]) -> Place {
-        let home = self.asked.get(&object).is_some_and(|a| a.homes.contains(&tag));
-        if home {
-            return Place::Home;
+    /// Forgets keys that were requested once or long ago if a new one has no room. Were all requested again and again, no
+    /// preference would help.
+    fn make_room_for(&mut self, now: f64, key: u64) {
+        if self.keys.len() < MAX_KEYS || self.keys.contains_key(&key) {
+            return;
         }
-        match kept.iter().position(|k| *k == object) {
-            Some(depth) => Place::Near(usize::BITS as usize - depth.leading_zeros() as usize),
-            None => Place::Far,
+        self.keys.retain(|_, statistics| {
+            statistics.requests.remaining_weight(now, REQUEST_TIME_CONSTANT_S) >= REPEATED_REQUESTS
+        });
+        if self.keys.len() >= MAX_KEYS {
+            self.keys.clear();
         }
     }
 
-    /// A run took this much longer than usual at its worker, in usual runs of the fleet.
-    pub(crate) fn ran(&mut self, now: f64, place: Place, extra: f64) {
-        let extra = extra.clamp(-MOST_EXTRA, MOST_EXTRA);
-        self.extra[place.index()].add(now, FADE, extra, 1.0);
-    }
-
-    /// By how many usual runs of the fleet a run in this place is shorter than where nothing is kept.
-    pub(crate) fn saves(&self, now: f64, place: Place) -> f64 {
-        let mean = |place: Place, prior| self.extra[place.index()].or(now, FADE, TRUST, prior);
-        let prior = if place == Place::Far { 0.0 } else { PRIOR };
-        Some(mean(Place::Far, prior) - mean(place, 0.0)).filter(|saves| *saves > LEAST).unwrap_or(0.0)
-    }
-}
-
-/// Notes that a worker is sent an object.
-pub(crate) fn keep(kept: &mut Vec<u64>, object: u64) {
-    kept.retain(|k| *k != object);
-    kept.insert(0, object);
-    kept.truncate(KEPT);
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn fleet(n: u64) -> Vec<(u64, f64)> {
-        (0..n).map(|tag| (tag, 3.0)).collect()
+    /// Whether a request ignores affinity, so that what it saves is measured: the more often, the fewer runs have shown
+    /// it. `draw` is uniform over (0, 1].
+    pub(crate) fn explores(&self, now: f64, draw: f64) -> bool {
+        let unrelated = &self.extra_run_time[Locality::Unrelated.index()];
+        let runs = unrelated.remaining_weight(now, RUN_TIME_CONSTANT_S);
+        draw < MAX_EXPLORING_FRACTION * PRIOR_RUNS / (PRIOR_RUNS + runs)
     }
 
-    fn homes(objects: &Objects, object: u64) -> Vec<u64> {
-        objects.asked.get(&object).map(|a| a.homes.clone()).unwrap_or_default()
+    /// Whether any key is requested repeatedly, so that a preference can save something.
+    pub(crate) fn has_preferred_workers(&self) -> bool {
+        self.keys.values().any(|statistics| !statistics.preferred_workers.is_empty())
     }
 
-    #[test]
-    fn ten_thousand_objects_asked_for_once_are_forgotten_and_have_no_homes() {
-        let mut objects = Objects::default();
-        for object in 1..=10_000 {
-            objects.ask(object as f64 * 0.01, object, || unreachable!("no order is made for them"));
-            assert!(objects.asked.len() <= MOST && !objects.any_homes());
+    /// How close a worker is to a key; `recent_keys` is what it was sent lately, the latest first.
+    pub(crate) fn locality(&self, key: u64, stable_id: u64, recent_keys: &[u64]) -> Locality {
+        let statistics = self.keys.get(&key);
+        if statistics.is_some_and(|statistics| statistics.preferred_workers.contains(&stable_id)) {
+            return Locality::Preferred;
         }
-    }
-
-    #[test]
-    fn a_third_of_all_requests_gets_more_homes_than_a_hundredth() {
-        let mut objects = Objects::default();
-        for n in 0..600u64 {
-            let object = if n % 3 == 0 { 1 } else { 2 + n % 66 };
-            objects.ask(n as f64 * 0.02, object, || fleet(12));
+        match recent_keys.iter().position(|recent| *recent == key) {
+            Some(depth) => Locality::RecentlySent((usize::BITS - depth.leading_zeros()) as usize),
+            None => Locality::Unrelated,
         }
-        let (popular, rare) = (homes(&objects, 1).len(), homes(&objects, 6).len());
-        assert!((6..=9).contains(&popular) && rare == 1, "{popular} and {rare}");
     }
 
-    #[test]
-    fn a_worker_that_comes_or_goes_moves_its_own_share_only() {
-        let mut objects = Objects::default();
-        let ask = |objects: &mut Objects, n: u64| {
-            for object in (0..200).chain(0..200) {
-                objects.ask(1.0, object, || fleet(n));
-            }
-            (0..200).map(|object| homes(objects, object)[0]).collect::<Vec<_>>()
-        };
-        let (twelve, eleven) = (ask(&mut objects, 12), ask(&mut objects, 11));
-        let moved: Vec<_> = twelve.iter().zip(&eleven).filter(|(a, b)| a != b).collect();
-        assert!(moved.iter().all(|(a, _)| **a == 11), "only what was at the worker that went");
-        assert!((8..=32).contains(&moved.len()), "about a twelfth of 200: {}", moved.len());
+    /// Records that a run took this much longer than usual at its worker, in mean runs of the fleet.
+    pub(crate) fn record_run(&mut self, now: f64, locality: Locality, extra_runs: f64) {
+        let extra_runs = extra_runs.clamp(-MAX_EXTRA_RUNS, MAX_EXTRA_RUNS);
+        self.extra_run_time[locality.index()].add(now, RUN_TIME_CONSTANT_S, extra_runs, 1.0);
     }
 
-    #[test]
-    fn places_that_save_nothing_are_not_preferred_once_runs_have_shown_it() {
-        let mut objects = Objects::default();
-        assert!(objects.saves(0.0, Place::Home) > 0.0, "a belief to start from");
-        for n in 0..60 {
-            for place in [Place::Home, Place::Near(0), Place::Far] {
-                objects.ran(f64::from(n) * 0.1, place, f64::from(n % 3) - 1.0);
-            }
-        }
-        assert_eq!([Place::Home, Place::Near(0), Place::Far].map(|p| objects.saves(6.0, p)), [0.0; 3]);
-        for n in 0..60 {
-            objects.ran(6.0 + f64::from(n) * 0.1, Place::Far, 0.8);
+    /// By how many mean runs of the fleet a run with this locality is shorter than an unrelated one.
+    pub(crate) fn saving(&self, now: f64, locality: Locality) -> f64 {
+        let extra_runs = |locality: Locality, prior| {
+            let extra = &self.extra_run_time[locality.index()];
+            extra.value_or(now, RUN_TIME_CONSTANT_S, PRIOR_RUNS, prior)
+        };
+        let prior = if locality == Locality::Unrelated { 0.0 } else { PRIOR_SAVING };
+        let saving = extra_runs(Locality::Unrelated, prior) - extra_runs(locality, 0.0);
+        if saving > MIN_SAVING {
+            saving
+        } else {
+            0.0
         }
-        assert!(objects.saves(12.0, Place::Home) > 0.3, "but they can come to save something");
     }
 }
+
+/// The workers' stable ids in the order in which all schedulers prefer them for a key (weighted rendezvous hashing).
+fn rendezvous_order(key: u64, workers: Vec<WeightedWorker>) -> Vec<u64> {
+    let sort_key = |worker: WeightedWorker| {
+        let draw = uniform_draw(seeded_hash(key, WorkerId(worker.stable_id)));
+        (-draw.ln() / worker.weight.max(1e-9), worker.stable_id)
+    };
+    let mut order: Vec<_> = workers.into_iter().map(sort_key).collect();
+    order.sort_by(|a, b| a.0.total_cmp(&b.0));
+    order.into_iter().map(|(_, stable_id)| stable_id).collect()
+}
+
+/// Records that a worker is sent a key.
+pub(crate) fn remember_key(recent_keys: &mut Vec<u64>, key: u64) {
+    recent_keys.retain(|recent| *recent != key);
+    recent_keys.insert(0, key);
+    recent_keys.truncate(MAX_RECENT_KEYS);
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/scheduling/affinity/tests.rs
@@ -0,0 +1,61 @@
+use super::*;
+
+fn fleet(workers: u64) -> Vec<WeightedWorker> {
+    (0..workers).map(|stable_id| WeightedWorker { stable_id, weight: 3.0 }).collect()
+}
+
+fn preferred_workers(affinity: &AffinityStatistics, key: u64) -> Vec<u64> {
+    affinity.keys.get(&key).map(|statistics| statistics.preferred_workers.clone()).unwrap_or_default()
+}
+
+#[test]
+fn forgets_ten_thousand_keys_requested_once_without_preferring_workers() {
+    let mut affinity = AffinityStatistics::default();
+    for key in 1..=10_000 {
+        affinity.count_request(key as f64 * 0.01, key, || unreachable!("no order is made for them"));
+        assert!(affinity.keys.len() <= MAX_KEYS && !affinity.has_preferred_workers());
+    }
+}
+
+#[test]
+fn popular_key_gets_more_preferred_workers_than_rare_one() {
+    let mut affinity = AffinityStatistics::default();
+    for n in 0..600u64 {
+        let key = if n % 3 == 0 { 1 } else { 2 + n % 66 };
+        affinity.count_request(n as f64 * 0.02, key, || fleet(12));
+    }
+    let (popular, rare) = (preferred_workers(&affinity, 1).len(), preferred_workers(&affinity, 6).len());
+    assert!((6..=9).contains(&popular) && rare == 1, "{popular} and {rare}");
+}
+
+#[test]
+fn worker_that_comes_or_goes_moves_only_its_own_keys() {
+    let mut affinity = AffinityStatistics::default();
+    let first_choices = |affinity: &mut AffinityStatistics, workers: u64| {
+        for key in (0..200).chain(0..200) {
+            affinity.count_request(1.0, key, || fleet(workers));
+        }
+        (0..200).map(|key| preferred_workers(affinity, key)[0]).collect::<Vec<_>>()
+    };
+    let (twelve, eleven) = (first_choices(&mut affinity, 12), first_choices(&mut affinity, 11));
+    let moved: Vec<_> = twelve.iter().zip(&eleven).filter(|(before, after)| before != after).collect();
+    assert!(moved.iter().all(|(before, _)| **before == 11), "only what was at the worker that went");
+    assert!((8..=32).contains(&moved.len()), "about a twelfth of 200: {}", moved.len());
+}
+
+#[test]
+fn stops_preferring_localities_that_runs_have_shown_to_save_nothing() {
+    let localities = [Locality::Preferred, Locality::RecentlySent(0), Locality::Unrelated];
+    let mut affinity = AffinityStatistics::default();
+    assert!(affinity.saving(0.0, Locality::Preferred) > 0.0, "a prior to start from");
+    for n in 0..60 {
+        for locality in localities {
+            affinity.record_run(f64::from(n) * 0.1, locality, f64::from(n % 3) - 1.0);
+        }
+    }
+    assert_eq!(localities.map(|locality| affinity.saving(6.0, locality)), [0.0; 3]);
+    for n in 0..60 {
+        affinity.record_run(6.0 + f64::from(n) * 0.1, Locality::Unrelated, 0.8);
+    }
+    assert!(affinity.saving(12.0, Locality::Preferred) > 0.3, "but they can come to save something");
+}
--- /dev/null
+++ b/src/scheduling/fleet.rs
@@ -0,0 +1,238 @@
+//! The workers as listed, and what follows from the endpoint list: their order, their kinds, who is ejected.
+
+use std::collections::BTreeMap;
+
+use crate::scheduling::decaying_mean::{FLEET_TIME_CONSTANT_S, WORKER_TIME_CONSTANT_S};
+use crate::scheduling::endpoint::{LoadReport, WorkerInfo, WorkerState};
+use crate::scheduling::identifiers::WorkerId;
+use crate::scheduling::request_table::TrackedRequest;
+use crate::scheduling::worker::{Worker, WorkerKind};
+
+/// Slots of a kind that has not shown how many requests it runs at once.
+const INITIAL_SLOTS: f64 = 2.0;
+/// Listed weights are rounded: a load below this is none.
+const MIN_LOAD: f64 = 0.04;
+/// Load figures that are about a second old move an estimate by this fraction.
+pub(crate) const STALE_LOAD_WEIGHT: f64 = 0.5;
+
+/// Slots of some workers, and what is held of them.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct SlotSums {
+    /// All slots.
+    pub slots: f64,
+    /// Held by this scheduler's attempts.
+    pub held_here: f64,
+    /// Held by all schedulers.
+    pub held_by_all: f64,
+}
+
+/// The estimate of a worker's slots that a load report corrects.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SlotEstimate {
+    pub total: f64,
+    pub held_by_others: f64,
+}
+
+/// The load of a worker for each of its cores, by its listed weight.
+#[derive(Clone, Copy, Debug)]
+struct ListedLoad {
+    kind: usize,
+    load: f64,
+}
+
+/// The workers as listed.
+#[derive(Default)]
+pub(crate) struct Fleet {
+    pub workers: BTreeMap<WorkerId, Worker>,
+    pub kinds: Vec<WorkerKind>,
+    /// The ready workers in this scheduler's own candidate order.
+    pub candidate_order: Vec<WorkerId>,
+    /// The ready workers that are ejected.
+    pub ejected: Vec<WorkerId>,
+    /// When a list last showed what all schedulers hold.
+    pub loads_listed_at: f64,
+}
+
+impl Fleet {
+    /// The ready workers, in candidate order.
+    pub(crate) fn ready_workers(&self) -> impl Iterator<Item = &Worker> {
+        self.candidate_order.iter().map(|id| &self.workers[id])
+    }
+
+    /// All slots of a worker, as it or its kind has shown.
+    pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
+        worker.slots.total.max(self.kinds[worker.info.kind].slots)
+    }
+
+    /// All slots of the ready workers, as far as their kinds have shown.
+    pub(crate) fn ready_slots(&self) -> f64 {
+        self.kinds.iter().map(|kind| kind.ready_workers * kind.slots).sum()
+    }
+
+    /// Slots of the ready workers that are not ejected, and what this scheduler holds there.
+    pub(crate) fn in_service_slots(&self) -> SlotSums {
+        let mut sums = SlotSums::default();
+        for worker in self.ready_workers().filter(|worker| !worker.is_ejected()) {
+            sums.slots += self.slots_of(worker);
+            sums.held_here += worker.slots.held_here;
+        }
+        sums
+    }
+
+    /// What this scheduler and what all hold at the ready workers.
+    pub(crate) fn held_slots(&self) -> SlotSums {
+        let mut sums = SlotSums::default();
+        for worker in self.ready_workers() {
+            sums.held_here += worker.slots.held_here;
+            sums.held_by_all = sums.held_by_all + worker.slots.held_here + worker.slots.held_by_others;
+        }
+        sums
+    }
+
+    /// Applies a load report with this weight: 1 replaces the estimate.
+    pub(crate) fn apply_load_report(
+        &mut self,
+        id: WorkerId,
+        load: LoadReport,
+        weight: f64,
+        estimate: SlotEstimate,
+        now: f64,
+    ) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        if let Some(free) = load.free_slots {
+            worker.slots.total = estimate.total.max(free.round());
+            let queued = load.queue_length.unwrap_or(0.0);
+            let held_by_others = (worker.slots.total - free + queued - worker.slots.held_here).max(0.0);
+            let correction = weight * (held_by_others - estimate.held_by_others);
+            worker.slots.held_by_others = estimate.held_by_others + correction;
+            worker.slots.updated_at = now;
+            self.kinds[worker.info.kind].slots = worker.slots.total;
+        }
+        if let Some(free) = load.free_memory {
+            worker.memory.total = worker.memory.total.max(free.round()).max(estimate.total);
+            worker.memory.held_by_others = (worker.memory.total - free - worker.memory.held_here).max(0.0);
+        }
+    }
+
+    /// Applies the load that listed weights show of all workers. A worker left out of the list keeps its weight.
+    pub(crate) fn apply_listed_loads(&mut self, listed: &[WorkerId], now: f64) {
+        self.learn_load_per_request(listed);
+        for id in listed {
+            let Some(ListedLoad { kind, load }) = self.listed_load(*id) else { continue };
+            let kind = &self.kinds[kind];
+            let cores =
+                if kind.load_per_request > 0.0 { (1.0 / kind.load_per_request).round() } else { kind.slots };
+            let Some(worker) = self.workers.get_mut(id) else { continue };
+            let held_by_others = (load * cores - worker.slots.held_here).max(0.0);
+            worker.slots.held_by_others += STALE_LOAD_WEIGHT * (held_by_others - worker.slots.held_by_others);
+        }
+        for worker in self.workers.values_mut() {
+            worker.slots.updated_at = now;
+        }
+        self.loads_listed_at = now;
+    }
+
+    /// The smallest load that a worker of a kind ever showed is that of one request: it tells the number of cores.
+    fn learn_load_per_request(&mut self, listed: &[WorkerId]) {
+        let loads: Vec<_> = listed.iter().filter_map(|id| self.listed_load(*id)).collect();
+        for ListedLoad { kind, load } in loads {
+            let kind = &mut self.kinds[kind];
+            let is_smallest = kind.load_per_request <= 0.0 || load < kind.load_per_request;
+            if load > MIN_LOAD && is_smallest {
+                kind.load_per_request = load;
+                kind.slots = kind.slots.max((1.0 / load).round());
+            }
+        }
+    }
+
+    /// The load that a worker's listed weight shows: the weight is divided by 1 + requests held per core.
+    fn listed_load(&self, id: WorkerId) -> Option<ListedLoad> {
+        let worker = self.workers.get(&id).filter(|worker| worker.info.weight > 0.0)?;
+        let idle_weight = self.kinds[worker.info.kind].idle_weight;
+        let load = (idle_weight / worker.info.weight - 1.0).max(0.0);
+        Some(ListedLoad { kind: worker.info.kind, load })
+    }
+
+    /// Counts the attempts of a request that are in flight, when it comes from another process of this scheduler.
+    pub(crate) fn hold_capacity_of(&mut self, request: &TrackedRequest) {
+        for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
+            if let Some(worker) = self.workers.get_mut(&attempt.worker) {
+                worker.hold_capacity(&request.request, attempt.started_at.is_some());
+            }
+        }
+    }
+
+    /// Releases what the attempts of a request hold, when it goes to another process of this scheduler.
+    pub(crate) fn release_capacity_of(&mut self, request: &TrackedRequest) {
+        for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
+            if let Some(worker) = self.workers.get_mut(&attempt.worker) {
+                worker.release_capacity(&request.request, attempt.started_at.is_some());
+            }
+        }
+    }
+
+    /// Adds ln(run time / estimated work) of a run to the figures of its worker and of the worker's kind.
+    pub(crate) fn record_run(&mut self, id: WorkerId, complexity: usize, now: f64, log_ratio: f64) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        let kind = &mut self.kinds[worker.info.kind];
+        kind.log_run_time_ratio.add(now, FLEET_TIME_CONSTANT_S, log_ratio, 1.0);
+        worker.log_ratio_by_complexity[complexity].add(now, WORKER_TIME_CONSTANT_S, log_ratio, 1.0);
+        worker.log_run_time_ratio.add(now, WORKER_TIME_CONSTANT_S, log_ratio, 1.0);
+    }
+
+    /// Applies a list. In a complete snapshot workers that are absent have left. `order` gives each worker's place among
+    /// the candidates.
+    pub(crate) fn apply_list(
+        &mut self,
+        complete_snapshot: bool,
+        entries: Vec<WorkerInfo>,
+        order: impl Fn(WorkerId) -> u64,
+    ) {
+        if complete_snapshot {
+            for worker in self.workers.values_mut() {
+                worker.info.state = WorkerState::Gone;
+            }
+        }
+        for info in entries {
+            self.apply_entry(info);
+        }
+        self.workers
+            .retain(|_, worker| worker.info.state != WorkerState::Gone || worker.slots.held_here > 0.0);
+        self.count_ready_workers();
+        self.candidate_order = self.ids_of(Worker::is_ready);
+        self.candidate_order.sort_by_cached_key(|&id| order(id));
+        self.ejected = self.ids_of(|worker| worker.is_ready() && worker.is_ejected());
+    }
+
+    fn apply_entry(&mut self, info: WorkerInfo) {
+        let kinds = self.kinds.len().max(info.kind + 1);
+        self.kinds.resize_with(kinds, || WorkerKind { slots: INITIAL_SLOTS, ..WorkerKind::default() });
+        let worker = self.workers.entry(info.id).or_insert_with(Worker::unknown);
+        if info.started_at_s > worker.info.started_at_s {
+            // A new process: what was learned of the old one's health and load is void.
+            *worker = worker.restarted();
+        }
+        let kind = &mut self.kinds[info.kind];
+        kind.idle_weight = kind.idle_weight.max(info.weight);
+        worker.info = info;
+    }
+
+    fn count_ready_workers(&mut self) {
+        for kind in &mut self.kinds {
+            kind.ready_workers = 0.0;
+        }
+        for worker in self.workers.values().filter(|worker| worker.is_ready()) {
+            self.kinds[worker.info.kind].ready_workers += 1.0;
+        }
+    }
+
+    fn ids_of(&self, condition: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
+        self.workers.values().filter(|worker| condition(worker)).map(|worker| worker.info.id).collect()
+    }
+
+    /// Rebuilds the list of ejected workers after states were taken over, in candidate order.
+    pub(crate) fn relist_ejected(&mut self) {
+        let ejected = self.candidate_order.iter().filter(|id| self.workers[id].is_ejected());
+        self.ejected = ejected.copied().collect();
+    }
+}
--- a/src/scheduling/recent_sends.rs
+++ b/src/scheduling/recent_sends.rs
@@ -1,27 +1,32 @@
-//! What a worker that warms up was sent, and what such a job counts for.
+//! The work that a worker in slow start was sent lately.
 //!
-//! The fourth rule goes by how much all dispatchers send a worker against what it can do at that moment, and
-//! all that arrives adds to it, also what is taken back before it ran. Hints cannot keep that account. A small
-//! budget lets only those jobs through whose hints are small, so they are the ones whose hints say too little,
-//! and any number of them: on the drawn days on which a worker fell, it had been sent 0.2 to 0.8 times what it
-//! could do by the hints, and 6 to 14 times by the usual work of the jobs' classes. So a job counts for no
-//! less than the usual one of its class.
+//! A worker collapses by what all schedulers send it within a window, against what it can do at that moment. All that
+//! arrives counts, also what is cancelled before it runs. Estimates by the clients' hints alone would let too much
+//! through: a small allowance admits only requests with small hints, which are those whose hints say too little. So
+//! a request counts for no less than the mean of its class; see `SchedulerState::slow_start_work`.
 
 use serde::{Deserialize, Serialize};
 
-/// What a worker was sent lately: time and work.
+/// Work sent at one time.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+struct SentWork {
+    at: f64,
+    work: f64,
+}
+
+/// What a worker was sent lately.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Sends(Vec<(f64, f64)>);
+pub(crate) struct RecentSends(Vec<SentWork>);
 
-impl Sends {
-    /// Adds work, and forgets what was sent before `from`.
-    pub(crate) fn add(&mut self, from: f64, now: f64, work: f64) {
-        self.0.retain(|sent| sent.0 >= from);
-        self.0.push((now, work));
+impl RecentSends {
+    /// Adds work sent now, and forgets what was sent before `keep_from`.
+    pub(crate) fn add(&mut self, keep_from: f64, now: f64, work: f64) {
+        self.0.retain(|sent| sent.at >= keep_from);
+        self.0.push(SentWork { at: now, work });
     }
 
     /// The work sent at `from` or later.
-    pub(crate) fn since(&self, from: f64) -> f64 {
-        self.0.iter().filter(|sent| sent.0 >= from).map(|sent| sent.1).sum()
+    pub(crate) fn work_since(&self, from: f64) -> f64 {
+        self.0.iter().filter(|sent| sent.at >= from).map(|sent| sent.work).sum()
     }
 }
--- a/src/scheduling/slow_start/tests.rs
+++ b/src/scheduling/slow_start/tests.rs
@@ -7,16 +7,16 @@
 #[test]
 fn an_interval_lasts_as_long_as_the_window_and_covers_the_moment() {
     for index in 0..50 {
-        let mut last = Interval::at(0.0, 7, &settings(index));
+        let mut last = GrantInterval::at(0.0, 7, &settings(index));
         for tenths in 0..300 {
             let age_s = f64::from(tenths) / 10.0;
-            let interval = Interval::at(age_s, 7, &settings(index));
+            let interval = GrantInterval::at(age_s, 7, &settings(index));
             assert!(
-                interval.began <= age_s + 1e-9 && age_s < interval.began + 3.0 + 1e-9,
+                interval.began_s <= age_s + 1e-9 && age_s < interval.began_s + 3.0 + 1e-9,
                 "{interval:?} at {age_s}"
             );
             assert!(
-                interval.number == last.number && interval.began == last.began
+                interval.number == last.number && interval.began_s == last.began_s
                     || interval.number == last.number + 1
             );
             last = interval;
@@ -30,8 +30,8 @@
 fn the_intervals_of_many_schedulers_begin_at_all_times() {
     let mut begin = [0; 10];
     for index in 0..1000 {
-        let interval = Interval::at(9.0, 7, &settings(index));
-        begin[(((interval.began / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
+        let interval = GrantInterval::at(9.0, 7, &settings(index));
+        begin[(((interval.began_s / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
     }
     assert!(begin.iter().all(|&n| (60..150).contains(&n)), "{begin:?}");
 }
--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::scheduling::interface::AttemptOutcome;
+use crate::scheduling::AttemptOutcome;
 
 /// Each way in which a server-side flow ends; no other type says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/server/discovery/poll_backoff.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::scheduling::random::chance;
+use crate::scheduling::random::uniform_draw;
 
 /// Longest first and longest later wait where there are few schedulers.
 const WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
@@ -84,7 +84,7 @@
 
     fn draw(&mut self, most: Duration) -> Duration {
         self.drawn += 1;
-        most.mul_f64(chance(self.seed ^ self.drawn.wrapping_mul(0x9E37_79B9_7F4A_7C15)))
+        most.mul_f64(uniform_draw(self.seed ^ self.drawn.wrapping_mul(0x9E37_79B9_7F4A_7C15)))
     }
 }
 
--- a/src/server/discovery/watch_supervisor.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::discovery::deadlines::{BEAT, CALL, RELOADED, TOLD};
 use crate::server::discovery::poll_backoff::PollBackoff;
 
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -21,11 +21,9 @@
 use site_forwarding::{Crossings, Travel};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{
-    Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId,
-};
-use crate::scheduling::state::NOTE;
+use crate::scheduling::Dispatcher;
+use crate::scheduling::Timer;
+use crate::scheduling::{Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
@@ -286,7 +284,7 @@
                 self.dispatcher.configure((*settings).clone());
                 self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
                 self.settings = *settings;
-                self.tell(Event::TimerExpired(NOTE)); // they may have come to allow notes
+                self.tell(Event::TimerExpired(Timer::Gossip.tag())); // they may have come to allow notes
             }
         }
     }
@@ -407,7 +405,7 @@
                 self.tell(Event::AttemptStarted { request, attempt });
             }
             (Some((request, attempt, true)), CallbackEvent::Progress(share)) => {
-                self.tell(Event::AttemptProgressed { request, attempt, share });
+                self.tell(Event::AttemptProgressed { request, attempt, fraction: share });
             }
             (Some((request, attempt, true)), CallbackEvent::Ended(end)) => {
                 self.ended(request, attempt, end, load)
@@ -534,7 +532,7 @@
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch { request, worker } => return self.route(request, worker),
-            Action::Reject { request, hold_off_s } => {
+            Action::Reject { request, retry_after_s: hold_off_s } => {
                 if !self.crosses_instead(request, hold_off_s) {
                     self.answer(request, self.rejection(request, hold_off_s));
                     self.forget(request);
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -8,7 +8,8 @@
 
 use super::site_forwarding::Travel;
 use super::{Attempt, Due, Engine, Live};
-use crate::scheduling::interface::{Event, RequestId, WorkerId};
+use crate::scheduling::RequestNeeds;
+use crate::scheduling::{Event, RequestId, WorkerId};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{CallbackRelay, FinalAnswer, MigratedAttempt, MigratedRequest, WorkerCallback};
 use crate::server::metrics::Gauge;
@@ -79,7 +80,7 @@
         self.counters.transactions_adopted.add();
         self.names.insert(payload.name.clone(), id);
         let active = Some(Gauge::hold(&self.counters.active));
-        let (tenant, slots, memory) = record.needs();
+        let RequestNeeds { tenant, slots, memory } = record.needs();
         let mut live = Live {
             class,
             hint,
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -14,10 +14,8 @@
 use tokio::time::Instant;
 
 use super::{Engine, Live};
-use crate::scheduling::interface::{
-    CapacitySummary, DeduplicationScope, Event, Idempotency, RequestClass, RequestId,
-};
-use crate::scheduling::state::RequestRecord;
+use crate::scheduling::RequestRecord;
+use crate::scheduling::{CapacitySummary, DeduplicationScope, Event, Idempotency, RequestClass, RequestId};
 use crate::server::engine_queue::EngineMessage;
 use crate::server::messages::{object_of, ClientRequest, FinalAnswer, RequestPayload};
 use crate::server::metrics::{Counters, LinkFigures};
--- a/src/server/engine/worker_list.rs
+++ b/src/server/engine/worker_list.rs
@@ -4,7 +4,7 @@
 
 use super::Engine;
 use crate::config::endpoint_list::{EndpointListUpdate, EndpointState};
-use crate::scheduling::interface::{Event, WorkerId, WorkerInfo, WorkerState};
+use crate::scheduling::{Event, WorkerId, WorkerInfo, WorkerState};
 use crate::server::messages::stable_number;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
@@ -59,6 +59,6 @@
             });
         }
         self.counters.pool_size.set(self.members.len());
-        self.tell(Event::WorkersListed { whole, cached, entries });
+        self.tell(Event::WorkersListed { complete_snapshot: whole, from_cache: cached, entries });
     }
 }
--- a/src/server/engine_queue.rs
+++ b/src/server/engine_queue.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::interface::{LearnedState, RequestId, Settings, WorkerId};
+use crate::scheduling::{LearnedState, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::load_report::Report;
 use crate::server::messages::{
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -19,7 +19,7 @@
 
 use response::Answer;
 
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::server::engine_queue::{EngineMessage, EngineQueue, PendingAnswer};
 use crate::server::frontend::connection_eviction::{EvictionCandidates, EvictionClass};
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use tokio::time::Instant;
 
-use crate::scheduling::interface::{Idempotency, Settings};
+use crate::scheduling::{Idempotency, Settings};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::Head;
 use crate::server::load_report;
--- a/src/server/lifecycle/handover_frames.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -18,7 +18,7 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-use crate::scheduling::interface::{LearnedState, WorkerId};
+use crate::scheduling::{LearnedState, WorkerId};
 use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::messages::{MigratedRequest, WorkerCallback};
 
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use crate::config::{Config, ConfigError, GossipAddresses};
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::scheduling::state::RequestRecord;
+use crate::scheduling::RequestRecord;
 use crate::server::attempt_end::AttemptEnd;
 
 /// A number for a name that is the same in every scheduler, whatever its build: what all choose by it, they
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::config::GossipAddresses;
-use crate::scheduling::gossip::{is_note, MOST_BYTES};
+use crate::scheduling::gossip::{is_message, MAX_MESSAGE_BYTES};
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::Phase;
 use crate::server::metrics::Counters;
@@ -103,7 +103,7 @@
     queue: &EngineQueue,
     counters: &Counters,
 ) -> io::Error {
-    let mut bytes = [0; MOST_BYTES + 1]; // one more than any: what is cut off there is too long
+    let mut bytes = [0; MAX_MESSAGE_BYTES + 1]; // one more than any: what is cut off there is too long
     loop {
         tokio::select! {
             Ok(()) = notes.changed() => {
@@ -118,7 +118,7 @@
                 Ok((length, source)) => {
                     let from = addresses.peers.iter().position(|peer| *peer == source);
                     let note = &bytes[..length];
-                    let Some(from) = from.filter(|_| is_note(note)) else {
+                    let Some(from) = from.filter(|_| is_message(note)) else {
                         counters.notes_ignored.add();
                         continue;
                     };
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: frames of little-endian records, to and from the types of [`crate::scheduling::interface`].
+//! The simulator's wire: frames of little-endian records, to and from the types of [`crate::scheduling`].
 //! Holds the instances of one process; it decides nothing.
 
 use std::collections::BTreeMap;
@@ -7,8 +7,8 @@
 use bytes::{Buf, BufMut};
 
 use crate::config::settings::SettingsError;
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{
+use crate::scheduling::Dispatcher;
+use crate::scheduling::{
     Action, AttemptEnded, AttemptOutcome, Event, LoadReport, LoadReportField, Request, RequestId, Settings,
     WorkerId, WorkerInfo, WorkerState,
 };
@@ -185,7 +185,7 @@
             worker_id(buf)?;
             match buf.try_get_u8()? {
                 1 => Event::AttemptStarted { request, attempt },
-                2 => Event::AttemptProgressed { request, attempt, share },
+                2 => Event::AttemptProgressed { request, attempt, fraction: share },
                 _ => return Ok(None),
             }
         }
@@ -376,7 +376,11 @@
                 match form {
                     0..=2 => {
                         let entries = self.lists.get(&page).ok_or(RecordError::List(page))?.clone();
-                        Some(Event::WorkersListed { whole: form != 0, cached: form == 2, entries })
+                        Some(Event::WorkersListed {
+                            complete_snapshot: form != 0,
+                            from_cache: form == 2,
+                            entries,
+                        })
                     }
                     3 => Some(Event::DiscoveryFailed),
                     other => return Err(RecordError::Value("form", other.into())),
@@ -415,7 +419,7 @@
             put_worker(r, worker);
             r.put_f64_le(0.0);
         }),
-        Action::Reject { request, hold_off_s } => put_record(reply, 2, |r| {
+        Action::Reject { request, retry_after_s: hold_off_s } => put_record(reply, 2, |r| {
             r.put_u32_le(request.0);
             r.put_f64_le(hold_off_s);
         }),
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 /// Settings of four dispatchers that hear of free slots in answers, and of a fleet that may be probed.
@@ -244,7 +244,7 @@
     let home = most(&(1000..1020).map(|id| one(&mut b, id, 1, |_| 0.3)).collect::<Vec<_>>());
     let since = b.now;
     let entries = vec![WorkerInfo { started_at_s: since, ..worker(home) }];
-    b.send(Event::WorkersListed { whole: false, cached: false, entries });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries });
     let mut sent: Vec<f64> = Vec::new();
     for id in 2000..2100 {
         b.send(Event::RequestReceived(Request { affinity_key: Some(1), ..request(id, 0, b.now) }));
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chutesaddle::scheduling::interface::AttemptOutcome;
+use chutesaddle::scheduling::AttemptOutcome;
 use chutesaddle::server::attempt_end::AttemptEnd;
 use chutesaddle::server::descriptor_budget::DescriptorBudget;
 use chutesaddle::server::messages::{AttemptCommand, RequestPayload};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small builders that the tests share.
 #![allow(dead_code)]
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use chutesaddle::Dispatcher;
 
 pub(crate) fn class(effect: Idempotency, group: DeduplicationScope) -> RequestClass {
@@ -83,7 +83,7 @@
             answer: None,
             probes: Vec::new(),
         };
-        bench.send(Event::WorkersListed { whole: true, cached: true, entries: workers });
+        bench.send(Event::WorkersListed { complete_snapshot: true, from_cache: true, entries: workers });
         bench
     }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -4,7 +4,7 @@
 
 use chutesaddle::config::endpoint_list::EndpointState;
 use chutesaddle::config::Config;
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 const TEXT: &str = r#"{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use chutesaddle::server::attempt_end::AttemptEnd;
 use common::*;
 use rstest::rstest;
@@ -23,7 +23,7 @@
     assert_eq!(routes(&b.run(0.2)), [(1, 1)], "the first attempt");
     // From now on another worker takes work, and the first one none.
     let entries = vec![WorkerInfo { state: WorkerState::Draining, ..worker(1) }, worker(other)];
-    b.send(Event::WorkersListed { whole: false, cached: false, entries: entries.clone() });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: entries.clone() });
     let mut actions = b.end(1, 0, end.outcome());
     if end == AttemptEnd::Completed {
         assert!(routes(&b.run(30.0)).is_empty(), "it is over");
@@ -75,7 +75,11 @@
         b.send(Event::RequestReceived(request(1, class, b.now)));
         assert_eq!(routes(&b.run(0.2)).len(), 1);
         let draining = WorkerInfo { state: WorkerState::Draining, ..worker(1) };
-        b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(3)] });
+        b.send(Event::WorkersListed {
+            complete_snapshot: false,
+            from_cache: false,
+            entries: vec![worker(3)],
+        });
         let mut second = b.end(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
         second.extend(b.run(0.3));
         if class != 1 {
@@ -83,8 +87,16 @@
             let other = if to == 1 { 3 } else { 1 };
             let gone =
                 [worker(other), draining.clone(), WorkerInfo { state: WorkerState::Draining, ..worker(3) }];
-            b.send(Event::WorkersListed { whole: false, cached: false, entries: gone[1..].to_vec() });
-            b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(2)] });
+            b.send(Event::WorkersListed {
+                complete_snapshot: false,
+                from_cache: false,
+                entries: gone[1..].to_vec(),
+            });
+            b.send(Event::WorkersListed {
+                complete_snapshot: false,
+                from_cache: false,
+                entries: vec![worker(2)],
+            });
             b.end(1, 1, AttemptEnd::ConnectRefused.outcome());
             assert_eq!(!routes(&b.run(30.0)).is_empty(), again, "class {class}");
         } else {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 fn many() -> Settings {
@@ -28,7 +28,7 @@
     let mut counts = BTreeMap::new();
     for seed in 0..100u64 {
         let mut b = Bench::seeded(many(), seed.wrapping_mul(0x1234_5678_9ABC_DEF1), weighed(&vec![0.0; 60]));
-        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(held) });
+        b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: weighed(held) });
         b.send(Event::RequestReceived(request(1, 0, b.now)));
         routes(&b.run(0.2)).iter().for_each(|r| *counts.entry(r.1).or_default() += 1);
     }
@@ -85,7 +85,7 @@
     let mut b = Bench::new(Settings { zones, ..many() }, idle);
     let mut at_home = 0;
     for id in 0..300 {
-        b.send(Event::WorkersListed { whole: false, cached: false, entries: list.clone() });
+        b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: list.clone() });
         b.send(Event::RequestReceived(request(id, 0, b.now)));
         let sent = routes(&b.run(0.2));
         at_home += sent.iter().filter(|r| r.1 % 3 == 0).count();
@@ -102,13 +102,21 @@
     let s = Settings { tenants, weight_over_quota: 0.05, ..many() };
     let mut b = Bench::new(s, weighed(&[0.0; 60]));
     for id in 0..mine {
-        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[0.5; 60]) });
+        b.send(Event::WorkersListed {
+            complete_snapshot: false,
+            from_cache: false,
+            entries: weighed(&[0.5; 60]),
+        });
         b.send(Event::RequestReceived(request(id, 0, b.now)));
         b.run(0.02);
         b.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
     }
     for _ in 0..8 {
-        b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[all / 60.0; 60]) });
+        b.send(Event::WorkersListed {
+            complete_snapshot: false,
+            from_cache: false,
+            entries: weighed(&[all / 60.0; 60]),
+        });
         b.run(0.25);
     }
     (100..160).for_each(|id| drop(b.send(Event::RequestReceived(request(id, 0, b.now)))));
@@ -283,7 +291,11 @@
         let s = Settings { scheduler_index: index, ..many() };
         let mut b = Bench::seeded(s, 31 * index as u64, weighed(&[0.0; 6]));
         for second in 0..40 {
-            b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[0.0; 6]) });
+            b.send(Event::WorkersListed {
+                complete_snapshot: false,
+                from_cache: false,
+                entries: weighed(&[0.0; 6]),
+            });
             b.send(Event::RequestReceived(request(second, 0, b.now)));
             let mut attempt = 0;
             for _ in 0..20 {
@@ -333,14 +345,14 @@
     b.send(Event::RequestReceived(request(1, 0, b.now)));
     assert_eq!(routes(&b.run(0.04)), [(1, 0)]);
     b.send(Event::AttemptStarted { request: RequestId(1), attempt: 0 });
-    b.send(Event::WorkersListed { whole: false, cached: false, entries: weighed(&[1.0]) });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: weighed(&[1.0]) });
     b.send(Event::RequestReceived(request(2, 0, b.now)));
     assert_eq!(routes(&b.run(0.1)), [(2, 0)]);
     let (taken, mut refused_at, mut cancelled) = (b.now - 0.1, None, false);
     for step in 1..30 {
         // The other job gets on: the worker is alive, so it is no silence that moves the one that waits.
         let share = f64::from(step) / 40.0;
-        b.send(Event::AttemptProgressed { request: RequestId(1), attempt: 0, share });
+        b.send(Event::AttemptProgressed { request: RequestId(1), attempt: 0, fraction: share });
         let out = b.run(0.05);
         cancelled |= out.contains(&Action::Cancel { request: RequestId(2), attempt: 0 });
         refused_at = refused_at.or(refused(&out, 2).then_some(b.now - taken));
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 const DISPATCHERS: usize = 4;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chutesaddle::scheduling::interface::*;
 use chutesaddle::scheduling::scheduler_share;
-use chutesaddle::scheduling::slow_start::Interval;
+use chutesaddle::scheduling::slow_start::GrantInterval;
+use chutesaddle::scheduling::*;
 use chutesaddle::Dispatcher;
 use common::*;
 
@@ -107,14 +107,14 @@
                         + (1.0 - self.s.slow_start_fraction) * age / self.s.slow_start_duration_s;
                     let whole = self.s.collapse_multiple * warm * self.most_out.max(3) as f64 * 1.5;
                     let whole = whole * self.s.overload_window_s;
-                    if scheduler_share::suffice(self.s.scheduler_count) {
+                    if scheduler_share::fixed_shares_suffice(self.s.scheduler_count) {
                         // Parts come to the whole (`src/shares.rs`).
                         let before = (age - self.s.overload_window_s).max(0.0) / self.s.slow_start_duration_s;
                         let grown = (self.s.slow_start_fraction
                             + (1.0 - self.s.slow_start_fraction) * before)
                             / self.s.slow_start_fraction;
                         let salt = info.started_at_s.to_bits() ^ u64::from(info.cell);
-                        let part = scheduler_share::part(
+                        let part = scheduler_share::fixed_share(
                             self.s.scheduler_index,
                             self.s.scheduler_count,
                             grown,
@@ -126,7 +126,8 @@
                         // Grants come to the whole by their number: in each of its intervals, a dispatcher sends its
                         // whole jobs and one.
                         let salt = info.started_at_s.to_bits() ^ info.stable_id;
-                        let interval = |at: f64| Interval::at(at - info.started_at_s, salt, &self.s).number;
+                        let interval =
+                            |at: f64| GrantInterval::at(at - info.started_at_s, salt, &self.s).number;
                         let here = sends
                             .iter()
                             .filter(|s| s.0 >= info.started_at_s && interval(s.0) == interval(now))
@@ -171,7 +172,7 @@
     let mut d = Dispatcher::new(s.clone(), seed);
     let mut all = Vec::new();
     let entries: Vec<WorkerInfo> = (0..rng.u64(0..9)).map(worker).collect();
-    let mut next = Some(Event::WorkersListed { whole: true, cached: true, entries });
+    let mut next = Some(Event::WorkersListed { complete_snapshot: true, from_cache: true, entries });
     let mut id = 0;
     for step in 0..3000 {
         let event = next.take().unwrap_or_else(|| {
@@ -200,7 +201,7 @@
                     // Jobs take 0.3 s or more, as hinted.
                     let share =
                         ((now - c.known[&id].attempts[attempt].start) / 0.3).clamp(0.0, 1.0) * rng.f64();
-                    Event::AttemptProgressed { request: RequestId(id), attempt, share }
+                    Event::AttemptProgressed { request: RequestId(id), attempt, fraction: share }
                 }
                 (50..=79, Some((id, attempt))) => {
                     const BAD: [AttemptOutcome; 5] = [
@@ -233,7 +234,7 @@
                     let state = *rng.choice(&[WorkerState::Ready, WorkerState::Draining]).expect("a choice");
                     let since = if rng.bool() { now } else { 0.0 };
                     let w = WorkerInfo { state, started_at_s: since, ..worker(rng.u64(0..8)) };
-                    Event::WorkersListed { whole: false, cached: false, entries: vec![w] }
+                    Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: vec![w] }
                 }
                 (85, _) if s.discovery_polled => Event::DiscoveryFailed,
                 (86, _) => Event::ProbeEnded {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 fn many() -> Settings {
@@ -56,7 +56,11 @@
     let first = |seed| {
         let mut d = chutesaddle::Dispatcher::new(many(), seed);
         let mut out = Vec::new();
-        d.handle(1.0, Event::WorkersListed { whole: true, cached: true, entries: fleet(200) }, &mut out);
+        d.handle(
+            1.0,
+            Event::WorkersListed { complete_snapshot: true, from_cache: true, entries: fleet(200) },
+            &mut out,
+        );
         d.handle(1.0, Event::RequestReceived(request(1, 0, 1.0)), &mut out);
         asked(&out)
     };
@@ -206,7 +210,7 @@
         b.answer = Some(free(1.0));
         b.send(Event::RequestReceived(request(1, 0, b.now)));
         let entries: Vec<_> = (0..5000).chain(0..5000).map(worker).collect();
-        b.send(Event::WorkersListed { whole: false, cached: false, entries });
+        b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries });
         assert_eq!(routes(&b.run(0.2)).len(), 1, "{index} of {dispatchers}");
     }
     let mut s = many();
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 fn fleet(n: u64) -> Vec<WorkerInfo> {
@@ -99,14 +99,14 @@
     let mut b = Bench::new(settings(), fleet(2));
     let mut draining = worker(1);
     draining.state = WorkerState::Draining;
-    b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![draining] });
-    b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(3)] });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: vec![draining] });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: vec![worker(3)] });
     for id in 0..3 {
         b.send(Event::RequestReceived(request(id, 0, b.now)));
     }
     let to: Vec<u64> = routes(&b.run(0.5)).iter().map(|r| r.1).collect();
     assert!(!to.is_empty() && !to.contains(&1));
-    b.send(Event::WorkersListed { whole: true, cached: false, entries: vec![worker(3)] });
+    b.send(Event::WorkersListed { complete_snapshot: true, from_cache: false, entries: vec![worker(3)] });
     b.send(Event::RequestReceived(request(9, 0, b.now)));
     assert!(!routes(&b.run(0.5)).iter().any(|r| r.1 == 2), "absent from a whole list");
 }
@@ -173,7 +173,11 @@
             b.end(id, 0, if taught { AttemptOutcome::Succeeded } else { AttemptOutcome::Cancelled });
             b.send(Event::ClientDisconnected(RequestId(id)));
         }
-        b.send(Event::WorkersListed { whole: true, cached: false, entries: vec![cold(2, b.now)] });
+        b.send(Event::WorkersListed {
+            complete_snapshot: true,
+            from_cache: false,
+            entries: vec![cold(2, b.now)],
+        });
         sent_and_cancelled(&mut b, 10..50, 0.02)
     };
     assert!(sent_cold(true) <= sent_cold(false), "{} against {}", sent_cold(true), sent_cold(false));
@@ -272,7 +276,7 @@
     for id in 2..5 {
         b.send(Event::RequestReceived(request(id, 0, b.now)));
     }
-    b.send(Event::WorkersListed { whole: false, cached: false, entries: vec![worker(1)] });
+    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: vec![worker(1)] });
     let first: Vec<u32> = routes(&b.run(0.05)).iter().map(|r| r.0).collect();
     assert!(first.len() >= 2 && first[..2] == [2, 3], "{first:?}");
 }
@@ -334,7 +338,11 @@
     s.discovery_polled = true;
     let mut out = Vec::new();
     let mut d = chutesaddle::Dispatcher::new(s, 7);
-    d.handle(1.0, Event::WorkersListed { whole: true, cached: true, entries: fleet(2) }, &mut out);
+    d.handle(
+        1.0,
+        Event::WorkersListed { complete_snapshot: true, from_cache: true, entries: fleet(2) },
+        &mut out,
+    );
     assert!(out.contains(&Action::WatchEndpointList));
     let mut waits = Vec::new();
     for _ in 0..12 {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Options to settings.
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 
 #[test]
 fn reads_what_a_deployment_states() {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 use common::*;
 
 /// The old process and a new one that lists the same two workers under numbers 10 higher.
