--- /dev/null
+++ b/crates/site-link/tests/wire_bytes.rs
@@ -0,0 +1,125 @@
+//! The bytes of a link as revision 84881d9 wrote them. Both ends of a link may run different revisions of one
+//! protocol version, so a renamed type must still read and write exactly these.
+
+use std::fmt::Write;
+use std::time::Duration;
+
+use bytes::Bytes;
+use chutesaddle_gateway::{Back, Known, Outcome};
+use chutesaddle_site_link::{Config, Frame, Greeting, Job, Link, LinkError, Me, Secret, Step};
+
+const NOW: Duration = Duration::from_secs(1);
+
+/// One frame of each kind, with each variant of what it carries, and its bytes in hexadecimal.
+fn frames() -> Vec<(Frame, &'static str)> {
+    let result = Outcome::Served(Bytes::from_static(b"map"));
+    vec![
+        (Frame::Ping(1_000_000), "0000000400c0843d"),
+        (Frame::Pong(1_000_000), "0000000401c0843d"),
+        (Frame::Bye("closing".into()), "000000090207636c6f73696e67"),
+        (Frame::Grant { epoch: 300, limit: 7, term_us: 400_000 }, "0000000703ac020780b518"),
+        (Frame::Taken(1), "000000020401"),
+        (Frame::GivenBack(2, Back::Shedding), "00000003050200"),
+        (Frame::GivenBack(2, Back::Overdrawn), "00000003050201"),
+        (Frame::GivenBack(2, Back::Closed), "00000003050202"),
+        (Frame::GivenBack(2, Back::Late), "00000003050203"),
+        (Frame::GivenBack(2, Back::Refused), "00000003050204"),
+        (Frame::Ended(3, result), "00000007060300036d6170"),
+        (Frame::Ended(3, Outcome::Unstarted), "00000003060301"),
+        (Frame::Ended(3, Outcome::Rejected), "00000003060302"),
+        (Frame::Ended(3, Outcome::Failed), "00000003060303"),
+        (Frame::Told(4, Known::Never), "00000003070400"),
+        (Frame::Told(4, Known::Held), "00000003070401"),
+        (Frame::Told(4, Known::Lost), "00000003070402"),
+        (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(full()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
+        (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(bare()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
+        (Frame::Withdraw(6), "000000020906"),
+        (Frame::Ask(vec![7, 8, 300]), "000000060a030708ac02"),
+        (Frame::Acknowledge(9), "000000020b09"),
+    ]
+}
+
+fn full() -> Job {
+    Job {
+        class: "render".into(),
+        tenant: "acme".into(),
+        hint: Some(0.5),
+        slots: 2.0,
+        memory: 1.5,
+        name: Bytes::from_static(b"r-1"),
+        target: Bytes::from_static(b"/map"),
+        key: Some(Bytes::from_static(b"k")),
+        content_type: Some(Bytes::from_static(b"text/plain")),
+        body: Bytes::from_static(b"body"),
+    }
+}
+
+fn bare() -> Job {
+    Job { hint: None, key: None, content_type: None, ..full() }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").unwrap();
+        text
+    })
+}
+
+fn begin(site: &str, dialled: bool) -> (Greeting, Bytes) {
+    let me = Me { site: site.into(), instance: 5, nonce: [u8::from(dialled); 16], dialled };
+    Greeting::begin(NOW, Config::default(), Secret::new("a secret of enough bytes").unwrap(), me).unwrap()
+}
+
+/// An end that dialled and has completed its handshake, and the proof that each end wrote.
+fn link() -> (Link, Bytes, Bytes) {
+    let ((mut dialler, hello), (mut accepter, answer)) = (begin("a", true), begin("b", false));
+    let Step::More(dialler_proof) = dialler.input(NOW, &answer).unwrap() else { panic!("no proof yet") };
+    let Step::More(accepter_proof) = accepter.input(NOW, &hello).unwrap() else { panic!("no proof yet") };
+    let Step::Up(_, link, _) = dialler.input(NOW, &accepter_proof).unwrap() else { panic!("not up") };
+    (*link, dialler_proof, accepter_proof)
+}
+
+#[test]
+fn frames_are_written_as_before() {
+    let (mut link, ..) = link();
+    for (frame, expected) in frames() {
+        link.send(&frame).unwrap();
+        let written = link.transmit().unwrap();
+        assert_eq!(hex(&written.bytes), expected, "{frame:?}");
+    }
+}
+
+#[test]
+fn frames_written_before_are_read() {
+    for (frame, bytes) in frames() {
+        let written: Vec<u8> = (0..bytes.len())
+            .step_by(2)
+            .map(|at| u8::from_str_radix(&bytes[at..at + 2], 16).unwrap())
+            .collect();
+        let (mut link, ..) = link();
+        let mut read = Vec::new();
+        let result = link.input(NOW, &written, &mut read);
+        match frame {
+            Frame::Ping(_) => assert!(result.is_ok() && link.transmit().is_some(), "answered with a pong"),
+            Frame::Pong(_) => {
+                assert!(result.is_ok() && link.round_trip().is_some(), "taken as a measurement")
+            }
+            Frame::Bye(reason) => assert_eq!(result, Err(LinkError::Bye(reason))),
+            frame => assert_eq!((result, read), (Ok(()), vec![frame])),
+        }
+    }
+}
+
+#[test]
+fn handshakes_are_written_as_before() {
+    let (_, dialler_proof, accepter_proof) = link();
+    assert_eq!(hex(&begin("a", true).1), "0000001c63687574656c6e6b0101610501010101010101010101010101010101");
+    assert_eq!(
+        hex(&dialler_proof),
+        "000000207119dff67ea865b0c7226b9f4f6e93134c8099c315571d2b8412cb8ce673d2d5"
+    );
+    assert_eq!(
+        hex(&accepter_proof),
+        "00000020cf5c8e764198566b44592df871f5afa404ecbc019a154969021d74bb6c701cc5"
+    );
+}
