--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,17 +1,18 @@
-//! What an operator can set. Each knob has its unit, its default and the reason for that.
+//! The settings of the gateway. Each has its unit, its default and the reason for it. The operator's names for
+//! them are mapped in `crates/operator-config`.
 
 use std::time::Duration;
 
 /// A peer site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerConfig {
-    /// Its name, as it gives it in its greeting.
+    /// Its name, as it gives it in its handshake.
     pub name: String,
-    /// Whether the members of both sites drop each other's repeats of a key. Default: no. Where it is not so,
-    /// a key never runs at both.
+    /// Whether the workers of both sites drop each other's repeats of an idempotency key. Default: no. Where it is
+    /// not so, a key never runs at both.
     pub shares_keys: bool,
-    /// Crossings to it that may be open at once. Default 64: more than this, and a cut of the link leaves too
-    /// many clients in doubt.
+    /// Requests forwarded to it that may be open at once. Default 64: a link that breaks leaves no more clients
+    /// than this in doubt.
     pub most_open: usize,
 }
 
@@ -22,43 +23,44 @@
     }
 }
 
-/// All knobs.
+/// All settings of the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The peers. One that is left out keeps its open crossings and gets no new ones.
+    /// The peers. One that is left out keeps its open requests and gets no new ones.
     pub peers: Vec<PeerConfig>,
-    /// How long granted room may be used. Default 400 ms: two heartbeats, so that a peer that falls silent
-    /// gets nothing sent after that.
+    /// How long granted capacity may be used. Default 400 ms: two heartbeats, so that nothing is forwarded to a
+    /// peer that has been silent for longer.
     pub term: Duration,
-    /// Room is granted once so much of the slots is free, as a share. Default 0.25.
+    /// Capacity is granted once this fraction of the slots is spare. Default 0.25.
     pub open_at: f64,
-    /// Nothing is granted any more once less than this is free, as a share. Default 0.1; the gap to `open_at`
-    /// keeps a site from granting and withdrawing by turns.
+    /// Nothing is granted any more once less than this fraction is spare. Default 0.1; the gap to `open_at` keeps
+    /// a site from granting and withdrawing by turns.
     pub close_at: f64,
-    /// So much of the slots is kept back from grants for the site's own work, as a share. Default 0.1.
+    /// Fraction of the slots that is kept back from grants for the site's own requests. Default 0.1.
     pub reserve: f64,
-    /// So long must a site have been that free before it grants. Default 200 ms: longer than a lull between
+    /// How long a site must have had that much spare before it grants. Default 200 ms: longer than a lull between
     /// two bursts.
     pub settle: Duration,
-    /// So long must a site have had no slot free before anything crosses. Default 20 ms: a slot that is just
-    /// being given back is no reason.
+    /// How long a site must have had no free slot before it forwards. Default 20 ms: a slot that is just being
+    /// released is no reason.
     pub starve: Duration,
-    /// After its last crossing a site grants nothing for so long. Default 1 s: longer than a round trip and a
-    /// job, so that two sites never pass work back and forth.
+    /// How long a site grants nothing after it last forwarded a request. Default 1 s: longer than a round trip and
+    /// a request, so that two sites never pass requests back and forth.
     pub shed_hold: Duration,
-    /// What a crossing costs in time beside the way itself. Default 15 ms: a round of the module there.
+    /// Time that forwarding costs beside the round trip. Default 15 ms: a round of the scheduler there.
     pub margin: Duration,
-    /// A transaction that waits here crosses when it has no more time than this beyond what the crossing costs, or
-    /// before that when what waits here takes longer than it can wait. Default 60 ms: a few rounds of the module,
-    /// each of which may find it a place here.
+    /// A waiting request is forwarded when it has no more time than this beyond what forwarding costs, or earlier
+    /// when the backlog takes longer than it can wait. Default 60 ms: a few rounds of the scheduler, each of which
+    /// may place it here.
     pub lead: Duration,
-    /// Whether work beyond a tenant's quota may cross. Default: no, it is worth less than its crossing.
+    /// Whether requests beyond a tenant's quota may be forwarded. Default: no, they are worth less than it costs.
     pub over_share: bool,
-    /// Outcomes kept for those who may ask, at most. Default 4,096.
+    /// Outcomes kept for their senders, at most. Default 4,096.
     pub most_kept: usize,
-    /// Bytes of their results, at most. Default 16 MiB.
+    /// Bytes of the results kept for their senders, at most. Default 16 MiB.
     pub most_kept_bytes: usize,
-    /// Keys remembered, at most. Default 65,536; beyond that no keyed transaction crosses for a window.
+    /// Idempotency keys recorded, at most. Default 65,536; beyond that no request with a key is forwarded for a
+    /// window.
     pub most_keys: usize,
 }
 
--- /dev/null
+++ b/crates/gateway/src/gateway/granting.rs
@@ -0,0 +1,50 @@
+//! How much capacity each peer is granted, and when its grant is renewed.
+
+use crate::{Action, LinkId, Time};
+
+use super::Gateway;
+
+/// Renewals of a grant within its term, so that one lost wake-up does not end it.
+const RENEWALS_PER_TERM: u32 = 2;
+/// A grant still covers what arrives within this many terms: it may have been sent at the end of the first.
+const GRACE_TERMS: u32 = 3;
+
+impl Gateway {
+    /// Tells every inbound link its capacity, where that changed or its grant is about to expire.
+    ///
+    /// More capacity can wait for the next renewal. A grant that is used up is renewed early, and one that is
+    /// withdrawn is withdrawn at once.
+    pub(super) fn renew_grants(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let total = if self.draining { 0 } else { self.load.grantable_slots(&self.config) };
+        let listed: Vec<LinkId> = self
+            .inbound_links
+            .iter()
+            .filter(|(_, link)| self.is_listed(link.site))
+            .map(|(id, _)| *id)
+            .collect();
+        let term = self.config.term;
+        let early_renewal = term / (2 * RENEWALS_PER_TERM);
+        for (&link, inbound) in &mut self.inbound_links {
+            let position = listed.iter().position(|id| *id == link);
+            let slots = position.map_or(0, |position| equal_share(total, listed.len(), position));
+            let withdrawn = slots == 0 && inbound.granted_slots > 0;
+            let renewal_due = slots > 0 && now >= inbound.renew_at;
+            let used_up = slots > 0 && inbound.grant.unused() == 0;
+            let early_renewal_due = used_up && now + early_renewal >= inbound.renew_at;
+            if !withdrawn && !renewal_due && !early_renewal_due {
+                continue;
+            }
+            let limit = inbound.grant.set(slots, now + GRACE_TERMS * term);
+            inbound.granted_slots = slots;
+            inbound.renew_at = now + term / RENEWALS_PER_TERM;
+            let term = if slots > 0 { term } else { Time::ZERO };
+            actions.push(Action::GrantCapacity { link, limit, term });
+        }
+    }
+}
+
+/// The part of `total` for the peer at this position among `peers`; the first ones get what is left over.
+fn equal_share(total: u32, peers: usize, position: usize) -> u32 {
+    let peers = peers.max(1) as u32;
+    total / peers + u32::from((position as u32) < total % peers)
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/inbound.rs
@@ -0,0 +1,129 @@
+//! Requests of other sites: whether one is accepted, and what its sender is told about it.
+
+use crate::load_state::LoadState;
+use crate::{
+    Action, ForwardedRequestId, Incarnation, LinkId, Origin, Outcome, RemoteStatus, ReturnReason, Time,
+};
+
+use super::Gateway;
+
+/// A request that a peer forwards to this site.
+pub(super) struct Offer {
+    pub(super) link: LinkId,
+    pub(super) forwarded: ForwardedRequestId,
+    /// The incarnation that granted the capacity it uses.
+    pub(super) epoch: Incarnation,
+    pub(super) slots: u32,
+    pub(super) time_left: Time,
+    /// How long its outcome may be asked for after it has ended.
+    pub(super) keep_outcome: Time,
+}
+
+impl Gateway {
+    /// The name here of a forwarded request on an inbound link, also of a peer that is no longer listed.
+    pub fn origin(&self, link: LinkId, forwarded: ForwardedRequestId) -> Option<Origin> {
+        let inbound = self.inbound_links.get(&link)?;
+        Some(Origin { site: inbound.site, incarnation: inbound.incarnation, forwarded })
+    }
+
+    /// Accepts an offered request, returns it, or says again what is known of one that is here already.
+    pub(super) fn offered(&mut self, now: Time, offer: Offer, actions: &mut Vec<Action>) {
+        let Some(origin) = self.origin(offer.link, offer.forwarded) else { return };
+        let Some(inbound) = self.inbound_links.get_mut(&offer.link) else { return };
+        // Counted also when it is returned, as the sender counts its credit as used.
+        let within_grant = inbound.grant.receive(now, offer.slots) && offer.epoch == self.incarnation;
+        if self.ledger.lookup(origin).status != RemoteStatus::NeverReceived {
+            self.statistics.duplicates += 1;
+            self.send_status(offer.link, origin, actions);
+            return;
+        }
+        if let Err(reason) = self.check_offer(&offer, origin, within_grant) {
+            self.statistics.returned_to_peers += 1;
+            actions.push(Action::ReturnUnstarted(offer.link, offer.forwarded, reason));
+            return;
+        }
+        self.ledger.accept(origin, offer.keep_outcome);
+        self.statistics.accepted += 1;
+        self.load.accepted(offer.slots);
+        actions.push(Action::Accept { link: offer.link, origin, time_left: offer.time_left });
+    }
+
+    /// Decides whether a request that is not here yet may be accepted.
+    fn check_offer(&self, offer: &Offer, origin: Origin, within_grant: bool) -> Result<(), ReturnReason> {
+        if self.draining || !self.is_listed(origin.site) {
+            return Err(ReturnReason::NotAccepting);
+        }
+        if self.load.state() == LoadState::Shedding {
+            return Err(ReturnReason::Shedding);
+        }
+        if !within_grant {
+            return Err(ReturnReason::ExceedsGrant);
+        }
+        if offer.time_left.is_zero() {
+            return Err(ReturnReason::TooLate);
+        }
+        Ok(())
+    }
+
+    pub(super) fn cancelled(&mut self, link: LinkId, id: ForwardedRequestId, actions: &mut Vec<Action>) {
+        let Some(origin) = self.origin(link, id) else { return };
+        if self.ledger.cancel(origin) {
+            actions.push(Action::CancelInbound(origin));
+        }
+    }
+
+    pub(super) fn status_queried(
+        &mut self,
+        link: LinkId,
+        ids: Vec<ForwardedRequestId>,
+        actions: &mut Vec<Action>,
+    ) {
+        for id in ids {
+            let Some(origin) = self.origin(link, id) else { return };
+            self.send_status(link, origin, actions);
+        }
+    }
+
+    /// Sends the outcome where it is known, else the status.
+    fn send_status(&self, link: LinkId, origin: Origin, actions: &mut Vec<Action>) {
+        let known = self.ledger.lookup(origin);
+        actions.push(match known.outcome {
+            Some(outcome) => Action::SendOutcome(link, origin.forwarded, outcome),
+            None => Action::SendStatus(link, origin.forwarded, known.status),
+        });
+    }
+
+    pub(super) fn acknowledged(&mut self, link: LinkId, id: ForwardedRequestId) {
+        if let Some(origin) = self.origin(link, id) {
+            self.ledger.acknowledge(origin);
+        }
+    }
+
+    /// Records how a request of another site ended here and tells its sender, if there is a link to it.
+    pub(super) fn inbound_ended(
+        &mut self,
+        now: Time,
+        origin: Origin,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.ledger.end(now, origin, outcome.clone()) {
+            return;
+        }
+        if let Some(link) = self.link_to_sender(origin) {
+            actions.push(match outcome {
+                Outcome::Unstarted => Action::ReturnUnstarted(link, origin.forwarded, ReturnReason::Rejected),
+                Outcome::Served(_) | Outcome::Rejected | Outcome::Failed => {
+                    Action::SendOutcome(link, origin.forwarded, outcome)
+                }
+            });
+        }
+        self.ledger.forget(now, self.config.most_kept, self.config.most_kept_bytes);
+    }
+
+    fn link_to_sender(&self, origin: Origin) -> Option<LinkId> {
+        let sender = (origin.site, origin.incarnation);
+        let found = self.inbound_links.iter().find(|(_, link)| (link.site, link.incarnation) == sender);
+        found.map(|(id, _)| *id)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/links.rs
@@ -0,0 +1,174 @@
+//! Sites and links: which are up, and what happens when one comes up or ends.
+//!
+//! A link has no stages of its own here: it is in the map from the event that it is up to the event that it is
+//! down. The handshake before that is in `chutesaddle-site-link`.
+
+use crate::capacity_grant::CapacityGrant;
+use crate::credit::Credit;
+use crate::forwarded_request::{ForwardedRequest, Stage, Transition};
+use crate::{Action, ForwardedRequestId, Incarnation, LinkId, SiteId, Time};
+
+use super::Gateway;
+
+/// A site that the operator lists, or has listed.
+#[derive(Debug)]
+pub(super) struct PeerSite {
+    pub(super) name: String,
+    pub(super) shares_keys: bool,
+    /// Requests that may be open at this site at once.
+    pub(super) most_open: usize,
+    /// False once the operator has taken it out.
+    pub(super) listed: bool,
+}
+
+/// A link on which requests are forwarded.
+#[derive(Debug)]
+pub(super) struct OutboundLink {
+    pub(super) site: SiteId,
+    pub(super) incarnation: Incarnation,
+    pub(super) credit: Credit,
+    /// `None` until it has been measured; nothing is forwarded before that.
+    pub(super) round_trip: Option<Time>,
+    /// Forwarded requests that are open on this link.
+    pub(super) open: usize,
+}
+
+/// A link on which requests of another site come in.
+#[derive(Debug)]
+pub(super) struct InboundLink {
+    pub(super) site: SiteId,
+    pub(super) incarnation: Incarnation,
+    pub(super) grant: CapacityGrant,
+    /// Slots of the last grant.
+    pub(super) granted_slots: u32,
+    /// When the grant is to be renewed.
+    pub(super) renew_at: Time,
+}
+
+impl Gateway {
+    pub(super) fn outbound_link_up(
+        &mut self,
+        link: LinkId,
+        site: SiteId,
+        incarnation: Incarnation,
+        actions: &mut Vec<Action>,
+    ) {
+        self.replace_outbound_links(site, incarnation, actions);
+        let new = OutboundLink { site, incarnation, credit: Credit::default(), round_trip: None, open: 0 };
+        self.outbound_links.insert(link, new);
+        self.resume_in_doubt(link, site, incarnation, actions);
+    }
+
+    /// A second link to the same incarnation replaces the first, which is dead without this side knowing yet.
+    fn replace_outbound_links(&mut self, site: SiteId, incarnation: Incarnation, actions: &mut Vec<Action>) {
+        let is_same_peer = |link: &OutboundLink| (link.site, link.incarnation) == (site, incarnation);
+        let replaced: Vec<LinkId> =
+            self.outbound_links.iter().filter(|(_, link)| is_same_peer(link)).map(|(id, _)| *id).collect();
+        for old in replaced {
+            self.outbound_link_down(old, actions);
+            actions.push(Action::CloseLink(old));
+        }
+    }
+
+    /// Moves the requests in doubt at this site to its new link, and asks what became of them.
+    fn resume_in_doubt(
+        &mut self,
+        link: LinkId,
+        site: SiteId,
+        incarnation: Incarnation,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_in_doubt =
+            |request: &ForwardedRequest| request.site == site && request.stage == Stage::InDoubt;
+        let in_doubt: Vec<ForwardedRequestId> =
+            self.forwarded.iter().filter(|(_, request)| is_in_doubt(request)).map(|(id, _)| *id).collect();
+        let mut queried = Vec::new();
+        for id in in_doubt {
+            let Some(request) = self.forwarded.get_mut(&id) else { continue };
+            if request.incarnation != incarnation {
+                self.advance(id, Transition::PeerRestarted, actions);
+                continue;
+            }
+            request.link = link;
+            let client_waits = request.request.is_some();
+            self.statistics.resumed += 1;
+            if let Some(outbound) = self.outbound_links.get_mut(&link) {
+                outbound.open += 1;
+            }
+            if client_waits {
+                queried.push(id);
+            } else {
+                actions.push(Action::SendCancel(link, id));
+            }
+        }
+        if !queried.is_empty() {
+            actions.push(Action::QueryStatus(link, queried));
+        }
+    }
+
+    pub(super) fn outbound_link_down(&mut self, link: LinkId, actions: &mut Vec<Action>) {
+        if self.outbound_links.remove(&link).is_none() {
+            return;
+        }
+        let is_on_link = |request: &ForwardedRequest| request.link == link && request.stage != Stage::InDoubt;
+        let affected: Vec<ForwardedRequestId> =
+            self.forwarded.iter().filter(|(_, request)| is_on_link(request)).map(|(id, _)| *id).collect();
+        for id in affected {
+            self.advance(id, Transition::LinkDown, actions);
+        }
+    }
+
+    pub(super) fn round_trip_measured(&mut self, link: LinkId, round_trip: Time) {
+        if let Some(outbound) = self.outbound_links.get_mut(&link) {
+            outbound.round_trip = Some(round_trip);
+        }
+    }
+
+    pub(super) fn credit_granted(&mut self, link: LinkId, epoch: Incarnation, limit: u64, expires_at: Time) {
+        let Some(outbound) = self.outbound_links.get_mut(&link) else { return };
+        // A grant of another incarnation counts what this one has never seen.
+        if outbound.incarnation == epoch {
+            outbound.credit.granted(limit, expires_at);
+        }
+    }
+
+    /// A sender that dials again has lost its old link, whether or not this side has noticed. What still comes
+    /// on that one must not be accepted any more: the sender has been told what had arrived.
+    pub(super) fn inbound_link_up(
+        &mut self,
+        now: Time,
+        link: LinkId,
+        site: SiteId,
+        incarnation: Incarnation,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_same_peer = |link: &InboundLink| (link.site, link.incarnation) == (site, incarnation);
+        let replaced: Vec<LinkId> =
+            self.inbound_links.iter().filter(|(_, link)| is_same_peer(link)).map(|(id, _)| *id).collect();
+        for old in replaced {
+            self.inbound_links.remove(&old);
+            actions.push(Action::CloseLink(old));
+        }
+        let grant = CapacityGrant::default();
+        let new = InboundLink { site, incarnation, grant, granted_slots: 0, renew_at: now };
+        self.inbound_links.insert(link, new);
+    }
+
+    pub(super) fn inbound_link_down(&mut self, link: LinkId) {
+        self.inbound_links.remove(&link);
+    }
+
+    /// A site that is no longer listed keeps its links until nothing of it is open.
+    pub(super) fn close_unlisted_links(&self, actions: &mut Vec<Action>) {
+        for (id, link) in &self.outbound_links {
+            if !self.is_listed(link.site) && !self.needs(link.site) {
+                actions.push(Action::CloseLink(*id));
+            }
+        }
+        for (id, link) in &self.inbound_links {
+            if !self.is_listed(link.site) && !self.ledger.runs_for(link.site) {
+                actions.push(Action::CloseLink(*id));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/routing.rs
@@ -0,0 +1,114 @@
+//! Whether a request is forwarded, and on which link.
+//!
+//! Forwarding costs service, so only a request that would otherwise be rejected or late is forwarded, and only
+//! while it can still be in time at the other site.
+
+use bytes::Bytes;
+
+use crate::idempotency_store::KeyLocation;
+use crate::{Candidate, Idempotency, LinkId, NotForwarded, SiteId, Time};
+
+use super::links::OutboundLink;
+use super::Gateway;
+
+/// A link that a candidate may take.
+struct Route {
+    link: LinkId,
+    round_trip: Time,
+}
+
+impl Gateway {
+    /// Decides the link on which a candidate is forwarded, or why it is not.
+    ///
+    /// A candidate whose key is bound to another site goes there however free this site is, even if it will be
+    /// late there: it must not run here.
+    pub(super) fn route(&self, now: Time, candidate: &Candidate) -> Result<LinkId, NotForwarded> {
+        if self.draining {
+            return Err(NotForwarded::Draining);
+        }
+        if candidate.forwarded_before || self.forwarded_by_request.contains_key(&candidate.request) {
+            return Err(NotForwarded::ForwardedBefore);
+        }
+        let key = match &candidate.idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::WithKey { key, .. } => Some(key),
+            Idempotency::NonIdempotent => return Err(NotForwarded::NonIdempotent),
+        };
+        let bound = key.is_some_and(|key| self.bound_elsewhere(now, key));
+        let beyond_quota = !candidate.within_quota && !self.config.over_share;
+        if !bound && beyond_quota {
+            return Err(NotForwarded::OverQuota);
+        }
+        if !bound && !self.load.may_forward(now, &self.config) {
+            return Err(NotForwarded::LocalCapacity);
+        }
+        self.nearest_route(now, candidate, key, bound).map(|route| route.link)
+    }
+
+    /// Forwarding costs the same everywhere, so the nearest site that can take the candidate is the best. Without
+    /// one, the reason is that of the last site that had capacity.
+    fn nearest_route(
+        &self,
+        now: Time,
+        candidate: &Candidate,
+        key: Option<&Bytes>,
+        bound: bool,
+    ) -> Result<Route, NotForwarded> {
+        let location = key.and_then(|key| self.keys.location(now, key));
+        let mut reason = if bound { NotForwarded::KeyBoundElsewhere } else { NotForwarded::NoPeerCapacity };
+        let mut nearest: Option<Route> = None;
+        for (&link, outbound) in &self.outbound_links {
+            let Some(round_trip) = outbound.round_trip else { continue };
+            if !self.has_capacity(now, outbound, candidate) {
+                continue;
+            }
+            if !self.key_may_run_at(location, outbound.site) {
+                reason = NotForwarded::KeyBoundElsewhere;
+                continue;
+            }
+            if let Err(untimely) = self.check_timing(candidate, round_trip, bound) {
+                reason = untimely;
+                continue;
+            }
+            if nearest.as_ref().is_none_or(|nearest| round_trip < nearest.round_trip) {
+                nearest = Some(Route { link, round_trip });
+            }
+        }
+        nearest.ok_or(reason)
+    }
+
+    /// Whether a link's site is listed and has granted enough for this candidate.
+    fn has_capacity(&self, now: Time, link: &OutboundLink, candidate: &Candidate) -> bool {
+        let below_open_limit = link.open < self.sites[usize::from(link.site.0)].most_open;
+        let enough_credit = link.credit.available(now) >= u64::from(candidate.slots);
+        below_open_limit && enough_credit && self.is_listed(link.site)
+    }
+
+    /// Whether a key may run at a site, given where it may have run already.
+    fn key_may_run_at(&self, location: Option<KeyLocation>, site: SiteId) -> bool {
+        match location {
+            None => true,
+            Some(KeyLocation::Local) => self.shares_keys(site),
+            Some(KeyLocation::Remote(other)) => {
+                site == other || self.shares_keys(site) && self.shares_keys(other)
+            }
+            Some(KeyLocation::Unknown) => false,
+        }
+    }
+
+    /// Whether forwarding over this round trip comes neither too early nor too late.
+    fn check_timing(&self, candidate: &Candidate, round_trip: Time, bound: bool) -> Result<(), NotForwarded> {
+        let cost = round_trip / 2 + self.config.margin;
+        let is_urgent =
+            candidate.start_in <= cost + self.config.lead || self.load.too_long_for(candidate.start_in);
+        if !is_urgent && !candidate.rejected && !bound {
+            return Err(NotForwarded::CanStillWait);
+        }
+        let starts_in_time = candidate.start_in > cost || bound;
+        let answer_in_time = candidate.time_left > round_trip + self.config.margin;
+        if !starts_in_time || !answer_in_time {
+            return Err(NotForwarded::TooLate);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/load_state/tests.rs
@@ -0,0 +1,68 @@
+use std::time::Duration;
+
+use super::*;
+
+fn at(ms: u64) -> Time {
+    Duration::from_millis(ms)
+}
+
+fn load(free: f64, waiting: usize) -> SiteLoad {
+    SiteLoad { slots: 20.0, free, waiting, backlog: Time::ZERO }
+}
+
+/// A lull of less than `settle` opens nothing, and between `close_at` and `open_at` all stays as it is.
+#[test]
+fn opens_after_settling_and_closes_at_a_lower_mark() {
+    let (config, mut monitor) = (Config::default(), LoadMonitor::default());
+    let steps = [
+        (0, 10.0, LoadState::Neutral),
+        (150, 4.0, LoadState::Neutral),
+        (200, 10.0, LoadState::Neutral),
+        (399, 10.0, LoadState::Neutral),
+        (400, 10.0, LoadState::Open),
+        (500, 3.0, LoadState::Open),
+        (600, 1.0, LoadState::Neutral),
+        (700, 3.0, LoadState::Neutral),
+    ];
+    for (ms, free, state) in steps {
+        monitor.measured(at(ms), load(free, 0), &config);
+        assert_eq!(monitor.state(), state, "at {ms} ms with {free} free");
+    }
+}
+
+#[test]
+fn grants_nothing_for_the_hold_time_after_forwarding() {
+    let (config, mut monitor) = (Config::default(), LoadMonitor::default());
+    monitor.measured(at(0), load(20.0, 0), &config);
+    monitor.measured(at(300), load(20.0, 0), &config);
+    assert_eq!(monitor.grantable_slots(&config), 18);
+    monitor.forwarded(at(300));
+    for ms in (300..1300).step_by(20) {
+        monitor.measured(at(ms), load(20.0, 0), &config);
+        assert_eq!(monitor.grantable_slots(&config), 0, "at {ms} ms");
+    }
+    monitor.measured(at(1300), load(20.0, 0), &config);
+    assert_eq!(monitor.grantable_slots(&config), 18);
+}
+
+#[test]
+fn does_not_grant_slots_of_waiting_or_just_accepted_requests() {
+    let (config, mut monitor) = (Config::default(), LoadMonitor::default());
+    monitor.measured(at(0), load(12.0, 2), &config);
+    monitor.measured(at(200), load(12.0, 2), &config);
+    assert_eq!(monitor.grantable_slots(&config), 8);
+    monitor.accepted(5);
+    assert_eq!(monitor.grantable_slots(&config), 3);
+}
+
+#[test]
+fn forwards_only_after_starving_without_a_break() {
+    let (config, mut monitor) = (Config::default(), LoadMonitor::default());
+    monitor.measured(at(0), load(0.0, 3), &config);
+    assert!(!monitor.may_forward(at(19), &config));
+    assert!(monitor.may_forward(at(20), &config));
+    monitor.measured(at(25), load(1.0, 3), &config);
+    monitor.measured(at(30), load(0.4, 3), &config);
+    assert!(!monitor.may_forward(at(49), &config));
+    assert!(monitor.may_forward(at(50), &config));
+}
--- a/crates/gateway/tests/pair.rs
+++ b/crates/gateway/tests/pair.rs
@@ -21,21 +21,21 @@
 /// What the two ends say, in the words of the actions.
 #[derive(Clone, Debug)]
 enum Word {
-    Offer { crossing: CrossingId, epoch: Instance, left: Duration },
-    Grant { epoch: Instance, limit: u64, term: Duration },
-    Taken(CrossingId),
-    GivenBack(CrossingId),
-    Ended(CrossingId, Outcome),
-    Told(CrossingId, Known),
-    Withdraw(CrossingId),
-    Ask(Vec<CrossingId>),
-    Acknowledge(CrossingId),
+    Offer { crossing: ForwardedRequestId, epoch: Incarnation, left: Duration },
+    Grant { epoch: Incarnation, limit: u64, term: Duration },
+    Taken(ForwardedRequestId),
+    GivenBack(ForwardedRequestId),
+    Ended(ForwardedRequestId, Outcome),
+    Told(ForwardedRequestId, RemoteStatus),
+    Withdraw(ForwardedRequestId),
+    Ask(Vec<ForwardedRequestId>),
+    Acknowledge(ForwardedRequestId),
 }
 
 /// A job of a site, and what became of it.
 #[derive(Clone, Debug, Default)]
 struct Fate {
-    answers: Vec<Answer>,
+    answers: Vec<ForwardedAnswer>,
     crossed: usize,
     returned: bool,
     /// How often it has begun to run, at either site.
@@ -47,12 +47,12 @@
     gateway: Gateway,
     free: f64,
     waiting: usize,
-    fates: BTreeMap<JobId, Fate>,
+    fates: BTreeMap<LocalRequestId, Fate>,
     /// What runs here for the other site, and whose job it is there.
-    guests: BTreeMap<Origin, JobId>,
+    guests: BTreeMap<Origin, LocalRequestId>,
     /// Gave back that much.
-    refused: Vec<Back>,
-    stays: Vec<Stay>,
+    refused: Vec<ReturnReason>,
+    stays: Vec<NotForwarded>,
     taken: usize,
 }
 
@@ -73,7 +73,7 @@
     /// The socket takes nothing: no offer is written whole.
     stuck: bool,
     /// Names of jobs that are under way, by site and crossing.
-    names: BTreeMap<(usize, CrossingId), JobId>,
+    names: BTreeMap<(usize, ForwardedRequestId), LocalRequestId>,
 }
 
 fn config(peer: &str, shares: bool) -> Config {
@@ -84,7 +84,7 @@
 impl Pair {
     fn new(shares: bool) -> Self {
         let site = |n: u64| Site {
-            gateway: Gateway::new(config(["b", "a"][n as usize], shares), Instance(1 + n)),
+            gateway: Gateway::new(config(["b", "a"][n as usize], shares), Incarnation(1 + n)),
             free: 0.0,
             waiting: 0,
             fates: BTreeMap::new(),
@@ -112,18 +112,18 @@
         let link = LinkId(self.links);
         let site = SiteId(0);
         self.wires.push(Wire { link, from, there: VecDeque::new(), back: VecDeque::new() });
-        let instances = [0, 1].map(|n| self.sites[n].gateway.instance());
-        self.tell(to, Event::Joined { link, site, instance: instances[from] });
-        self.tell(from, Event::Up { link, site, instance: instances[to] });
-        self.tell(from, Event::RoundTrip(link, 2 * WAY));
+        let instances = [0, 1].map(|n| self.sites[n].gateway.incarnation());
+        self.tell(to, Event::InboundLinkUp { link, site, incarnation: instances[from] });
+        self.tell(from, Event::OutboundLinkUp { link, site, incarnation: instances[to] });
+        self.tell(from, Event::RoundTripMeasured(link, 2 * WAY));
     }
 
     /// Breaks the link that `from` has dialled; what is under way on it is lost.
     fn cut(&mut self, from: usize) {
         let Some(at) = self.wires.iter().position(|wire| wire.from == from) else { return };
         let link = self.wires.remove(at).link;
-        self.tell(from, Event::Down(link));
-        self.tell(1 - from, Event::Parted(link));
+        self.tell(from, Event::OutboundLinkDown(link));
+        self.tell(1 - from, Event::InboundLinkDown(link));
     }
 
     /// The process of a site dies; a new one begins, which remembers nothing.
@@ -131,7 +131,7 @@
         self.cut(0);
         self.cut(1);
         self.lives += 1;
-        self.sites[n].gateway = Gateway::new(config(["b", "a"][n], false), Instance(self.lives));
+        self.sites[n].gateway = Gateway::new(config(["b", "a"][n], false), Incarnation(self.lives));
         self.sites[n].guests.clear();
         // Its clients see the connection break.
         self.sites[n].fates.values_mut().for_each(|fate| fate.gone = true);
@@ -156,41 +156,41 @@
     fn perform(&mut self, n: usize, action: Action) {
         let site = &mut self.sites[n];
         match action {
-            Action::Cross { job, link, crossing, epoch, left } => {
+            Action::Forward { request: job, link, forwarded: crossing, epoch, time_left: left } => {
                 site.fates.get_mut(&job).unwrap().crossed += 1;
                 self.names.insert((n, crossing), job);
                 if !self.stuck {
                     self.say(n, link, Word::Offer { crossing, epoch, left });
-                    self.tell(n, Event::Written(link, crossing));
+                    self.tell(n, Event::RequestWritten(link, crossing));
                 }
             }
-            Action::Stay(_, why) => site.stays.push(why),
-            Action::Return(job) => site.fates.get_mut(&job).unwrap().returned = true,
+            Action::KeepLocal(_, why) => site.stays.push(why),
+            Action::ReturnToScheduler(job) => site.fates.get_mut(&job).unwrap().returned = true,
             Action::Answer(job, answer) => site.fates.get_mut(&job).unwrap().answers.push(answer),
-            Action::Grant { link, limit, term } => {
-                let epoch = site.gateway.instance();
+            Action::GrantCapacity { link, limit, term } => {
+                let epoch = site.gateway.incarnation();
                 self.say(n, link, Word::Grant { epoch, limit, term });
             }
-            Action::Take { link, origin, .. } => {
+            Action::Accept { link, origin, .. } => {
                 site.taken += 1;
-                let job = self.names[&(1 - n, origin.crossing)];
+                let job = self.names[&(1 - n, origin.forwarded)];
                 site.guests.insert(origin, job);
                 self.sites[1 - n].fates.get_mut(&job).unwrap().runs[n] += 1;
-                self.say(n, link, Word::Taken(origin.crossing));
+                self.say(n, link, Word::Taken(origin.forwarded));
             }
-            Action::GiveBack(link, id, why) => {
+            Action::ReturnUnstarted(link, id, why) => {
                 site.refused.push(why);
                 self.say(n, link, Word::GivenBack(id));
             }
-            Action::Drop(origin) => {
+            Action::CancelInbound(origin) => {
                 site.guests.remove(&origin);
             }
-            Action::Tell(link, id, outcome) => self.say(n, link, Word::Ended(id, outcome)),
-            Action::Say(link, id, known) => self.say(n, link, Word::Told(id, known)),
-            Action::Withdraw(link, id) => self.say(n, link, Word::Withdraw(id)),
-            Action::Ask(link, ids) => self.say(n, link, Word::Ask(ids)),
-            Action::Acknowledge(link, id) => self.say(n, link, Word::Acknowledge(id)),
-            Action::Close(link) => self.wires.retain(|wire| wire.link != link),
+            Action::SendOutcome(link, id, outcome) => self.say(n, link, Word::Ended(id, outcome)),
+            Action::SendStatus(link, id, known) => self.say(n, link, Word::Told(id, known)),
+            Action::SendCancel(link, id) => self.say(n, link, Word::Withdraw(id)),
+            Action::QueryStatus(link, ids) => self.say(n, link, Word::Ask(ids)),
+            Action::AcknowledgeOutcome(link, id) => self.say(n, link, Word::Acknowledge(id)),
+            Action::CloseLink(link) => self.wires.retain(|wire| wire.link != link),
         }
     }
 
@@ -198,17 +198,22 @@
         self.tell(
             n,
             match word {
-                Word::Offer { crossing, epoch, left } => {
-                    Event::Offered { link, crossing, epoch, slots: 1, left, keep: ms(40_000) }
-                }
-                Word::Grant { epoch, limit, term } => Event::Granted { link, epoch, limit, term },
-                Word::Taken(id) => Event::Taken(link, id),
-                Word::GivenBack(id) => Event::Returned(link, id),
-                Word::Ended(id, outcome) => Event::AttemptEnded(link, id, outcome),
-                Word::Told(id, known) => Event::Told(link, id, known),
-                Word::Withdraw(id) => Event::Withdrawn(link, id),
-                Word::Ask(ids) => Event::Asked(link, ids),
-                Word::Acknowledge(id) => Event::Acknowledged(link, id),
+                Word::Offer { crossing, epoch, left } => Event::RequestOffered {
+                    link,
+                    forwarded: crossing,
+                    epoch,
+                    slots: 1,
+                    time_left: left,
+                    keep_outcome: ms(40_000),
+                },
+                Word::Grant { epoch, limit, term } => Event::CreditGranted { link, epoch, limit, term },
+                Word::Taken(id) => Event::RequestAccepted(link, id),
+                Word::GivenBack(id) => Event::RequestReturned(link, id),
+                Word::Ended(id, outcome) => Event::RequestEnded(link, id, outcome),
+                Word::Told(id, known) => Event::StatusReceived(link, id, known),
+                Word::Withdraw(id) => Event::RequestCancelled(link, id),
+                Word::Ask(ids) => Event::StatusQueried(link, ids),
+                Word::Acknowledge(id) => Event::OutcomeAcknowledged(link, id),
             },
         );
     }
@@ -230,7 +235,10 @@
             if self.now.as_millis().is_multiple_of(10) {
                 for n in 0..2 {
                     let Site { free, waiting, .. } = self.sites[n];
-                    self.tell(n, Event::Pressure(Pressure { slots: 10.0, free, waiting, clear: ms(0) }));
+                    self.tell(
+                        n,
+                        Event::LoadMeasured(SiteLoad { slots: 10.0, free, waiting, backlog: ms(0) }),
+                    );
                     self.tell(n, Event::Tick);
                 }
             }
@@ -238,14 +246,23 @@
     }
 
     /// A job of site `n` that waits in vain.
-    fn candidate(&mut self, n: usize, job: u32, effect: Effect) -> Candidate {
-        let job = JobId(job);
+    fn candidate(&mut self, n: usize, job: u32, effect: Idempotency) -> Candidate {
+        let job = LocalRequestId(job);
         self.sites[n].fates.entry(job).or_default();
-        let (rank, inside, slots, refused, travelled) = (1.0, true, 1, false, false);
-        Candidate { job, effect, rank, inside, slots, start_in: ms(60), left: LEFT, refused, travelled }
+        Candidate {
+            request: job,
+            idempotency: effect,
+            priority: 1.0,
+            within_quota: true,
+            slots: 1,
+            start_in: ms(60),
+            time_left: LEFT,
+            rejected: false,
+            forwarded_before: false,
+        }
     }
 
-    fn wants(&mut self, n: usize, job: u32, effect: Effect) {
+    fn wants(&mut self, n: usize, job: u32, effect: Idempotency) {
         let candidate = self.candidate(n, job, effect);
         self.tell(n, Event::Candidates(vec![candidate]));
     }
@@ -253,12 +270,12 @@
     /// What site `n` has taken in ends.
     fn finish(&mut self, n: usize, outcome: &Outcome) {
         for origin in std::mem::take(&mut self.sites[n].guests).into_keys() {
-            self.tell(n, Event::Finished(origin, outcome.clone()));
+            self.tell(n, Event::InboundRequestEnded(origin, outcome.clone()));
         }
     }
 
     fn fate(&self, n: usize, job: u32) -> &Fate {
-        &self.sites[n].fates[&JobId(job)]
+        &self.sites[n].fates[&LocalRequestId(job)]
     }
 }
 
@@ -266,18 +283,18 @@
     Outcome::Served(Bytes::from_static(b"map"))
 }
 
-fn keyed(key: &'static str) -> Effect {
-    Effect::Keyed { key: Bytes::from_static(key.as_bytes()), window: ms(40_000) }
+fn keyed(key: &'static str) -> Idempotency {
+    Idempotency::WithKey { key: Bytes::from_static(key.as_bytes()), window: ms(40_000) }
 }
 
 #[test]
 fn a_job_crosses_and_its_answer_comes_back() {
     let mut pair = Pair::with_room();
-    pair.wants(0, 1, Effect::Repeatable);
+    pair.wants(0, 1, Idempotency::Idempotent);
     pair.run(ms(20));
     pair.finish(1, &served());
     pair.run(ms(20));
-    assert_eq!(pair.fate(0, 1).answers, [Answer::Served(Bytes::from_static(b"map"))]);
+    assert_eq!(pair.fate(0, 1).answers, [ForwardedAnswer::Served(Bytes::from_static(b"map"))]);
     assert!(pair.sites.iter().all(|site| site.gateway.is_idle()));
 }
 
@@ -286,55 +303,60 @@
     let mut pair = Pair::with_room();
     pair.sites[0].free = 1.0;
     pair.run(ms(50));
-    pair.wants(0, 1, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays, [Stay::RoomHere]);
+    pair.wants(0, 1, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::LocalCapacity]);
     (pair.sites[0].free, pair.sites[1].free) = (0.0, 0.5);
     pair.run(ms(50));
-    pair.wants(0, 2, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays, [Stay::RoomHere, Stay::NoRoom]);
+    pair.wants(0, 2, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::LocalCapacity, NotForwarded::NoPeerCapacity]);
 }
 
 #[test]
 fn what_can_still_wait_waits_and_what_is_late_stays() {
     let mut pair = Pair::with_room();
-    let mut candidate = pair.candidate(0, 1, Effect::Repeatable);
+    let mut candidate = pair.candidate(0, 1, Idempotency::Idempotent);
     candidate.start_in = ms(500);
     pair.tell(0, Event::Candidates(vec![candidate.clone()]));
     candidate.start_in = ms(10);
     pair.tell(0, Event::Candidates(vec![candidate.clone()]));
     // Too little is left for the way there and back.
-    (candidate.start_in, candidate.left) = (ms(60), ms(30));
+    (candidate.start_in, candidate.time_left) = (ms(60), ms(30));
     pair.tell(0, Event::Candidates(vec![candidate]));
-    assert_eq!(pair.sites[0].stays, [Stay::Early, Stay::Late, Stay::Late]);
+    assert_eq!(
+        pair.sites[0].stays,
+        [NotForwarded::CanStillWait, NotForwarded::TooLate, NotForwarded::TooLate]
+    );
 }
 
 /// One that could wait on its own, but not behind all the others, leaves; and those that leave make room in time.
 #[test]
 fn what_would_be_late_behind_the_others_crosses_before_it_is_late() {
     let mut pair = Pair::with_room();
-    let crowd = Pressure { slots: 10.0, free: 0.0, waiting: 4, clear: ms(2000) };
-    pair.tell(0, Event::Pressure(crowd));
-    let mut candidates: Vec<Candidate> = (0..4).map(|n| pair.candidate(0, n, Effect::Repeatable)).collect();
+    let crowd = SiteLoad { slots: 10.0, free: 0.0, waiting: 4, backlog: ms(2000) };
+    pair.tell(0, Event::LoadMeasured(crowd));
+    let mut candidates: Vec<Candidate> =
+        (0..4).map(|n| pair.candidate(0, n, Idempotency::Idempotent)).collect();
     candidates.iter_mut().for_each(|candidate| candidate.start_in = ms(1200));
     pair.tell(0, Event::Candidates(candidates));
     let crossed: Vec<usize> = (0..4).map(|n| pair.fate(0, n).crossed).collect();
     assert_eq!(crossed, [1, 1, 0, 0]);
-    assert_eq!(pair.sites[0].stays, [Stay::Early, Stay::Early]);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::CanStillWait, NotForwarded::CanStillWait]);
 }
 
 #[test]
 fn the_worthier_and_those_inside_their_quota_cross_first() {
     let mut pair = Pair::with_room();
-    let mut candidates: Vec<Candidate> = (0..20).map(|n| pair.candidate(0, n, Effect::Repeatable)).collect();
+    let mut candidates: Vec<Candidate> =
+        (0..20).map(|n| pair.candidate(0, n, Idempotency::Idempotent)).collect();
     for (n, candidate) in candidates.iter_mut().enumerate() {
-        candidate.rank = (n % 10) as f64;
-        candidate.inside = n < 10;
+        candidate.priority = (n % 10) as f64;
+        candidate.within_quota = n < 10;
     }
     pair.tell(0, Event::Candidates(candidates));
     // Nine of ten slots are granted; one is kept back.
     let crossed: Vec<u32> = (0..20).filter(|n| pair.fate(0, *n).crossed > 0).collect();
     assert_eq!(crossed, (1..10).collect::<Vec<_>>());
-    assert_eq!(pair.sites[0].stays.iter().filter(|why| **why == Stay::OverShare).count(), 10);
+    assert_eq!(pair.sites[0].stays.iter().filter(|why| **why == NotForwarded::OverQuota).count(), 10);
 }
 
 /// Each has granted the other room and both run out of it in the same moment.
@@ -346,74 +368,74 @@
     for n in 0..2 {
         // The withdrawal of the grant is under way while the other side draws on it.
         pair.sites[n].free = 0.0;
-        pair.tell(n, Event::Pressure(Pressure { slots: 10.0, free: 0.0, waiting: 5, clear: ms(0) }));
+        pair.tell(n, Event::LoadMeasured(SiteLoad { slots: 10.0, free: 0.0, waiting: 5, backlog: ms(0) }));
     }
     pair.now += Config::default().starve;
     for n in 0..2 {
-        pair.wants(n, 1, Effect::Repeatable);
+        pair.wants(n, 1, Idempotency::Idempotent);
         assert_eq!(pair.fate(n, 1).crossed, 1, "{:?}", pair.sites[n].stays);
     }
     pair.run(2 * WAY + STEP);
     for n in 0..2 {
         assert!(pair.fate(n, 1).returned && pair.fate(n, 1).runs == [0, 0]);
-        assert_eq!(pair.sites[n].refused, [Back::Shedding]);
+        assert_eq!(pair.sites[n].refused, [ReturnReason::Shedding]);
         assert!(pair.sites[n].gateway.is_idle());
     }
     // What has come back does not leave again, and neither side grants for a while.
-    let again = Candidate { travelled: true, ..pair.candidate(0, 1, Effect::Repeatable) };
+    let again = Candidate { forwarded_before: true, ..pair.candidate(0, 1, Idempotency::Idempotent) };
     pair.tell(0, Event::Candidates(vec![again]));
-    assert_eq!(pair.sites[0].stays.last(), Some(&Stay::Crossed));
+    assert_eq!(pair.sites[0].stays.last(), Some(&NotForwarded::ForwardedBefore));
     pair.sites[1].free = 10.0;
     pair.run(ms(500));
-    assert_eq!(pair.sites[1].gateway.figures().room, 0);
+    assert_eq!(pair.sites[1].gateway.statistics().unused_grants, 0);
 }
 
 #[test]
 fn a_grant_of_another_life_is_worth_nothing() {
     let mut pair = Pair::with_room();
     let link = pair.wires.iter().find(|wire| wire.from == 0).unwrap().link;
-    pair.tell(0, Event::Granted { link, epoch: Instance(99), limit: 1000, term: ms(400) });
+    pair.tell(0, Event::CreditGranted { link, epoch: Incarnation(99), limit: 1000, term: ms(400) });
     pair.restart(1);
     pair.dial(0);
     pair.sites[1].free = 0.0;
     let link = pair.wires[0].link;
-    pair.tell(0, Event::Granted { link, epoch: Instance(2), limit: 1000, term: ms(400) });
-    pair.wants(0, 1, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays.last(), Some(&Stay::NoRoom));
+    pair.tell(0, Event::CreditGranted { link, epoch: Incarnation(2), limit: 1000, term: ms(400) });
+    pair.wants(0, 1, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays.last(), Some(&NotForwarded::NoPeerCapacity));
     // And a sender that draws on it all the same is given its job back.
     pair.tell(
         1,
-        Event::Offered {
+        Event::RequestOffered {
             link,
-            crossing: CrossingId(7),
-            epoch: Instance(2),
+            forwarded: ForwardedRequestId(7),
+            epoch: Incarnation(2),
             slots: 1,
-            left: LEFT,
-            keep: LEFT,
+            time_left: LEFT,
+            keep_outcome: LEFT,
         },
     );
-    assert_eq!(pair.sites[1].refused, [Back::Overdrawn]);
+    assert_eq!(pair.sites[1].refused, [ReturnReason::ExceedsGrant]);
 }
 
 #[test]
 fn a_peer_that_grants_and_dies_gets_nothing_after_the_term() {
     let mut pair = Pair::with_room();
     pair.wires.iter_mut().for_each(|wire| wire.back.clear());
-    pair.sites[1].gateway = Gateway::new(Config::default(), Instance(77)); // silent: it has no links
+    pair.sites[1].gateway = Gateway::new(Config::default(), Incarnation(77)); // silent: it has no links
     pair.run(ms(500));
-    pair.wants(0, 1, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays, [Stay::NoRoom]);
+    pair.wants(0, 1, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::NoPeerCapacity]);
 }
 
 #[rustfmt::skip]
 #[test]
 fn a_link_that_is_cut_at_any_moment_neither_loses_nor_doubles() {
     // Cut after so many milliseconds; done at the other site after so many; what the client is told.
-    let cases: [(u64, u64, Option<Answer>); 4] = [
+    let cases: [(u64, u64, Option<ForwardedAnswer>); 4] = [
         (4, 200, None),                 // the offer is under way and lost: it never ran, and goes back
-        (12, 200, Some(Answer::Served(Bytes::from_static(b"map")))), // taken, the word of it lost
-        (40, 60, Some(Answer::Served(Bytes::from_static(b"map")))),  // taken; done during the cut
-        (40, 38, Some(Answer::Served(Bytes::from_static(b"map")))),  // done; the answer lost on the way
+        (12, 200, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))), // taken, the word of it lost
+        (40, 60, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // taken; done during the cut
+        (40, 38, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // done; the answer lost on the way
     ];
     for (cut, done, answer) in cases {
         let mut pair = Pair::with_room();
@@ -454,7 +476,9 @@
 
 #[test]
 fn what_may_have_run_at_a_peer_that_restarted_ends_by_its_class() {
-    for (effect, answer) in [(Effect::Repeatable, Answer::Rejected), (keyed("k"), Answer::Failed)] {
+    for (effect, answer) in
+        [(Idempotency::Idempotent, ForwardedAnswer::Rejected), (keyed("k"), ForwardedAnswer::Failed)]
+    {
         let mut pair = Pair::with_room();
         pair.wants(0, 1, effect);
         pair.run(ms(20));
@@ -469,7 +493,7 @@
     let mut pair = Pair::with_room();
     pair.wants(0, 1, keyed("k"));
     pair.run(LEFT + ms(30));
-    assert_eq!(pair.fate(0, 1).answers, [Answer::Failed]);
+    assert_eq!(pair.fate(0, 1).answers, [ForwardedAnswer::Failed]);
     assert!(pair.sites[1].guests.is_empty(), "withdrawn");
 }
 
@@ -477,18 +501,18 @@
 fn a_client_that_leaves_ends_its_job_at_the_other_site_also_after_a_cut() {
     for cut in [false, true] {
         let mut pair = Pair::with_room();
-        pair.wants(0, 1, Effect::Repeatable);
+        pair.wants(0, 1, Idempotency::Idempotent);
         pair.run(ms(20));
         if cut {
             pair.cut(0);
         }
-        pair.tell(0, Event::ClientDisconnected(JobId(1)));
+        pair.tell(0, Event::ClientDisconnected(LocalRequestId(1)));
         if cut {
             pair.dial(0);
         }
         pair.run(ms(20));
         assert!(pair.sites[1].guests.is_empty() && pair.fate(0, 1).answers.is_empty());
-        assert_eq!(pair.sites[1].gateway.figures().open_in, 0);
+        assert_eq!(pair.sites[1].gateway.statistics().inbound_open, 0);
     }
 }
 
@@ -502,20 +526,20 @@
     // Its repeat follows it, also when there is room here.
     pair.sites[0].free = 5.0;
     pair.run(ms(50));
-    let repeat = Candidate { refused: true, ..pair.candidate(0, 2, keyed("k")) };
+    let repeat = Candidate { rejected: true, ..pair.candidate(0, 2, keyed("k")) };
     pair.tell(0, Event::Candidates(vec![repeat]));
     assert_eq!(pair.fate(0, 2).crossed, 1);
     // Without a link it goes nowhere, least of all to the members here.
     pair.cut(0);
-    let third = Candidate { refused: true, ..pair.candidate(0, 3, keyed("k")) };
+    let third = Candidate { rejected: true, ..pair.candidate(0, 3, keyed("k")) };
     pair.tell(0, Event::Candidates(vec![third]));
-    assert_eq!(pair.sites[0].stays.last(), Some(&Stay::Key));
+    assert_eq!(pair.sites[0].stays.last(), Some(&NotForwarded::KeyBoundElsewhere));
     pair.dial(0);
     pair.sites[0].free = 0.0;
-    pair.tell(0, Event::RanHere { key: Bytes::from_static(b"here"), window: ms(40_000) });
+    pair.tell(0, Event::KeyRanLocally { key: Bytes::from_static(b"here"), window: ms(40_000) });
     pair.run(ms(100));
     pair.wants(0, 4, keyed("here"));
-    assert_eq!(pair.sites[0].stays.last(), Some(&Stay::Key));
+    assert_eq!(pair.sites[0].stays.last(), Some(&NotForwarded::KeyBoundElsewhere));
 }
 
 #[test]
@@ -532,11 +556,11 @@
 #[test]
 fn a_peer_that_is_taken_out_keeps_its_open_crossings_and_gets_no_more() {
     let mut pair = Pair::with_room();
-    pair.wants(0, 1, Effect::Repeatable);
+    pair.wants(0, 1, Idempotency::Idempotent);
     pair.run(ms(20));
     pair.tell(0, Event::Configure(Config::default()));
-    pair.wants(0, 2, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays, [Stay::NoRoom]);
+    pair.wants(0, 2, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::NoPeerCapacity]);
     pair.run(ms(50));
     assert!(pair.wires.iter().any(|wire| wire.from == 0), "the link stays while it is needed");
     pair.finish(1, &served());
@@ -549,13 +573,13 @@
 fn a_site_that_empties_itself_neither_sends_nor_takes() {
     let mut pair = Pair::with_room();
     pair.tell(1, Event::Drain(true));
-    pair.wants(0, 1, Effect::Repeatable);
+    pair.wants(0, 1, Idempotency::Idempotent);
     pair.run(ms(20));
     assert!(pair.fate(0, 1).returned);
-    assert_eq!(pair.sites[1].refused, [Back::Closed]);
+    assert_eq!(pair.sites[1].refused, [ReturnReason::NotAccepting]);
     pair.tell(0, Event::Drain(true));
-    pair.wants(0, 2, Effect::Repeatable);
-    assert_eq!(pair.sites[0].stays, [Stay::Draining]);
+    pair.wants(0, 2, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].stays, [NotForwarded::Draining]);
 }
 
 /// Something that happens to the pair.
@@ -617,18 +641,18 @@
                 pair.sites[n].free = f64::from(free);
                 pair.tell(
                     n,
-                    Event::Pressure(Pressure {
+                    Event::LoadMeasured(SiteLoad {
                         slots: 10.0,
                         free: f64::from(free),
                         waiting: 0,
-                        clear: ms(0),
+                        backlog: ms(0),
                     }),
                 );
             }
             Step::Wants(n, key) => {
                 jobs += 1;
                 let keys = ["k0", "k1", "k2"];
-                let effect = keys.get(usize::from(key)).map_or(Effect::Repeatable, |key| keyed(key));
+                let effect = keys.get(usize::from(key)).map_or(Idempotency::Idempotent, |key| keyed(key));
                 pair.wants(n, jobs, effect);
             }
             Step::Crowd(n) => {
@@ -662,8 +686,8 @@
             Step::Drain(n, drain) => pair.tell(n, Event::Drain(drain)),
         }
         for n in 0..2 {
-            let figures = pair.sites[n].gateway.figures();
-            prop_assert!(figures.room <= 10, "more granted than there is");
+            let statistics = pair.sites[n].gateway.statistics();
+            prop_assert!(statistics.unused_grants <= 10, "more granted than there is");
         }
     }
     // Everything ends by the deadline, whatever is cut.
@@ -688,7 +712,7 @@
             }
             prop_assert!(ran.insert(job));
         }
-        prop_assert!(pair.sites[n].gateway.figures().open_out == 0);
+        prop_assert!(pair.sites[n].gateway.statistics().outbound_open == 0);
     }
     Ok(())
 }
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -1,7 +1,7 @@
 //! What is said on a link, and how it is written.
 
 use bytes::{Buf, Bytes, BytesMut};
-use chutesaddle_gateway::{Back, Known, Outcome};
+use chutesaddle_gateway::{Outcome, RemoteStatus, ReturnReason};
 use serde::{Deserialize, Serialize};
 
 use crate::LinkError;
@@ -55,11 +55,11 @@
     /// To the dialler: the crossing is taken.
     Taken(u64),
     /// To the dialler: it is given back unstarted.
-    GivenBack(u64, Back),
+    GivenBack(u64, ReturnReason),
     /// To the dialler: how it ended.
     Ended(u64, Outcome),
     /// To the dialler: what is known of it.
-    Told(u64, Known),
+    Told(u64, RemoteStatus),
     /// From the dialler: a transaction.
     Offer {
         /// Its number.
--- a/crates/site-link/tests/link.rs
+++ b/crates/site-link/tests/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chutesaddle_gateway::Known;
+use chutesaddle_gateway::RemoteStatus;
 use chutesaddle_site_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
 use proptest::prelude::*;
 
@@ -151,7 +151,7 @@
     #[test]
     fn frames_arrive_as_they_were_sent(ids in prop::collection::vec(any::<u64>(), 0..50)) {
         let ((mut a, _), (mut b, _)) = greet(WORD, WORD, 64).unwrap();
-        let sent: Vec<Frame> = ids.iter().map(|id| Frame::Told(*id, Known::Held)).collect();
+        let sent: Vec<Frame> = ids.iter().map(|id| Frame::Told(*id, RemoteStatus::Received)).collect();
         sent.iter().for_each(|frame| a.send(frame).unwrap());
         prop_assert_eq!(carry(&mut a, &mut b, NOW).unwrap(), sent);
     }
--- a/crates/site-link/tests/wire_bytes.rs
+++ b/crates/site-link/tests/wire_bytes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chutesaddle_gateway::{Back, Known, Outcome};
+use chutesaddle_gateway::{Outcome, RemoteStatus, ReturnReason};
 use chutesaddle_site_link::{Config, Frame, Greeting, Job, Link, LinkError, Me, Secret, Step};
 
 const NOW: Duration = Duration::from_secs(1);
@@ -19,18 +19,18 @@
         (Frame::Bye("closing".into()), "000000090207636c6f73696e67"),
         (Frame::Grant { epoch: 300, limit: 7, term_us: 400_000 }, "0000000703ac020780b518"),
         (Frame::Taken(1), "000000020401"),
-        (Frame::GivenBack(2, Back::Shedding), "00000003050200"),
-        (Frame::GivenBack(2, Back::Overdrawn), "00000003050201"),
-        (Frame::GivenBack(2, Back::Closed), "00000003050202"),
-        (Frame::GivenBack(2, Back::Late), "00000003050203"),
-        (Frame::GivenBack(2, Back::Refused), "00000003050204"),
+        (Frame::GivenBack(2, ReturnReason::Shedding), "00000003050200"),
+        (Frame::GivenBack(2, ReturnReason::ExceedsGrant), "00000003050201"),
+        (Frame::GivenBack(2, ReturnReason::NotAccepting), "00000003050202"),
+        (Frame::GivenBack(2, ReturnReason::TooLate), "00000003050203"),
+        (Frame::GivenBack(2, ReturnReason::Rejected), "00000003050204"),
         (Frame::Ended(3, result), "00000007060300036d6170"),
         (Frame::Ended(3, Outcome::Unstarted), "00000003060301"),
         (Frame::Ended(3, Outcome::Rejected), "00000003060302"),
         (Frame::Ended(3, Outcome::Failed), "00000003060303"),
-        (Frame::Told(4, Known::Never), "00000003070400"),
-        (Frame::Told(4, Known::Held), "00000003070401"),
-        (Frame::Told(4, Known::Lost), "00000003070402"),
+        (Frame::Told(4, RemoteStatus::NeverReceived), "00000003070400"),
+        (Frame::Told(4, RemoteStatus::Received), "00000003070401"),
+        (Frame::Told(4, RemoteStatus::OutcomeForgotten), "00000003070402"),
         (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(full()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
         (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(bare()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
         (Frame::Withdraw(6), "000000020906"),
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::{
-    self as gateway, Action, Answer, Candidate, CrossingId, Effect as Repeats, Event as GatewayEvent,
-    Gateway, Instance, JobId, LinkId, Origin, Outcome, Pressure,
+    self as gateway, Action, Candidate, Event as GatewayEvent, ForwardedAnswer, ForwardedRequestId, Gateway,
+    Idempotency as Repeats, Incarnation, LinkId, LocalRequestId, Origin, Outcome, SiteLoad,
 };
 use chutesaddle_site_link::{Frame, Job};
 use tokio::task::{spawn_local, AbortHandle};
@@ -87,9 +87,13 @@
 
     /// A transaction of this class is sent to a member of this site.
     pub(super) fn runs_here(&mut self, class: &RequestClass, payload: &RequestPayload) {
-        if let Repeats::Keyed { key, window } = effect(class, payload) {
+        if let Repeats::WithKey { key, window } = effect(class, payload) {
             let mut none = Vec::new();
-            self.gateway.handle(self.origin.elapsed(), GatewayEvent::RanHere { key, window }, &mut none);
+            self.gateway.handle(
+                self.origin.elapsed(),
+                GatewayEvent::KeyRanLocally { key, window },
+                &mut none,
+            );
         }
     }
 
@@ -110,8 +114,8 @@
 
     fn show(&self) {
         let figures = &self.counters.gateway;
-        figures.all.set(self.gateway.figures());
-        figures.stance.set(self.gateway.stance());
+        figures.all.set(self.gateway.statistics());
+        figures.stance.set(self.gateway.load_state());
     }
 }
 
@@ -119,12 +123,12 @@
 /// not run twice: where it goes is nothing that can be known across sites.
 fn effect(class: &RequestClass, payload: &RequestPayload) -> Repeats {
     match (class.idempotency, class.deduplication_scope, &payload.key) {
-        (Idempotency::Idempotent, ..) => Repeats::Repeatable,
+        (Idempotency::Idempotent, ..) => Repeats::Idempotent,
         (Idempotency::WithKey, DeduplicationScope::All, Some(key)) => {
             let window = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
-            Repeats::Keyed { key: key.clone(), window }
+            Repeats::WithKey { key: key.clone(), window }
         }
-        _ => Repeats::Once,
+        _ => Repeats::NonIdempotent,
     }
 }
 
@@ -152,8 +156,8 @@
         crossings.look_at = now + if tight { LOOK } else { LOOK_IDLE };
         let CapacitySummary { slots, free, waiting, backlog_s: clear_s } = standing;
         let clear = Duration::try_from_secs_f64(clear_s).unwrap_or_default();
-        let pressure = Pressure { slots, free, waiting, clear };
-        self.across(GatewayEvent::Pressure(pressure));
+        let pressure = SiteLoad { slots, free, waiting, backlog: clear };
+        self.across(GatewayEvent::LoadMeasured(pressure));
         self.across(GatewayEvent::Tick);
         let wants = |c: &Crossings| c.gateway.wants_candidates(c.now());
         if self.crossings.as_deref().is_some_and(wants) {
@@ -171,15 +175,15 @@
         let live = self.live.get(&id).filter(|live| live.reply.is_some())?;
         let unsent = live.attempts.is_empty() && matches!(live.travel, Travel::None);
         Some(Candidate {
-            job: JobId(id.0),
-            effect: effect(&self.settings.classes[live.class], &live.payload),
-            rank: live.rank,
-            inside: live.rank >= 0.0,
+            request: LocalRequestId(id.0),
+            idempotency: effect(&self.settings.classes[live.class], &live.payload),
+            priority: live.rank,
+            within_quota: live.rank >= 0.0,
             slots: live.slots.ceil().clamp(1.0, 65_536.0) as u32,
             start_in: Duration::try_from_secs_f64(start_in_s).unwrap_or_default(),
-            left: live.deadline.saturating_duration_since(Instant::now()),
-            refused,
-            travelled: !unsent,
+            time_left: live.deadline.saturating_duration_since(Instant::now()),
+            rejected: refused,
+            forwarded_before: !unsent,
         })
     }
 
@@ -215,7 +219,7 @@
 
     /// Offers the gateway one transaction that the module does not have; whether it crosses.
     fn offer_alone(&mut self, id: RequestId, start_in: f64, hold_off_s: f64) -> bool {
-        let Some(candidate) = self.candidate(id, start_in, true).filter(|c| !c.travelled) else {
+        let Some(candidate) = self.candidate(id, start_in, true).filter(|c| !c.forwarded_before) else {
             return false;
         };
         if let Some(live) = self.live.get_mut(&id) {
@@ -229,7 +233,7 @@
     /// The client of a transaction that may be at another site has left.
     pub(super) fn left_away(&mut self, id: RequestId) {
         if self.crossings.is_some() {
-            self.across(GatewayEvent::ClientDisconnected(JobId(id.0)));
+            self.across(GatewayEvent::ClientDisconnected(LocalRequestId(id.0)));
         }
     }
 
@@ -245,29 +249,31 @@
                 }
                 crossings.counters.gateway.link(&site, dialled, |figures| figures.up = true);
                 crossings.links.insert(link, Link { site, dialled, outbox });
-                let instance = Instance(instance);
+                let instance = Incarnation(instance);
                 self.across(match dialled {
-                    true => GatewayEvent::Up { link, site: number, instance },
-                    false => GatewayEvent::Joined { link, site: number, instance },
+                    true => GatewayEvent::OutboundLinkUp { link, site: number, incarnation: instance },
+                    false => GatewayEvent::InboundLinkUp { link, site: number, incarnation: instance },
                 });
             }
             SiteLinkEvent::Down(link) => {
                 crossings.close(link);
-                self.across(GatewayEvent::Down(link));
-                self.across(GatewayEvent::Parted(link));
+                self.across(GatewayEvent::OutboundLinkDown(link));
+                self.across(GatewayEvent::InboundLinkDown(link));
             }
             SiteLinkEvent::SiteLinkSettings(link, frame) => self.said(link, frame),
-            SiteLinkEvent::Written(link, id) => self.across(GatewayEvent::Written(link, CrossingId(id))),
+            SiteLinkEvent::Written(link, id) => {
+                self.across(GatewayEvent::RequestWritten(link, ForwardedRequestId(id)))
+            }
             SiteLinkEvent::RoundTrip(link, time) => {
                 if let Some(known) = crossings.links.get(&link) {
                     let figures = &crossings.counters.gateway;
                     figures.link(&known.site, known.dialled, |figures| figures.round_trip = time);
                 }
-                self.across(GatewayEvent::RoundTrip(link, time));
+                self.across(GatewayEvent::RoundTripMeasured(link, time));
             }
             SiteLinkEvent::Answered(origin, reply) => {
                 crossings.came_in.remove(&origin);
-                self.across(GatewayEvent::Finished(
+                self.across(GatewayEvent::InboundRequestEnded(
                     origin,
                     match reply {
                         FinalAnswer::Served(result) => Outcome::Served(result),
@@ -287,35 +293,35 @@
     fn said(&mut self, link: LinkId, frame: Frame) {
         let Some(crossings) = &mut self.crossings else { return };
         let Some(known) = crossings.links.get(&link) else { return };
-        let id = CrossingId;
+        let id = ForwardedRequestId;
         let news = match (known.dialled, frame) {
             (true, Frame::Grant { epoch, limit, term_us }) => {
                 let term = Duration::from_micros(term_us);
                 let figures = &crossings.counters.gateway;
                 figures.link(&known.site, true, |figures| figures.room = limit);
-                GatewayEvent::Granted { link, epoch: Instance(epoch), limit, term }
+                GatewayEvent::CreditGranted { link, epoch: Incarnation(epoch), limit, term }
             }
-            (true, Frame::Taken(n)) => GatewayEvent::Taken(link, id(n)),
-            (true, Frame::GivenBack(n, _)) => GatewayEvent::Returned(link, id(n)),
-            (true, Frame::Ended(n, outcome)) => GatewayEvent::AttemptEnded(link, id(n), outcome),
-            (true, Frame::Told(n, known)) => GatewayEvent::Told(link, id(n), known),
+            (true, Frame::Taken(n)) => GatewayEvent::RequestAccepted(link, id(n)),
+            (true, Frame::GivenBack(n, _)) => GatewayEvent::RequestReturned(link, id(n)),
+            (true, Frame::Ended(n, outcome)) => GatewayEvent::RequestEnded(link, id(n), outcome),
+            (true, Frame::Told(n, known)) => GatewayEvent::StatusReceived(link, id(n), known),
             (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
                 let slots = job.slots.ceil().clamp(1.0, 65_536.0) as u32;
                 // One of a peer that is listed no more is heard, too: it is given back, and its sender goes on.
                 let Some(origin) = crossings.gateway.origin(link, id(crossing)) else { return };
                 crossings.offered = Some((origin, job));
-                GatewayEvent::Offered {
+                GatewayEvent::RequestOffered {
                     link,
-                    crossing: id(crossing),
-                    epoch: Instance(epoch),
+                    forwarded: id(crossing),
+                    epoch: Incarnation(epoch),
                     slots,
-                    left: Duration::from_micros(left_us),
-                    keep: Duration::from_micros(keep_us).min(Duration::from_secs(24 * 3600)),
+                    time_left: Duration::from_micros(left_us),
+                    keep_outcome: Duration::from_micros(keep_us).min(Duration::from_secs(24 * 3600)),
                 }
             }
-            (false, Frame::Withdraw(n)) => GatewayEvent::Withdrawn(link, id(n)),
-            (false, Frame::Ask(ids)) => GatewayEvent::Asked(link, ids.into_iter().map(id).collect()),
-            (false, Frame::Acknowledge(n)) => GatewayEvent::Acknowledged(link, id(n)),
+            (false, Frame::Withdraw(n)) => GatewayEvent::RequestCancelled(link, id(n)),
+            (false, Frame::Ask(ids)) => GatewayEvent::StatusQueried(link, ids.into_iter().map(id).collect()),
+            (false, Frame::Acknowledge(n)) => GatewayEvent::OutcomeAcknowledged(link, id(n)),
             (dialled, frame) => {
                 let site = known.site.clone();
                 tracing::warn!(site, dialled, ?frame, "a frame that is not for this end; the link is closed");
@@ -332,10 +338,10 @@
     fn carry_out(&mut self, action: Action) {
         let Some(crossings) = &mut self.crossings else { return };
         match action {
-            Action::Cross { job, link, crossing, epoch, left } => {
-                self.leaves(RequestId(job.0), link, crossing, epoch, left);
+            Action::Forward { request, link, forwarded, epoch, time_left } => {
+                self.leaves(RequestId(request.0), link, forwarded, epoch, time_left);
             }
-            Action::Stay(job, why) => {
+            Action::KeepLocal(job, why) => {
                 // One that was offered alone is answered by whoever offered it.
                 if let Some(live) = self.live.get_mut(&RequestId(job.0)) {
                     if matches!(live.travel, Travel::Away(Err(_))) {
@@ -344,42 +350,49 @@
                 }
                 tracing::trace!(job = job.0, ?why, "stays");
             }
-            Action::Return(job) => self.returns(RequestId(job.0)),
+            Action::ReturnToScheduler(job) => self.returns(RequestId(job.0)),
             Action::Answer(job, answer) => {
                 let id = RequestId(job.0);
                 let hold_off_s = self.settings.max_retry_after_s;
                 self.answer(
                     id,
                     match answer {
-                        Answer::Served(result) => FinalAnswer::Served(result),
-                        Answer::Rejected => FinalAnswer::Rejected { retry_after_s: hold_off_s },
-                        Answer::Failed => FinalAnswer::Failed,
+                        ForwardedAnswer::Served(result) => FinalAnswer::Served(result),
+                        ForwardedAnswer::Rejected => FinalAnswer::Rejected { retry_after_s: hold_off_s },
+                        ForwardedAnswer::Failed => FinalAnswer::Failed,
                     },
                 );
                 self.forget(id);
             }
-            Action::Withdraw(link, id) => crossings.say(link, Frame::Withdraw(id.0)),
-            Action::Ask(link, ids) => {
+            Action::SendCancel(link, id) => crossings.say(link, Frame::Withdraw(id.0)),
+            Action::QueryStatus(link, ids) => {
                 crossings.say(link, Frame::Ask(ids.into_iter().map(|id| id.0).collect()));
             }
-            Action::Acknowledge(link, id) => crossings.say(link, Frame::Acknowledge(id.0)),
-            Action::Grant { link, limit, term } => {
-                let epoch = crossings.gateway.instance().0;
+            Action::AcknowledgeOutcome(link, id) => crossings.say(link, Frame::Acknowledge(id.0)),
+            Action::GrantCapacity { link, limit, term } => {
+                let epoch = crossings.gateway.incarnation().0;
                 crossings.say(link, Frame::Grant { epoch, limit, term_us: term.as_micros() as u64 });
             }
-            Action::Take { link, origin, left } => self.take_in(link, origin, left),
-            Action::GiveBack(link, id, why) => crossings.say(link, Frame::GivenBack(id.0, why)),
-            Action::Tell(link, id, outcome) => crossings.say(link, Frame::Ended(id.0, outcome)),
-            Action::Say(link, id, known) => crossings.say(link, Frame::Told(id.0, known)),
-            Action::Drop(origin) => {
+            Action::Accept { link, origin, time_left } => self.take_in(link, origin, time_left),
+            Action::ReturnUnstarted(link, id, why) => crossings.say(link, Frame::GivenBack(id.0, why)),
+            Action::SendOutcome(link, id, outcome) => crossings.say(link, Frame::Ended(id.0, outcome)),
+            Action::SendStatus(link, id, known) => crossings.say(link, Frame::Told(id.0, known)),
+            Action::CancelInbound(origin) => {
                 // The task holds the transaction; without it, its client counts as gone.
                 let _ = crossings.came_in.remove(&origin).inspect(AbortHandle::abort);
             }
-            Action::Close(link) => crossings.close(link),
+            Action::CloseLink(link) => crossings.close(link),
         }
     }
 
-    fn leaves(&mut self, id: RequestId, link: LinkId, crossing: CrossingId, epoch: Instance, left: Duration) {
+    fn leaves(
+        &mut self,
+        id: RequestId,
+        link: LinkId,
+        crossing: ForwardedRequestId,
+        epoch: Incarnation,
+        left: Duration,
+    ) {
         let Some(live) = self.live.get_mut(&id) else { return };
         if matches!(live.travel, Travel::None) {
             // Nothing of it stays with the module, which would refuse it meanwhile.
@@ -440,9 +453,9 @@
         };
         let bound = |key| crossings.gateway.bound_elsewhere(crossings.now(), key);
         let (Some(class), Some(tenant), false) = (class, tenant, job.key.as_ref().is_some_and(bound)) else {
-            return self.across(GatewayEvent::Finished(origin, Outcome::Unstarted));
+            return self.across(GatewayEvent::InboundRequestEnded(origin, Outcome::Unstarted));
         };
-        crossings.say(link, Frame::Taken(origin.crossing.0));
+        crossings.say(link, Frame::Taken(origin.forwarded.0));
         let Job { hint, slots, memory, name, target, key, content_type, body, .. } = *job;
         let object = object_of(&target);
         let payload = RequestPayload { name, target, key, content_type, body };
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -90,9 +90,9 @@
 pub struct GatewayFigures {
     on: Cell<bool>,
     /// What the decisions count.
-    pub all: Cell<chutesaddle_gateway::Figures>,
+    pub all: Cell<chutesaddle_gateway::Statistics>,
     /// What this site does about the others.
-    pub stance: Cell<chutesaddle_gateway::Stance>,
+    pub stance: Cell<chutesaddle_gateway::LoadState>,
     links: RefCell<BTreeMap<(String, bool), LinkFigures>>,
 }
 
@@ -105,7 +105,7 @@
     /// Whether nothing of this site is elsewhere, and nothing of others is here.
     pub fn is_idle(&self) -> bool {
         let all = self.all.get();
-        all.open_out == 0 && all.open_in == 0
+        all.outbound_open == 0 && all.inbound_open == 0
     }
 
     /// Changes what is known of a link.
@@ -232,16 +232,16 @@
         }
         let all = self.gateway.all.get();
         let figures = [
-            ("crossed", all.crossed),
+            ("crossed", all.forwarded),
             ("returned", all.returned),
             ("resumed", all.resumed),
             ("unknown", all.unknown),
-            ("taken", all.taken),
-            ("given_back", all.given_back),
+            ("taken", all.accepted),
+            ("given_back", all.returned_to_peers),
             ("duplicates_dropped", all.duplicates),
-            ("open_out", all.open_out as u64),
-            ("open_in", all.open_in as u64),
-            ("room_granted", all.room),
+            ("open_out", all.outbound_open as u64),
+            ("open_in", all.inbound_open as u64),
+            ("room_granted", all.unused_grants),
         ];
         for (name, value) in figures {
             writeln!(f, "svc.gateway.{name}={value}")?;
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::BytesMut;
-use chutesaddle_gateway::{Instance, LinkId};
+use chutesaddle_gateway::{Incarnation, LinkId};
 use chutesaddle_operator_config::GatewayFile;
 use chutesaddle_site_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
 use tokio::io::{split, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -70,9 +70,9 @@
 }
 
 /// A number for this life of the process. They grow from life to life, as far as the clock does.
-pub fn new_instance() -> Instance {
+pub fn new_instance() -> Incarnation {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Instance(wall.as_micros() as u64)
+    Incarnation(wall.as_micros() as u64)
 }
 
 /// What the operator has said, with the secret.
@@ -87,7 +87,7 @@
 /// All links of one process.
 pub struct SiteLinks {
     said: watch::Sender<Rc<SiteLinkSettings>>,
-    instance: Instance,
+    instance: Incarnation,
     /// Where the clock of the links and of the decisions begins.
     origin: Instant,
     queue: EngineQueue,
@@ -102,7 +102,7 @@
     /// The links that the operator has asked for.
     pub fn new(
         said: SiteLinkSettings,
-        instance: Instance,
+        instance: Incarnation,
         origin: Instant,
         queue: EngineQueue,
         lifecycle: Rc<Lifecycle>,
