--- /dev/null
+++ b/crates/gateway/tests/two_sites/drain_and_settings.rs
@@ -0,0 +1,34 @@
+//! A draining site, and a peer that the operator takes out.
+
+use chutesaddle_gateway::*;
+
+use super::harness::*;
+
+#[test]
+fn an_unlisted_peer_keeps_its_open_requests_and_gets_no_more() {
+    let mut pair = TwoSites::with_capacity();
+    pair.offer_candidate(0, 1, Idempotency::Idempotent);
+    pair.run(ms(20));
+    pair.handle_event(0, Event::Configure(Config::default()));
+    pair.offer_candidate(0, 2, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].kept_local, [NotForwarded::NoPeerCapacity]);
+    pair.run(ms(50));
+    assert!(pair.wires.iter().any(|wire| wire.from == 0), "the link kept_local while it is needed");
+    pair.finish(1, &served());
+    pair.run(ms(50));
+    assert_eq!(pair.fate(0, 1).answers.len(), 1);
+    assert!(!pair.wires.iter().any(|wire| wire.from == 0), "and goes after that");
+}
+
+#[test]
+fn a_draining_site_neither_forwards_nor_accepts() {
+    let mut pair = TwoSites::with_capacity();
+    pair.handle_event(1, Event::Drain(true));
+    pair.offer_candidate(0, 1, Idempotency::Idempotent);
+    pair.run(ms(20));
+    assert!(pair.fate(0, 1).returned);
+    assert_eq!(pair.sites[1].return_reasons, [ReturnReason::NotAccepting]);
+    pair.handle_event(0, Event::Drain(true));
+    pair.offer_candidate(0, 2, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].kept_local, [NotForwarded::Draining]);
+}
--- /dev/null
+++ b/crates/gateway/tests/two_sites/granting.rs
@@ -0,0 +1,76 @@
+//! Granted capacity: its term, its incarnation, and two sites that are loaded at once.
+
+use chutesaddle_gateway::*;
+
+use super::harness::*;
+
+/// Each has granted the other capacity, and both run out of it in the same moment.
+#[test]
+fn two_sites_that_forward_at_once_settle_within_a_round_trip() {
+    let mut pair = TwoSites::with_capacity();
+    pair.sites[0].free = 10.0;
+    pair.run(ms(400));
+    for n in 0..2 {
+        // The withdrawal of the grant is under way while the other side draws on it.
+        pair.sites[n].free = 0.0;
+        pair.handle_event(
+            n,
+            Event::LoadMeasured(SiteLoad { slots: 10.0, free: 0.0, waiting: 5, backlog: ms(0) }),
+        );
+    }
+    pair.now += Config::default().starve;
+    for n in 0..2 {
+        pair.offer_candidate(n, 1, Idempotency::Idempotent);
+        assert_eq!(pair.fate(n, 1).forwarded_count, 1, "{:?}", pair.sites[n].kept_local);
+    }
+    pair.run(2 * ONE_WAY + STEP);
+    for n in 0..2 {
+        assert!(pair.fate(n, 1).returned && pair.fate(n, 1).runs == [0, 0]);
+        assert_eq!(pair.sites[n].return_reasons, [ReturnReason::Shedding]);
+        assert!(pair.sites[n].gateway.is_idle());
+    }
+    // What has come back is not forwarded again, and neither side grants for a while.
+    let again = Candidate { forwarded_before: true, ..pair.candidate(0, 1, Idempotency::Idempotent) };
+    pair.handle_event(0, Event::Candidates(vec![again]));
+    assert_eq!(pair.sites[0].kept_local.last(), Some(&NotForwarded::ForwardedBefore));
+    pair.sites[1].free = 10.0;
+    pair.run(ms(500));
+    assert_eq!(pair.sites[1].gateway.statistics().unused_grants, 0);
+}
+
+#[test]
+fn ignores_a_grant_of_another_incarnation() {
+    let mut pair = TwoSites::with_capacity();
+    let link = pair.wires.iter().find(|wire| wire.from == 0).unwrap().link;
+    pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(99), limit: 1000, term: ms(400) });
+    pair.restart(1);
+    pair.dial(0);
+    pair.sites[1].free = 0.0;
+    let link = pair.wires[0].link;
+    pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(2), limit: 1000, term: ms(400) });
+    pair.offer_candidate(0, 1, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].kept_local.last(), Some(&NotForwarded::NoPeerCapacity));
+    // A sender that uses it all the same gets its request returned.
+    pair.handle_event(
+        1,
+        Event::RequestOffered {
+            link,
+            forwarded: ForwardedRequestId(7),
+            epoch: Incarnation(2),
+            slots: 1,
+            time_left: TIME_LEFT,
+            keep_outcome: TIME_LEFT,
+        },
+    );
+    assert_eq!(pair.sites[1].return_reasons, [ReturnReason::ExceedsGrant]);
+}
+
+#[test]
+fn forwards_nothing_to_a_silent_peer_after_the_term() {
+    let mut pair = TwoSites::with_capacity();
+    pair.wires.iter_mut().for_each(|wire| wire.homeward.clear());
+    pair.sites[1].gateway = Gateway::new(Config::default(), Incarnation(77)); // silent: it has no links
+    pair.run(ms(500));
+    pair.offer_candidate(0, 1, Idempotency::Idempotent);
+    assert_eq!(pair.sites[0].kept_local, [NotForwarded::NoPeerCapacity]);
+}
