--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -163,22 +163,27 @@
     let names = ["heartbeat", "silence", "greeting", "reconnect-first", "reconnect-most", "frame", "queue"];
     let nodes = reader.children(node, &names);
     time(&nodes, "heartbeat", &mut config.heartbeat, reader);
-    time(&nodes, "silence", &mut config.silence, reader);
-    time(&nodes, "greeting", &mut config.greeting, reader);
-    time(&nodes, "reconnect-first", &mut config.reconnect.0, reader);
-    time(&nodes, "reconnect-most", &mut config.reconnect.1, reader);
-    size(&nodes, "frame", &mut config.frame, reader);
-    size(&nodes, "queue", &mut config.queue, reader);
+    time(&nodes, "silence", &mut config.silence_timeout, reader);
+    time(&nodes, "greeting", &mut config.handshake_timeout, reader);
+    time(&nodes, "reconnect-first", &mut config.reconnect.first, reader);
+    time(&nodes, "reconnect-most", &mut config.reconnect.longest, reader);
+    size(&nodes, "frame", &mut config.most_frame_bytes, reader);
+    size(&nodes, "queue", &mut config.most_queued_bytes, reader);
     if reader.mistakes.len() > before {
         return;
     }
-    if config.heartbeat < Duration::from_millis(1) || config.silence < 2 * config.heartbeat {
-        reader.mistake(node.span(), "a silence of two heartbeats or more", format!("{:?}", config.silence));
+    if config.heartbeat < Duration::from_millis(1) || config.silence_timeout < 2 * config.heartbeat {
+        reader.mistake(
+            node.span(),
+            "a silence of two heartbeats or more",
+            format!("{:?}", config.silence_timeout),
+        );
     }
-    if config.reconnect.0 < Duration::from_millis(1) || config.reconnect.1 < config.reconnect.0 {
+    if config.reconnect.first < Duration::from_millis(1) || config.reconnect.longest < config.reconnect.first
+    {
         reader.mistake(node.span(), "a first wait of 1ms or more, and a longest one no shorter", "others");
     }
-    if config.queue < config.frame || config.frame < 1024 {
+    if config.most_queued_bytes < config.most_frame_bytes || config.most_frame_bytes < 1024 {
         reader.mistake(node.span(), "a queue that holds a frame, of 1KiB or more", "a smaller one");
     }
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -33,7 +33,10 @@
     assert_eq!((config.peers[0].most_open, config.most_kept_bytes), (12, 1024 * 1024));
     assert_eq!((config.open_at, config.close_at, config.reserve), (0.3, 0.05, 0.0));
     assert_eq!(config.shed_hold, Duration::from_secs(2));
-    assert_eq!((gateway.link.silence, gateway.link.frame), (Duration::from_millis(200), 65_536));
+    assert_eq!(
+        (gateway.link.silence_timeout, gateway.link.most_frame_bytes),
+        (Duration::from_millis(200), 65_536)
+    );
 }
 
 #[test]
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -1,4 +1,7 @@
-//! What is said on a link, and how it is written.
+//! The frames of a link, and how one is written and read.
+//!
+//! Frames are encoded by the position of their variants and fields. Adding, dropping or reordering one needs a new
+//! [`VERSION`](crate::VERSION); `tests/wire_bytes.rs` compares each kind with its bytes.
 
 use bytes::{Buf, Bytes, BytesMut};
 use chutesaddle_gateway::{Outcome, RemoteStatus, ReturnReason};
@@ -7,23 +10,23 @@
 use crate::LinkError;
 
 /// Bytes of the length before each frame.
-const PREFIX: usize = 4;
+const PREFIX_BYTES: usize = 4;
 
-/// What a transaction needs at the other site. Classes and tenants go by name: numbers are each site's own.
+/// What a request needs at the other site. Classes and tenants go by name, as their numbers differ between sites.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Job {
+pub struct OfferedRequest {
     /// The class.
     pub class: String,
     /// The tenant.
     pub tenant: String,
-    /// Its expected work in seconds, if its client gave a hint.
-    pub hint: Option<f64>,
+    /// Its estimated work in seconds, if its client gave a hint.
+    pub estimated_work_s: Option<f64>,
     /// Slots that it needs.
     pub slots: f64,
     /// Memory that it needs.
     pub memory: f64,
     /// `X-Request-Id`.
-    pub name: Bytes,
+    pub request_id: Bytes,
     /// The target of the request line.
     pub target: Bytes,
     /// `Idempotency-Key`.
@@ -34,89 +37,90 @@
     pub body: Bytes,
 }
 
-/// What the ends tell each other. Crossings go by the numbers of the end that dialled.
+/// What the two ends send. A forwarded request goes by the number that the dialling end gave it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Are you there? With the sender's own time in microseconds.
+    /// Heartbeat, with the sender's own time in microseconds.
     Ping(u64),
-    /// Yes; the time is given back unchanged.
+    /// The answer to a heartbeat; the time is given back unchanged.
     Pong(u64),
     /// The end of the link, and why.
     Bye(String),
-    /// To the dialler: room that it may use.
+    /// To the dialling end: capacity that it may use.
     Grant {
-        /// Which life of the granting process counts here.
+        /// The incarnation of the granting process.
         epoch: u64,
-        /// Slots in all that may be sent on this link.
+        /// Slots that may have been used on this link, counted since it came up.
         limit: u64,
-        /// For so long, in microseconds.
+        /// How long the grant holds, in microseconds.
         term_us: u64,
     },
-    /// To the dialler: the crossing is taken.
-    Taken(u64),
-    /// To the dialler: it is given back unstarted.
-    GivenBack(u64, ReturnReason),
-    /// To the dialler: how it ended.
+    /// To the dialling end: the request is accepted.
+    Accepted(u64),
+    /// To the dialling end: the request is returned unstarted.
+    Returned(u64, ReturnReason),
+    /// To the dialling end: how the request ended.
     Ended(u64, Outcome),
-    /// To the dialler: what is known of it.
-    Told(u64, RemoteStatus),
-    /// From the dialler: a transaction.
+    /// To the dialling end: what is known of the request.
+    Status(u64, RemoteStatus),
+    /// From the dialling end: a request.
     Offer {
         /// Its number.
-        crossing: u64,
-        /// Which life of the granting process had granted the room for it.
+        forwarded: u64,
+        /// The incarnation that granted the capacity it uses.
         epoch: u64,
-        /// Until its client gives up, in microseconds, less the way there and back.
-        left_us: u64,
+        /// Time until its client gives up, in microseconds, less the round trip and a margin.
+        time_left_us: u64,
         /// How long its outcome may be asked for, in microseconds.
-        keep_us: u64,
-        /// The transaction.
-        job: Box<Job>,
+        keep_outcome_us: u64,
+        /// The request.
+        request: Box<OfferedRequest>,
     },
-    /// From the dialler: its client has left.
-    Withdraw(u64),
-    /// From the dialler: what is known of these?
-    Ask(Vec<u64>),
-    /// From the dialler: its outcome has arrived.
+    /// From the dialling end: the client of the request has disconnected.
+    Cancel(u64),
+    /// From the dialling end: what is known of these?
+    StatusQuery(Vec<u64>),
+    /// From the dialling end: the outcome has arrived.
     Acknowledge(u64),
 }
 
 /// Writes one frame.
 ///
 /// # Errors
-/// If it is longer than allowed: the other end would close the link over it.
-pub(crate) fn encode(frame: &impl Serialize, longest: usize) -> Result<Bytes, LinkError> {
-    let bytes = postcard::to_extend(frame, vec![0; PREFIX]).map_err(|_| LinkError::Malformed)?;
-    let length = bytes.len() - PREFIX;
-    if length > longest {
-        return Err(LinkError::TooLong(length));
+/// [`LinkError::FrameTooLong`] if it has more than `most_bytes`: the other end would close the link over it.
+pub(crate) fn encode(frame: &impl Serialize, most_bytes: usize) -> Result<Bytes, LinkError> {
+    let mut bytes =
+        postcard::to_extend(frame, vec![0; PREFIX_BYTES]).map_err(|_| LinkError::MalformedFrame)?;
+    let length = bytes.len() - PREFIX_BYTES;
+    if length > most_bytes {
+        return Err(LinkError::FrameTooLong(length));
     }
-    let mut bytes = bytes;
-    // At most `longest`, which is far below 4 GiB.
-    bytes[..PREFIX].copy_from_slice(&(length as u32).to_be_bytes());
+    // At most `most_bytes`, which is far below 4 GiB.
+    bytes[..PREFIX_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(bytes.into())
 }
 
-/// Takes one frame off the front of what was read, if it is there whole.
+/// Takes one frame off the front of what was read; `None` while it is not there whole.
 ///
 /// # Errors
-/// If it is longer than allowed or cannot be read, or something follows within it.
+/// [`LinkError::FrameTooLong`] if it has more than `most_bytes`, [`LinkError::MalformedFrame`] if it cannot be
+/// decoded or something follows within it.
 pub(crate) fn decode<T: for<'a> Deserialize<'a>>(
     read: &mut BytesMut,
-    longest: usize,
+    most_bytes: usize,
 ) -> Result<Option<T>, LinkError> {
-    let Some(prefix) = read.first_chunk::<PREFIX>() else { return Ok(None) };
+    let Some(prefix) = read.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
-    if length > longest {
-        return Err(LinkError::TooLong(length));
+    if length > most_bytes {
+        return Err(LinkError::FrameTooLong(length));
     }
-    if read.len() < PREFIX + length {
+    if read.len() < PREFIX_BYTES + length {
         return Ok(None);
     }
-    read.advance(PREFIX);
+    read.advance(PREFIX_BYTES);
     let body = read.split_to(length);
     match postcard::take_from_bytes(&body) {
         Ok((frame, [])) => Ok(Some(frame)),
-        _ => Err(LinkError::Malformed),
+        Ok((_, [_, ..])) | Err(_) => Err(LinkError::MalformedFrame),
     }
 }
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -1,4 +1,7 @@
-//! A link that is up.
+//! A link that is up: frames in, frames out, heartbeats.
+//!
+//! It answers heartbeats itself and ends when nothing has come for [`Config::silence_timeout`]. What the other
+//! frames mean is decided elsewhere.
 
 use std::collections::VecDeque;
 
@@ -7,16 +10,18 @@
 use crate::frame::{decode, encode, Frame};
 use crate::{Config, LinkError, Time};
 
-/// Weight of a new measurement of the way there and back.
-const FRESH: f64 = 0.2;
+/// Weight of a new measurement in the smoothed round trip.
+const ROUND_TRIP_WEIGHT: f64 = 0.2;
+/// The part of the other end's reason for closing that is kept, in characters.
+const MOST_REASON_CHARS: usize = 200;
 
 /// Something to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
     /// The bytes of one frame.
     pub bytes: Bytes,
-    /// The crossing that they offer: it matters when the last of them is written.
-    pub offers: Option<u64>,
+    /// The request that they offer, if any: it may run as soon as the last byte is written.
+    pub offered: Option<u64>,
 }
 
 /// One end of a link.
@@ -24,49 +29,59 @@
 pub struct Link {
     config: Config,
     read: BytesMut,
-    heard: Time,
-    ping_at: Time,
+    last_received_at: Time,
+    next_ping_at: Time,
     round_trip: Option<Time>,
     queue: VecDeque<Transmit>,
-    queued: usize,
+    queued_bytes: usize,
 }
 
 impl Link {
-    /// Only a greeting makes one; `read` is what came behind it.
+    /// Only a handshake makes one; `read` is what came behind it.
     pub(crate) fn new(now: Time, config: Config, read: BytesMut) -> Self {
-        let (queue, queued) = (VecDeque::new(), 0);
-        Link { config, read, heard: now, ping_at: now, round_trip: None, queue, queued }
+        Link {
+            config,
+            read,
+            last_received_at: now,
+            next_ping_at: now,
+            round_trip: None,
+            queue: VecDeque::new(),
+            queued_bytes: 0,
+        }
     }
 
-    /// Takes what was read, and gives the frames that the gateway is to see. Those that come after a bad one
-    /// are not seen.
+    /// Takes what was read, and appends the frames that the gateway is to see. Those after a bad one are not
+    /// decoded.
     ///
     /// # Errors
-    /// Says what the other end did; the link is over.
+    /// What the other end did wrong, or its reason for closing; the link is over.
     pub fn input(&mut self, now: Time, bytes: &[u8], frames: &mut Vec<Frame>) -> Result<(), LinkError> {
         self.read.extend_from_slice(bytes);
-        while let Some(frame) = decode::<Frame>(&mut self.read, self.config.frame)? {
-            self.heard = now;
+        while let Some(frame) = decode::<Frame>(&mut self.read, self.config.most_frame_bytes)? {
+            self.last_received_at = now;
             match frame {
-                Frame::Ping(at) => self.send(&Frame::Pong(at))?,
-                Frame::Pong(at) => self.measured(now, at),
-                Frame::Bye(why) => return Err(LinkError::Bye(why.chars().take(200).collect())),
+                Frame::Ping(sent_at_us) => self.send(&Frame::Pong(sent_at_us))?,
+                Frame::Pong(sent_at_us) => self.measure_round_trip(now, sent_at_us),
+                Frame::Bye(reason) => {
+                    let reason = reason.chars().take(MOST_REASON_CHARS).collect();
+                    return Err(LinkError::ClosedByPeer(reason));
+                }
                 frame => frames.push(frame),
             }
         }
         Ok(())
     }
 
-    fn measured(&mut self, now: Time, at_us: u64) {
-        // A time that was never sent is nobody's measurement.
-        let Some(took) = now.checked_sub(Time::from_micros(at_us)) else { return };
+    fn measure_round_trip(&mut self, now: Time, sent_at_us: u64) {
+        // A time in the future was never sent by this end.
+        let Some(measured) = now.checked_sub(Time::from_micros(sent_at_us)) else { return };
         self.round_trip = Some(match self.round_trip {
-            None => took,
-            Some(known) => known.mul_f64(1.0 - FRESH) + took.mul_f64(FRESH),
+            None => measured,
+            Some(smoothed) => smoothed.mul_f64(1.0 - ROUND_TRIP_WEIGHT) + measured.mul_f64(ROUND_TRIP_WEIGHT),
         });
     }
 
-    /// The time there and back, once it has been measured.
+    /// The smoothed round trip, once it has been measured.
     pub fn round_trip(&self) -> Option<Time> {
         self.round_trip
     }
@@ -74,43 +89,43 @@
     /// Queues a frame.
     ///
     /// # Errors
-    /// If it is too long, or too much waits: what is not an offer cannot be left out, so the link is over.
+    /// [`LinkError::FrameTooLong`] or [`LinkError::QueueFull`]. A frame cannot be left out, so the link is over.
     pub fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
-        let bytes = encode(frame, self.config.frame)?;
-        if self.queued + bytes.len() > self.config.queue {
-            return Err(LinkError::Full);
+        let bytes = encode(frame, self.config.most_frame_bytes)?;
+        if self.queued_bytes + bytes.len() > self.config.most_queued_bytes {
+            return Err(LinkError::QueueFull);
         }
-        let offers = match frame {
-            Frame::Offer { crossing, .. } => Some(*crossing),
+        let offered = match frame {
+            Frame::Offer { forwarded, .. } => Some(*forwarded),
             _ => None,
         };
-        self.queued += bytes.len();
-        self.queue.push_back(Transmit { bytes, offers });
+        self.queued_bytes += bytes.len();
+        self.queue.push_back(Transmit { bytes, offered });
         Ok(())
     }
 
-    /// What to write next. Once asked for, it counts as on its way.
+    /// Takes what to write next off the queue.
     pub fn transmit(&mut self) -> Option<Transmit> {
         let transmit = self.queue.pop_front()?;
-        self.queued -= transmit.bytes.len();
+        self.queued_bytes -= transmit.bytes.len();
         Some(transmit)
     }
 
     /// When [`Link::tick`] is due.
     pub fn due(&self) -> Time {
-        self.ping_at.min(self.heard + self.config.silence)
+        self.next_ping_at.min(self.last_received_at + self.config.silence_timeout)
     }
 
-    /// Lets time pass: says "are you there?" when that is due.
+    /// Lets time pass: queues a heartbeat when one is due.
     ///
     /// # Errors
-    /// If the other end has said nothing for too long.
+    /// [`LinkError::SilenceTimeout`] if nothing has come for too long, or as [`Link::send`].
     pub fn tick(&mut self, now: Time) -> Result<(), LinkError> {
-        if now >= self.heard + self.config.silence {
-            return Err(LinkError::Silent);
+        if now >= self.last_received_at + self.config.silence_timeout {
+            return Err(LinkError::SilenceTimeout);
         }
-        if now >= self.ping_at {
-            self.ping_at = now + self.config.heartbeat;
+        if now >= self.next_ping_at {
+            self.next_ping_at = now + self.config.heartbeat;
             self.send(&Frame::Ping(now.as_micros() as u64))?;
         }
         Ok(())
--- a/crates/site-link/tests/wire_bytes.rs
+++ b/crates/site-link/tests/wire_bytes.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use chutesaddle_gateway::{Outcome, RemoteStatus, ReturnReason};
-use chutesaddle_site_link::{Config, Frame, Greeting, Job, Link, LinkError, Me, Secret, Step};
+use chutesaddle_site_link::{
+    Config, Frame, Handshake, HandshakeStep, Link, LinkError, LocalIdentity, OfferedRequest, Secret,
+};
 
 const NOW: Duration = Duration::from_secs(1);
 
@@ -18,35 +20,35 @@
         (Frame::Pong(1_000_000), "0000000401c0843d"),
         (Frame::Bye("closing".into()), "000000090207636c6f73696e67"),
         (Frame::Grant { epoch: 300, limit: 7, term_us: 400_000 }, "0000000703ac020780b518"),
-        (Frame::Taken(1), "000000020401"),
-        (Frame::GivenBack(2, ReturnReason::Shedding), "00000003050200"),
-        (Frame::GivenBack(2, ReturnReason::ExceedsGrant), "00000003050201"),
-        (Frame::GivenBack(2, ReturnReason::NotAccepting), "00000003050202"),
-        (Frame::GivenBack(2, ReturnReason::TooLate), "00000003050203"),
-        (Frame::GivenBack(2, ReturnReason::Rejected), "00000003050204"),
+        (Frame::Accepted(1), "000000020401"),
+        (Frame::Returned(2, ReturnReason::Shedding), "00000003050200"),
+        (Frame::Returned(2, ReturnReason::ExceedsGrant), "00000003050201"),
+        (Frame::Returned(2, ReturnReason::NotAccepting), "00000003050202"),
+        (Frame::Returned(2, ReturnReason::TooLate), "00000003050203"),
+        (Frame::Returned(2, ReturnReason::Rejected), "00000003050204"),
         (Frame::Ended(3, result), "00000007060300036d6170"),
         (Frame::Ended(3, Outcome::Unstarted), "00000003060301"),
         (Frame::Ended(3, Outcome::Rejected), "00000003060302"),
         (Frame::Ended(3, Outcome::Failed), "00000003060303"),
-        (Frame::Told(4, RemoteStatus::NeverReceived), "00000003070400"),
-        (Frame::Told(4, RemoteStatus::Received), "00000003070401"),
-        (Frame::Told(4, RemoteStatus::OutcomeForgotten), "00000003070402"),
-        (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(full()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
-        (Frame::Offer { crossing: 5, epoch: 300, left_us: 900, keep_us: 40_000, job: Box::new(bare()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
-        (Frame::Withdraw(6), "000000020906"),
-        (Frame::Ask(vec![7, 8, 300]), "000000060a030708ac02"),
+        (Frame::Status(4, RemoteStatus::NeverReceived), "00000003070400"),
+        (Frame::Status(4, RemoteStatus::Received), "00000003070401"),
+        (Frame::Status(4, RemoteStatus::OutcomeForgotten), "00000003070402"),
+        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(full()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
+        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(bare()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
+        (Frame::Cancel(6), "000000020906"),
+        (Frame::StatusQuery(vec![7, 8, 300]), "000000060a030708ac02"),
         (Frame::Acknowledge(9), "000000020b09"),
     ]
 }
 
-fn full() -> Job {
-    Job {
+fn full() -> OfferedRequest {
+    OfferedRequest {
         class: "render".into(),
         tenant: "acme".into(),
-        hint: Some(0.5),
+        estimated_work_s: Some(0.5),
         slots: 2.0,
         memory: 1.5,
-        name: Bytes::from_static(b"r-1"),
+        request_id: Bytes::from_static(b"r-1"),
         target: Bytes::from_static(b"/map"),
         key: Some(Bytes::from_static(b"k")),
         content_type: Some(Bytes::from_static(b"text/plain")),
@@ -54,8 +56,8 @@
     }
 }
 
-fn bare() -> Job {
-    Job { hint: None, key: None, content_type: None, ..full() }
+fn bare() -> OfferedRequest {
+    OfferedRequest { estimated_work_s: None, key: None, content_type: None, ..full() }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -65,17 +67,23 @@
     })
 }
 
-fn begin(site: &str, dialled: bool) -> (Greeting, Bytes) {
-    let me = Me { site: site.into(), instance: 5, nonce: [u8::from(dialled); 16], dialled };
-    Greeting::begin(NOW, Config::default(), Secret::new("a secret of enough bytes").unwrap(), me).unwrap()
+fn begin(site: &str, dialled: bool) -> (Handshake, Bytes) {
+    let me = LocalIdentity { site: site.into(), incarnation: 5, nonce: [u8::from(dialled); 16], dialled };
+    Handshake::begin(NOW, Config::default(), Secret::new("a secret of enough bytes").unwrap(), me).unwrap()
 }
 
 /// An end that dialled and has completed its handshake, and the proof that each end wrote.
 fn link() -> (Link, Bytes, Bytes) {
     let ((mut dialler, hello), (mut accepter, answer)) = (begin("a", true), begin("b", false));
-    let Step::More(dialler_proof) = dialler.input(NOW, &answer).unwrap() else { panic!("no proof yet") };
-    let Step::More(accepter_proof) = accepter.input(NOW, &hello).unwrap() else { panic!("no proof yet") };
-    let Step::Up(_, link, _) = dialler.input(NOW, &accepter_proof).unwrap() else { panic!("not up") };
+    let HandshakeStep::Continue(dialler_proof) = dialler.input(NOW, &answer).unwrap() else {
+        panic!("no proof yet")
+    };
+    let HandshakeStep::Continue(accepter_proof) = accepter.input(NOW, &hello).unwrap() else {
+        panic!("no proof yet")
+    };
+    let HandshakeStep::Established(_, link, _) = dialler.input(NOW, &accepter_proof).unwrap() else {
+        panic!("not up")
+    };
     (*link, dialler_proof, accepter_proof)
 }
 
@@ -104,7 +112,7 @@
             Frame::Pong(_) => {
                 assert!(result.is_ok() && link.round_trip().is_some(), "taken as a measurement")
             }
-            Frame::Bye(reason) => assert_eq!(result, Err(LinkError::Bye(reason))),
+            Frame::Bye(reason) => assert_eq!(result, Err(LinkError::ClosedByPeer(reason))),
             frame => assert_eq!((result, read), (Ok(()), vec![frame])),
         }
     }
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -9,7 +9,7 @@
     self as gateway, Action, Candidate, Event as GatewayEvent, ForwardedAnswer, ForwardedRequestId, Gateway,
     Idempotency as Repeats, Incarnation, LinkId, LocalRequestId, Origin, Outcome, SiteLoad,
 };
-use chutesaddle_site_link::{Frame, Job};
+use chutesaddle_site_link::{Frame, OfferedRequest};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
@@ -64,7 +64,7 @@
     /// The tasks that wait for the answers to what came in.
     came_in: HashMap<Origin, AbortHandle>,
     /// What an offer carries, between hearing it and the decision to take it.
-    offered: Option<(Origin, Box<Job>)>,
+    offered: Option<(Origin, Box<OfferedRequest>)>,
     look_at: Instant,
     counters: Rc<Counters>,
 }
@@ -301,11 +301,20 @@
                 figures.link(&known.site, true, |figures| figures.room = limit);
                 GatewayEvent::CreditGranted { link, epoch: Incarnation(epoch), limit, term }
             }
-            (true, Frame::Taken(n)) => GatewayEvent::RequestAccepted(link, id(n)),
-            (true, Frame::GivenBack(n, _)) => GatewayEvent::RequestReturned(link, id(n)),
+            (true, Frame::Accepted(n)) => GatewayEvent::RequestAccepted(link, id(n)),
+            (true, Frame::Returned(n, _)) => GatewayEvent::RequestReturned(link, id(n)),
             (true, Frame::Ended(n, outcome)) => GatewayEvent::RequestEnded(link, id(n), outcome),
-            (true, Frame::Told(n, known)) => GatewayEvent::StatusReceived(link, id(n), known),
-            (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
+            (true, Frame::Status(n, known)) => GatewayEvent::StatusReceived(link, id(n), known),
+            (
+                false,
+                Frame::Offer {
+                    forwarded: crossing,
+                    epoch,
+                    time_left_us: left_us,
+                    keep_outcome_us: keep_us,
+                    request: job,
+                },
+            ) => {
                 let slots = job.slots.ceil().clamp(1.0, 65_536.0) as u32;
                 // One of a peer that is listed no more is heard, too: it is given back, and its sender goes on.
                 let Some(origin) = crossings.gateway.origin(link, id(crossing)) else { return };
@@ -319,8 +328,10 @@
                     keep_outcome: Duration::from_micros(keep_us).min(Duration::from_secs(24 * 3600)),
                 }
             }
-            (false, Frame::Withdraw(n)) => GatewayEvent::RequestCancelled(link, id(n)),
-            (false, Frame::Ask(ids)) => GatewayEvent::StatusQueried(link, ids.into_iter().map(id).collect()),
+            (false, Frame::Cancel(n)) => GatewayEvent::RequestCancelled(link, id(n)),
+            (false, Frame::StatusQuery(ids)) => {
+                GatewayEvent::StatusQueried(link, ids.into_iter().map(id).collect())
+            }
             (false, Frame::Acknowledge(n)) => GatewayEvent::OutcomeAcknowledged(link, id(n)),
             (dialled, frame) => {
                 let site = known.site.clone();
@@ -364,9 +375,9 @@
                 );
                 self.forget(id);
             }
-            Action::SendCancel(link, id) => crossings.say(link, Frame::Withdraw(id.0)),
+            Action::SendCancel(link, id) => crossings.say(link, Frame::Cancel(id.0)),
             Action::QueryStatus(link, ids) => {
-                crossings.say(link, Frame::Ask(ids.into_iter().map(|id| id.0).collect()));
+                crossings.say(link, Frame::StatusQuery(ids.into_iter().map(|id| id.0).collect()));
             }
             Action::AcknowledgeOutcome(link, id) => crossings.say(link, Frame::Acknowledge(id.0)),
             Action::GrantCapacity { link, limit, term } => {
@@ -374,9 +385,9 @@
                 crossings.say(link, Frame::Grant { epoch, limit, term_us: term.as_micros() as u64 });
             }
             Action::Accept { link, origin, time_left } => self.take_in(link, origin, time_left),
-            Action::ReturnUnstarted(link, id, why) => crossings.say(link, Frame::GivenBack(id.0, why)),
+            Action::ReturnUnstarted(link, id, why) => crossings.say(link, Frame::Returned(id.0, why)),
             Action::SendOutcome(link, id, outcome) => crossings.say(link, Frame::Ended(id.0, outcome)),
-            Action::SendStatus(link, id, known) => crossings.say(link, Frame::Told(id.0, known)),
+            Action::SendStatus(link, id, known) => crossings.say(link, Frame::Status(id.0, known)),
             Action::CancelInbound(origin) => {
                 // The task holds the transaction; without it, its client counts as gone.
                 let _ = crossings.came_in.remove(&origin).inspect(AbortHandle::abort);
@@ -404,13 +415,13 @@
         let class = &self.settings.classes[live.class];
         let keep = Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, 24.0 * 3600.0));
         let payload = &live.payload;
-        let job = Job {
+        let job = OfferedRequest {
             class: class.name.clone(),
             tenant: self.settings.tenants.get(live.tenant).map(|t| t.name.clone()).unwrap_or_default(),
-            hint: live.hint,
+            estimated_work_s: live.hint,
             slots: live.slots,
             memory: live.memory,
-            name: payload.name.clone(),
+            request_id: payload.name.clone(),
             target: payload.target.clone(),
             key: payload.key.clone(),
             content_type: payload.content_type.clone(),
@@ -420,7 +431,16 @@
         if let Some(crossings) = &mut self.crossings {
             let (crossing, epoch, left_us) = (crossing.0, epoch.0, left.as_micros() as u64);
             let keep_us = keep.max(LEAST_KEPT).as_micros() as u64;
-            crossings.say(link, Frame::Offer { crossing, epoch, left_us, keep_us, job: Box::new(job) });
+            crossings.say(
+                link,
+                Frame::Offer {
+                    forwarded: crossing,
+                    epoch,
+                    time_left_us: left_us,
+                    keep_outcome_us: keep_us,
+                    request: Box::new(job),
+                },
+            );
         }
     }
 
@@ -455,8 +475,18 @@
         let (Some(class), Some(tenant), false) = (class, tenant, job.key.as_ref().is_some_and(bound)) else {
             return self.across(GatewayEvent::InboundRequestEnded(origin, Outcome::Unstarted));
         };
-        crossings.say(link, Frame::Taken(origin.forwarded.0));
-        let Job { hint, slots, memory, name, target, key, content_type, body, .. } = *job;
+        crossings.say(link, Frame::Accepted(origin.forwarded.0));
+        let OfferedRequest {
+            estimated_work_s: hint,
+            slots,
+            memory,
+            request_id: name,
+            target,
+            key,
+            content_type,
+            body,
+            ..
+        } = *job;
         let object = object_of(&target);
         let payload = RequestPayload { name, target, key, content_type, body };
         let deadline = Instant::now() + left;
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -12,7 +12,9 @@
 use bytes::BytesMut;
 use chutesaddle_gateway::{Incarnation, LinkId};
 use chutesaddle_operator_config::GatewayFile;
-use chutesaddle_site_link::{Config, Frame, Greeting, Link, LinkError, Me, Peer, Secret, Step};
+use chutesaddle_site_link::{
+    Config, Frame, Handshake, HandshakeStep, Link, LinkError, LocalIdentity, PeerIdentity, Secret,
+};
 use tokio::io::{split, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -41,7 +43,7 @@
     #[error("the gateway's secret {0:?} cannot be read: {1}")]
     Secret(std::path::PathBuf, io::Error),
     /// It is too short.
-    #[error("the gateway's secret {0:?} has under {least} bytes", least = Secret::LEAST)]
+    #[error("the gateway's secret {0:?} has under {least} bytes", least = Secret::LEAST_BYTES)]
     Short(std::path::PathBuf),
     /// The machine gives no random numbers.
     #[error("no random numbers: {0}")]
@@ -220,7 +222,7 @@
                 tracing::warn!("the call of the site {} has ended: {why}", peer.site);
                 return;
             }
-            Ok((_, _, peer)) => GatewayError::Link(LinkError::Stranger(peer.site)),
+            Ok((_, _, peer)) => GatewayError::Link(LinkError::UnknownPeer(peer.site)),
             Err(error) => error,
         };
         tracing::warn!("a call from {from} is turned down: {ended}");
@@ -252,13 +254,13 @@
                     let mut moved = Some((changes.clone(), (name.clone(), address)));
                     self.serve(stream, link, &peer, true, &mut moved).await
                 }
-                Ok((_, _, peer)) => GatewayError::Link(LinkError::Stranger(peer.site)),
+                Ok((_, _, peer)) => GatewayError::Link(LinkError::UnknownPeer(peer.site)),
                 Err(error) => error,
             };
             if !std::mem::replace(&mut lost, true) {
                 tracing::warn!("no link to the site {name}: {why}");
             }
-            let (first, most) = config.reconnect;
+            let (first, most) = (config.reconnect.first, config.reconnect.longest);
             // A link that lasted was sound: the next try need not wait for long.
             wait = if up_at.elapsed() > most { first } else { (2 * wait).clamp(first, most) };
             let jittered = wait.mul_f64(jitter());
@@ -273,9 +275,9 @@
         &self,
         address: SocketAddr,
         said: &SiteLinkSettings,
-    ) -> Result<(TcpStream, Box<Link>, Peer), GatewayError> {
-        let stream = timeout(said.file.link.greeting, TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| GatewayError::Link(LinkError::Slow))??;
+    ) -> Result<(TcpStream, Box<Link>, PeerIdentity), GatewayError> {
+        let stream = timeout(said.file.link.handshake_timeout, TcpStream::connect(address)).await;
+        let stream = stream.map_err(|_| GatewayError::Link(LinkError::HandshakeTimeout))??;
         let _ = stream.set_nodelay(true);
         self.greet(stream, said, true).await
     }
@@ -286,13 +288,13 @@
         mut stream: S,
         said: &SiteLinkSettings,
         dialled: bool,
-    ) -> Result<(S, Box<Link>, Peer), GatewayError> {
+    ) -> Result<(S, Box<Link>, PeerIdentity), GatewayError> {
         let mut nonce = [0; 16];
         getrandom::fill(&mut nonce).map_err(GatewayError::Random)?;
-        let me = Me { site: said.file.site.clone(), instance: self.instance.0, nonce, dialled };
+        let me = LocalIdentity { site: said.file.site.clone(), incarnation: self.instance.0, nonce, dialled };
         let config: Config = said.file.link.clone();
-        let (mut greeting, hello) = Greeting::begin(self.now(), config, said.secret.clone(), me)?;
-        let until = self.origin + greeting.until();
+        let (mut greeting, hello) = Handshake::begin(self.now(), config, said.secret.clone(), me)?;
+        let until = self.origin + greeting.times_out_at();
         let exchange = async {
             stream.write_all(&hello).await?;
             let mut read = BytesMut::with_capacity(READ_BYTES);
@@ -303,8 +305,8 @@
                 let step = greeting.input(self.now(), &read)?;
                 read.clear();
                 match step {
-                    Step::More(write) => stream.write_all(&write).await?,
-                    Step::Up(write, link, peer) => {
+                    HandshakeStep::Continue(write) => stream.write_all(&write).await?,
+                    HandshakeStep::Established(write, link, peer) => {
                         stream.write_all(&write).await?;
                         return Ok((link, peer));
                     }
@@ -312,7 +314,7 @@
             }
         };
         let greeted = tokio::time::timeout_at(until, exchange).await;
-        let (link, peer) = greeted.map_err(|_| GatewayError::Link(LinkError::Slow))??;
+        let (link, peer) = greeted.map_err(|_| GatewayError::Link(LinkError::HandshakeTimeout))??;
         Ok((stream, link, peer))
     }
 
@@ -321,17 +323,17 @@
         &self,
         mut stream: S,
         mut link: Box<Link>,
-        peer: &Peer,
+        peer: &PeerIdentity,
         dialled: bool,
         moved: &mut Option<Moved>,
     ) -> GatewayError {
         let id = self.link_id();
         let (outbox, inbox) = LinkOutbox::pair();
-        let (site, instance) = (peer.site.clone(), peer.instance);
+        let (site, instance) = (peer.site.clone(), peer.incarnation);
         self.tell(SiteLinkEvent::Up { link: id, site, instance, dialled, outbox });
         let why = self.carry(&mut stream, &mut link, id, inbox, moved).await;
         self.tell(SiteLinkEvent::Down(id));
-        if !matches!(why, GatewayError::Io(_) | GatewayError::Link(LinkError::Bye(_))) {
+        if !matches!(why, GatewayError::Io(_) | GatewayError::Link(LinkError::ClosedByPeer(_))) {
             // The other end's log should say why, too; it may be gone, or take nothing any more.
             let _ = link.send(&Frame::Bye(why.to_string()));
             let last_word = async {
@@ -375,7 +377,7 @@
                         if let Some((transmit, at)) = &mut writing {
                             *at += bytes;
                             if *at == transmit.bytes.len() {
-                                if let Some(offer) = transmit.offers {
+                                if let Some(offer) = transmit.offered {
                                     self.tell(SiteLinkEvent::Written(id, offer));
                                 }
                                 writing = None;
