--- a/src/server/discovery/deadlines.rs
+++ b/src/server/discovery/deadlines.rs
@@ -1,15 +1,19 @@
-//! The clocks that discovery's news is held against, each with its source. Beside them stands a setting, the grace
-//! `contract.drain_grace_s`: nothing may be sent to who drains once it has passed.
+//! The times that discovery is held to, each with its source.
+//!
+//! A change of the endpoint list counts as notified when it should have arrived, not when it arrives: from then on
+//! nothing may be sent to a worker that the change takes out of service. One more time stands beside these, in the
+//! settings: `contract.drain_grace_s` is how long after a notification a request may still be sent to a draining
+//! worker.
 
 use std::time::Duration;
 
-/// While nothing changes, an empty line comes this often (the protocol page).
-pub const BEAT: Duration = Duration::from_secs(2);
-/// What a watch misses counts as told so long after it fell silent, and any news so long after it (the protocol page,
-/// and the operators' one clock for silence).
-pub const TOLD: Duration = Duration::from_secs(6);
-/// What discovery tells at another address counts as told so long after SIGHUP named it (the operators).
-pub const RELOADED: Duration = Duration::from_secs(4);
-/// A call waits no longer for its turn where discovery is asked: it fails then. The settings do not tell; this is what
-/// the deployments that we know have.
-pub const CALL: Duration = Duration::from_secs(3);
+/// While nothing changes, a watch brings an empty line this often (protocol page, "Discovery").
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A change that a silent watch has missed counts as notified this long after discovery sent it (protocol page,
+/// "Figures").
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// The list at another address counts as notified this long after SIGHUP named the address (operators' page).
+pub const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// A poll waits no longer than this in discovery's queue: it fails then. No setting states it; the known deployments
+/// have this value.
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -1,114 +1,84 @@
-//! Follows discovery's list of members, the pool, and hands every change to the engine.
+//! The task that follows discovery: opens polls when [`watch_supervisor`](super::watch_supervisor) says so, reads
+//! what they bring, and hands each endpoint list to the engine.
+//!
+//! Ignored, with a line in the log: lines that are no list, entries of a list that cannot be read, and for a while
+//! lists that are older than the known one ([`list_version`](super::list_version)). Only complete data counts as a
+//! sign of life, since a list that has begun may never end.
 
 use std::collections::HashMap;
-use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, watch};
-use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::server::discovery::deadlines::TOLD;
-use crate::server::discovery::stream_reader::{StreamItem, StreamReader};
-use crate::server::discovery::watch_supervisor::{CallId, WatchSupervisor};
+use crate::server::discovery::list_version::{ListVersion, VersionCheck};
+use crate::server::discovery::poll::{Poll, PollError, PollReport, PollRequest, MAX_LIST_BYTES};
+use crate::server::discovery::stream_reader::StreamItem;
+use crate::server::discovery::watch_state::PollId;
+use crate::server::discovery::watch_supervisor::WatchSupervisor;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
-use crate::server::http::{Connection, HttpError};
 use crate::server::metrics::Counters;
 
-/// A whole list that is older than what is known is passed over for this long, in which whoever serves it can catch
-/// up; discovery has then been set back. A second before what it has to tell counts as told, it is asked anew.
-const CATCH_UP: Duration = TOLD.saturating_sub(Duration::from_secs(1));
-/// Chunks that wait to be taken up.
-const WAITING: usize = 16;
-/// The longest line, and so the longest list, that is taken.
-const LINE_BYTES: usize = 4 * 1024 * 1024;
-
-/// Why a watch ended.
-#[derive(Debug, thiserror::Error)]
-enum WatchError {
-    #[error("no connection: {0}")]
-    Connect(#[from] std::io::Error),
-    #[error(transparent)]
-    Http(#[from] HttpError),
-    #[error("answered with status {0}")]
-    Status(u16),
-    #[error("the watch ended")]
-    Ended,
-    #[error("a line is too long")]
-    LongLine,
-}
+/// Chunks that may wait to be read; a poll that brings more waits.
+const MAX_WAITING_CHUNKS: usize = 16;
 
-/// Waits for another address; for good, once there can be none.
-async fn changed(addresses: &mut watch::Receiver<SocketAddr>) {
-    if addresses.changed().await.is_err() {
-        std::future::pending().await
-    }
-}
-
-/// What one call has brought: a chunk, or its end.
-type CallReport = (CallId, Result<Bytes, WatchError>);
-
-/// A watch of discovery, and the calls beside it while it is doubted.
+/// The watch of discovery, with the polls beside it while it is suspected.
 pub struct DiscoveryWatch {
     address: SocketAddr,
-    /// The version that is known.
-    version: u64,
+    version: ListVersion,
     queue: EngineQueue,
     counters: Rc<Counters>,
-    vigil: WatchSupervisor,
-    /// Since when discovery tells of less than is known.
-    behind: Option<Instant>,
-    calls: HashMap<CallId, Call>,
-    /// It has been written down that nothing is heard.
+    supervisor: WatchSupervisor,
+    /// The open streams: the watch and the polls.
+    polls: HashMap<PollId, Poll>,
+    /// The loss of discovery has been logged, and nothing has been received since.
     lost: bool,
+    /// Where the supervisor's times begin.
     origin: Instant,
 }
 
-struct Call {
-    /// Ends with the call.
-    _task: JoinSet<()>,
-    reading: StreamReader,
-}
-
 impl DiscoveryWatch {
-    /// Of discovery at this address, from this version on. The vigil counts from now.
+    /// Follows discovery at this address, from this version of the list on. The supervisor's times begin now.
     pub fn new(
         address: SocketAddr,
         version: u64,
         queue: EngineQueue,
         counters: Rc<Counters>,
-        vigil: WatchSupervisor,
+        supervisor: WatchSupervisor,
     ) -> Self {
-        let (calls, origin) = (HashMap::new(), Instant::now());
-        DiscoveryWatch { address, version, queue, counters, vigil, behind: None, calls, lost: false, origin }
+        DiscoveryWatch {
+            address,
+            version: ListVersion::new(version),
+            queue,
+            counters,
+            supervisor,
+            polls: HashMap::new(),
+            lost: false,
+            origin: Instant::now(),
+        }
     }
 
-    /// Follows discovery for good, at the address that counts at the time. While it is silent, the pool
-    /// stays as it was last told.
+    /// Follows discovery until the process ends, always at the latest of `addresses`. While discovery is silent, the
+    /// endpoint list stays as it was last received.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
-        let (says, mut said) = mpsc::channel::<CallReport>(WAITING);
+        let (reports, mut received) = mpsc::channel::<PollReport>(MAX_WAITING_CHUNKS);
         self.address = *addresses.borrow_and_update();
         loop {
-            let ask_at = self.origin + self.vigil.ask_at();
+            let next_poll_at = self.origin + self.supervisor.next_poll_at();
             tokio::select! {
-                biased; // what the old address says once another counts is old news
+                biased; // what the old address has sent is void once there is another
                 () = changed(&mut addresses) => {
                     let address = *addresses.borrow_and_update();
-                    if address != self.address {
-                        // Its versions are its own. Until it speaks, what the old one told last still holds.
-                        tracing::info!("discovery is followed at {address} from now on");
-                        (self.address, self.lost) = (address, false);
-                        self.anew();
-                    }
+                    self.follow_address(address);
                 }
-                Some((id, what)) = said.recv() => self.take(id, what),
-                () = sleep_until(ask_at) => self.ask(&says),
+                Some(report) = received.recv() => self.report_received(report),
+                () = sleep_until(next_poll_at) => self.open_poll(&reports),
             }
-            self.calls.retain(|id, _| self.vigil.holds(*id));
+            self.polls.retain(|id, _| self.supervisor.is_open(*id));
         }
     }
 
@@ -116,122 +86,130 @@
         self.origin.elapsed()
     }
 
-    /// From now on what discovery tells is all that counts.
-    fn anew(&mut self) {
-        (self.version, self.behind) = (0, None);
-        self.vigil.anew(self.now());
+    /// Follows discovery at another address. Until it sends a list, the last one of the old address is in use.
+    fn follow_address(&mut self, address: SocketAddr) {
+        if address == self.address {
+            return;
+        }
+        tracing::info!(%address, "following discovery at a new address");
+        self.address = address;
+        self.lost = false;
+        self.reopen();
+    }
+
+    /// Begins again: the next list is taken up whatever its version.
+    fn reopen(&mut self) {
+        self.version.reset();
+        self.supervisor.reopened(self.now());
     }
 
-    fn ask(&mut self, says: &mpsc::Sender<CallReport>) {
-        if self.is_set_back() {
-            (self.version, self.behind) = (0, None);
+    fn open_poll(&mut self, reports: &mpsc::Sender<PollReport>) {
+        if self.version.is_set_back(Instant::now()) {
+            self.version.reset();
         }
-        let id = self.vigil.ask(self.now());
-        tracing::debug!(id, since = self.version, "discovery is asked");
+        let id = self.supervisor.poll_opened(self.now());
+        let since = self.version.known();
+        tracing::debug!(poll = id, since, "polling discovery");
         if id > 1 {
             self.counters.pool_reconnects.add();
         }
-        if self.calls.keys().any(|call| *call != id) {
-            tracing::debug!("nothing is heard from discovery, which is asked anew");
-            self.lose("nothing came for a while");
-        }
-        let (address, since, says) = (self.address, self.version, says.clone());
-        let mut task = JoinSet::new();
-        task.spawn_local(async move {
-            let Err(error) = follow(address, since, id, &says).await;
-            let _ = says.send((id, Err(error))).await; // only a scheduler that ends does not listen
-        });
-        self.calls.insert(id, Call { _task: task, reading: StreamReader::default() });
+        let others_open = self.polls.keys().any(|open| *open != id);
+        if others_open {
+            tracing::debug!("discovery silent, polling beside the open streams");
+            self.log_loss(&PollError::Silent);
+        }
+        let request = PollRequest { id, address: self.address, since };
+        self.polls.insert(id, Poll::open(request, reports.clone()));
     }
 
-    fn take(&mut self, id: CallId, said: Result<Bytes, WatchError>) {
-        let Some(call) = self.calls.get_mut(&id) else { return }; // given up meanwhile
-        let ended = match said {
-            Ok(chunk) => {
-                let pieces = call.reading.take(&chunk);
-                let (open, long) = (call.reading.is_open(), call.reading.len() > LINE_BYTES);
-                // A list that has begun may never end: only what is whole has been said.
-                if !open {
-                    self.vigil.spoke(self.now(), id);
-                    self.lost = false;
-                }
-                for piece in pieces {
-                    match piece {
-                        StreamItem::Value(mut value) => self.list(&mut value),
-                        StreamItem::Nonsense => self.malformed("a line that is no list"),
-                    }
-                }
-                if self.is_set_back() {
-                    self.anew();
-                }
-                long.then_some(WatchError::LongLine)
-            }
-            Err(error) => Some(error),
+    fn report_received(&mut self, report: PollReport) {
+        let id = report.id;
+        if !self.polls.contains_key(&id) {
+            return; // closed meanwhile
+        }
+        let read = match report.result {
+            Ok(chunk) => self.chunk_received(id, &chunk),
+            Err(error) => Err(error),
         };
-        if let Some(error) = ended {
-            tracing::debug!(id, "a call to discovery ended: {error}");
-            self.vigil.ended(self.now(), id);
-            self.lose(&error.to_string());
+        if let Err(error) = read {
+            tracing::debug!(poll = id, %error, "discovery poll ended");
+            self.supervisor.stream_ended(self.now(), id);
+            self.log_loss(&error);
         }
     }
 
-    /// Once for each time that discovery is lost, not for each try.
-    fn lose(&mut self, why: &str) {
-        if !std::mem::replace(&mut self.lost, true) {
-            tracing::warn!("discovery lost, the pool stays as last told: {why}");
+    /// Reads a chunk and takes up the lists that it completes.
+    fn chunk_received(&mut self, id: PollId, chunk: &Bytes) -> Result<(), PollError> {
+        let Some(poll) = self.polls.get_mut(&id) else { return Ok(()) };
+        let items = poll.reader.push(chunk);
+        let (incomplete, too_long) = (poll.reader.is_incomplete(), poll.reader.len() > MAX_LIST_BYTES);
+        if !incomplete {
+            self.supervisor.data_received(self.now(), id);
+            self.lost = false;
+        }
+        for item in items {
+            match item {
+                StreamItem::Value(mut value) => self.list_received(&mut value),
+                StreamItem::MalformedLine => self.count_malformed("line"),
+            }
+        }
+        if self.version.is_set_back(Instant::now()) {
+            self.reopen();
         }
+        if too_long {
+            return Err(PollError::ListTooLong);
+        }
+        Ok(())
     }
 
-    /// Takes up one list.
-    fn list(&mut self, line: &mut [u8]) {
-        tracing::trace!(line = %line.escape_ascii(), "pool told");
+    /// Hands a list to the engine, unless it is malformed or old.
+    fn list_received(&mut self, line: &mut [u8]) {
+        tracing::trace!(line = %line.escape_ascii(), "endpoint list received");
         let tape = simd_json::to_tape(line);
         let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::read(&tape.as_value())) else {
-            return self.malformed("a line that is no list");
+            return self.count_malformed("line");
         };
         if update.unreadable_entries > 0 {
-            self.malformed("a list with entries that make no sense");
-        }
-        // What is older than what is known would bring back members that leave or have left.
-        if update.version >= self.version {
-            (self.version, self.behind) = (update.version, None);
-            self.counters.pool_updates.add();
-            self.queue.send(EngineMessage::EndpointListChanged(update));
-        } else if self.behind.is_none() {
-            self.behind = Some(Instant::now());
-            let (known, told) = (self.version, update.version);
-            tracing::warn!("discovery tells version {told} of the pool, but has told {known}: passed over");
+            self.count_malformed("entry");
+        }
+        let (received_version, known_version) = (update.version, self.version.known());
+        match self.version.check(received_version, Instant::now()) {
+            VersionCheck::Current => {
+                self.counters.pool_updates.add();
+                self.queue.send(EngineMessage::EndpointListChanged(update));
+            }
+            VersionCheck::FirstOlder => {
+                tracing::warn!(
+                    received_version,
+                    known_version,
+                    "ignored an endpoint list of an older version"
+                );
+            }
+            VersionCheck::StillOlder => {}
         }
     }
 
-    /// Whether discovery has been behind for so long that it will not catch up.
-    fn is_set_back(&self) -> bool {
-        self.behind.is_some_and(|since| since.elapsed() >= CATCH_UP)
+    /// Logged once for each loss of discovery, not for each poll.
+    fn log_loss(&mut self, error: &PollError) {
+        if self.lost {
+            return;
+        }
+        self.lost = true;
+        tracing::warn!(%error, "discovery lost, endpoint list unchanged");
     }
 
-    fn malformed(&self, what: &str) {
-        if self.counters.pool_malformed.add().is_power_of_two() {
-            tracing::warn!("discovery sent {what}");
+    /// Counts malformed data; logged at the 1st, 2nd, 4th and so on.
+    fn count_malformed(&self, malformed: &str) {
+        let count = self.counters.pool_malformed.add();
+        if count.is_power_of_two() {
+            tracing::warn!(malformed, count, "discovery sent malformed data");
         }
     }
 }
 
-/// One call, until it ends: opens a watch and hands on what it says.
-async fn follow(
-    address: SocketAddr,
-    since: u64,
-    id: CallId,
-    says: &mpsc::Sender<CallReport>,
-) -> Result<Infallible, WatchError> {
-    let mut connection = Connection::connect(address).await?;
-    let target = format!("GET /v1/endpoints?follow=1&since={since} HTTP/1.1\r\n");
-    connection.write(&[target.as_bytes(), format!("Host: {address}\r\n\r\n").as_bytes()]).await?;
-    let head = connection.response_head().await?;
-    if head.status != 200 {
-        return Err(WatchError::Status(head.status));
-    }
-    loop {
-        let chunk = connection.chunk(LINE_BYTES).await?.ok_or(WatchError::Ended)?;
-        let _ = says.send((id, Ok(chunk))).await; // only a scheduler that ends does not listen
+/// Waits for another address; forever, once there can be none.
+async fn changed(addresses: &mut watch::Receiver<SocketAddr>) {
+    if addresses.changed().await.is_err() {
+        std::future::pending().await
     }
 }
--- a/tests/server/discovery.rs
+++ b/tests/server/discovery.rs
@@ -73,7 +73,7 @@
         d send some m1:leaving
         s wait pool_updates 1
         d expect new since=42
-        s expect log nothing came for a while
+        s expect log nothing received in time
         {then}
         s wait pool_updates 2
         {JOB_AT_M2}"
@@ -85,7 +85,7 @@
 #[test]
 fn an_agent_that_is_silent_is_asked_again() {
     let calls = "d expect new since=41\n".repeat(4);
-    play(&World { agent: true, ..PLAIN }, &format!("{calls}s expect log nothing came for a while"));
+    play(&World { agent: true, ..PLAIN }, &format!("{calls}s expect log nothing received in time"));
 }
 
 /// A member that an older change names would come back; one that a torn line names would go.
@@ -94,7 +94,7 @@
     "d send line {{\"version\":40,\"full\":false,\"servers\":[{{\"id\":\"m1\",\"state\":\"left\"}}]}}"
 )]
 #[case::torn("d send line {{\"version\":42,\"full\":false,\"servers\":[{{\"id\":\"m1\",\"state\":\"left\"")]
-#[case::spoilt("d send line {{\"version\":42,\"full\":false,\"servers\":[{{\"id\":7,\"state\":\"left\"}}]}}\ns expect log entries that make no sense")]
+#[case::spoilt("d send line {{\"version\":42,\"full\":false,\"servers\":[{{\"id\":7,\"state\":\"left\"}}]}}\ns expect log malformed=\"entry\"")]
 fn a_list_that_is_old_or_spoilt_changes_nothing(#[case] list: &str) {
     let scenario = format!(
         "d expect new since=41
@@ -150,7 +150,7 @@
             d expect new since=42
             d send 200 Transfer-Encoding: chunked
             d send line {old}
-            s expect log passed over
+            s expect log endpoint list of an older version
             {JOB_AT_M2}
             {then}",
             old = r#"{"version":41,"full":true,"servers":[{"id":"m1","addr":"{m1}","state":"active"},{"id":"m2","addr":"{m2}","state":"active"}]}"#
