--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -37,8 +37,8 @@
 };
 use crate::server::metrics::{Counters, Gauge, Gauged};
 use crate::server::peers::gossip_transport::GossipSender;
-use crate::server::workers::attempt::AttemptTask;
-use crate::server::workers::capacity_probe::probe;
+use crate::server::workers::attempt::{AttemptResult, AttemptTask};
+use crate::server::workers::capacity_probe::{probe, ProbeResult};
 use crate::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 
 /// Kept connections are looked over this often.
@@ -232,8 +232,8 @@
 
     /// Closes connections that stood idle and forgets the names of members that are gone for good.
     fn keep_house(&mut self) {
-        self.members.values().for_each(|member| member.prune());
-        self.dialer.relax();
+        self.members.values().for_each(|member| member.close_idle_connections());
+        self.dialer.recover_trusted_idle();
         if self.numbers.len() > self.members.len() {
             let attempts = self.live.values().flat_map(|live| &live.attempts);
             let used: HashSet<WorkerId> = attempts.map(|attempt| attempt.worker).collect();
@@ -625,23 +625,18 @@
         let (member, queue) = (Rc::clone(member), self.queue.clone());
         let reports = !self.settings.load_report_names.is_empty();
         tokio::task::spawn_local(async move {
-            let (end, report) = probe(member, reports).await;
-            queue.send(EngineMessage::ProbeEnded(worker, end, report));
+            let ProbeResult { end, load_report } = probe(member, reports).await;
+            queue.send(EngineMessage::ProbeEnded(worker, end, load_report));
         });
         None
     }
 
     /// Runs a flow, and takes up its end.
-    fn spawn(
-        &self,
-        request: RequestId,
-        attempt: usize,
-        flow: impl Future<Output = (AttemptEnd, Option<String>)> + 'static,
-    ) {
+    fn spawn(&self, request: RequestId, attempt: usize, flow: impl Future<Output = AttemptResult> + 'static) {
         let queue = self.queue.clone();
         tokio::task::spawn_local(async move {
-            let (end, report) = flow.await;
-            queue.send(EngineMessage::AttemptEnded(request, attempt, end, report));
+            let AttemptResult { end, load_report } = flow.await;
+            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_report));
         });
     }
 
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -114,7 +114,7 @@
                     class: self.counters.class(class),
                     accepted: Rc::clone(&taken),
                 };
-                self.spawn(id, n, flow.run_taken());
+                self.spawn(id, n, flow.run_accepted());
             }
             live.attempts.push(Attempt {
                 worker,
--- a/src/server/engine/worker_list.rs
+++ b/src/server/engine/worker_list.rs
@@ -23,7 +23,7 @@
         let whole = update.complete_snapshot && update.unreadable_entries == 0;
         if whole {
             let listed = |name: &str| update.entries.iter().any(|member| member.name == name);
-            self.members.values().filter(|m| !listed(&m.name)).for_each(|m| m.left());
+            self.members.values().filter(|m| !listed(&m.name)).for_each(|m| m.deactivate());
             self.members.retain(|_, m| listed(&m.name));
         }
         for line in update.entries {
@@ -35,7 +35,7 @@
                     self.members.entry(id).or_insert_with(new).update(address, active, line.started_s);
                 }
                 None => {
-                    self.members.remove(&id).inspect(|member| member.left());
+                    self.members.remove(&id).inspect(|member| member.deactivate());
                 }
             }
             // What the settings do not name is like nothing that they name.
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -1,5 +1,5 @@
-//! A question to a pool member: does it answer, and how loaded is it? Asked only where the settings allow it,
-//! and only when the module decides so.
+//! A capacity probe: asks a worker whether it answers and how loaded it is. Sent only where the settings allow it, and
+//! when the scheduling module decides so.
 
 use std::rc::Rc;
 
@@ -8,38 +8,69 @@
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::{Connection, HttpError};
 use crate::server::load_report::{from_body, Report};
-use crate::server::workers::endpoint::{Use, WorkerEndpoint};
+use crate::server::workers::connection::WorkerConnection;
+use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
-/// Asks a member once, within the time in which a connection has to come up. The report is empty where it sends
-/// none. A connection that got no whole answer is closed.
-pub async fn probe(member: Rc<WorkerEndpoint>, reports: bool) -> (AttemptEnd, Report) {
-    let mut connection = match WorkerEndpoint::connection(&member, Use::Job).await {
+/// What a probe has brought.
+#[derive(Clone, Debug)]
+pub struct ProbeResult {
+    /// How it ended.
+    pub end: AttemptEnd,
+    /// The worker's load report; empty where it sent none.
+    pub load_report: Report,
+}
+
+/// Probes a worker once, within its response time-out. Where workers send load reports (`wants_report`), the probe
+/// reads one, else it is a health check. A connection without a complete response is closed.
+pub async fn probe(worker: Rc<WorkerEndpoint>, wants_report: bool) -> ProbeResult {
+    let mut connection = match WorkerEndpoint::connection(&worker, ConnectionPurpose::Request).await {
         Ok(connection) => connection,
-        Err(end) => return (end, Report::new()),
+        Err(error) => return ProbeResult { end: error.into(), load_report: Report::new() },
     };
-    let end = match timeout(member.patience(), ask(&mut connection.http, reports)).await {
+    let response = timeout(worker.response_timeout(), request(&mut connection.http, wants_report)).await;
+    let end = match response {
         Err(_) => AttemptEnd::DeadlinePassed,
-        Ok(Ok((status, body, keep))) => {
-            if keep {
-                member.keep(connection);
+        Ok(Err(error)) => end_without_response(&error, &worker, &connection),
+        Ok(Ok(response)) => {
+            if response.keep_alive {
+                worker.pool(connection);
             }
-            let end = if status == 200 { AttemptEnd::Completed } else { AttemptEnd::RejectedByWorker };
-            return (end, from_body(body));
-        }
-        Ok(Err(HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong)) => {
-            AttemptEnd::MalformedResponse
+            let is_ready = response.status == 200;
+            let end = if is_ready { AttemptEnd::Completed } else { AttemptEnd::RejectedByWorker };
+            return ProbeResult { end, load_report: from_body(response.body) };
         }
-        Ok(Err(_)) if member.is_stale(&connection) => AttemptEnd::StaleConnection,
-        Ok(Err(_)) => AttemptEnd::ResetWhileWaiting,
     };
-    (end, Report::new())
+    ProbeResult { end, load_report: Report::new() }
+}
+
+struct ProbeResponse {
+    status: u16,
+    body: Vec<u8>,
+    keep_alive: bool,
 }
 
-/// The status, the body, and whether the connection is good for more.
-async fn ask(http: &mut Connection, reports: bool) -> Result<(u16, Vec<u8>, bool), HttpError> {
-    let path: &[u8] = if reports { b"/status/load" } else { b"/health" };
+async fn request(http: &mut Connection, wants_report: bool) -> Result<ProbeResponse, HttpError> {
+    let path: &[u8] = if wants_report { b"/status/load" } else { b"/health" };
     http.write(&[b"GET ", path, b" HTTP/1.1\r\nHost: app.svc\r\n\r\n"]).await?;
     let head = http.response_head().await?;
-    let body = http.body(&head).await?;
-    Ok((head.status, body.to_vec(), head.keep_alive))
+    let body = http.body(&head).await?.to_vec();
+    Ok(ProbeResponse { status: head.status, body, keep_alive: head.keep_alive })
+}
+
+fn end_without_response(
+    error: &HttpError,
+    worker: &WorkerEndpoint,
+    connection: &WorkerConnection,
+) -> AttemptEnd {
+    match error {
+        HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong => {
+            AttemptEnd::MalformedResponse
+        }
+        HttpError::Closed | HttpError::Io(_) | HttpError::Truncated | HttpError::TooSlow => {
+            if worker.record_if_stale(connection) {
+                return AttemptEnd::StaleConnection;
+            }
+            AttemptEnd::ResetWhileWaiting
+        }
+    }
 }
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! A server-side flow by itself: ends that need a moment which the whole program cannot be held at.
+//! One attempt by itself: ends that need a moment at which the whole program cannot be held.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use chutesaddle::server::descriptor_budget::DescriptorBudget;
 use chutesaddle::server::messages::{AttemptCommand, RequestPayload};
 use chutesaddle::server::metrics::Counters;
-use chutesaddle::server::workers::attempt::AttemptTask;
+use chutesaddle::server::workers::attempt::{AttemptResult, AttemptTask};
 use chutesaddle::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
@@ -18,17 +18,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// A flow to a member at `address`, and the engine's end of it.
-fn flow(
+/// An attempt at a worker at `address`, and the sender of the engine's commands.
+fn attempt_at(
     address: SocketAddr,
     active: bool,
     descriptors: usize,
 ) -> (AttemptTask, oneshot::Sender<AttemptCommand>) {
     let counters = Rc::new(Counters::default());
-    let dialer =
+    let connector =
         Rc::new(WorkerConnector::new(DescriptorBudget::new(descriptors), 0.3, 60.0, Rc::clone(&counters)));
-    let member = Rc::new(WorkerEndpoint::new("m1".into(), address, dialer));
-    member.update(address, active, 0.0);
+    let worker = Rc::new(WorkerEndpoint::new("m1".into(), address, connector));
+    worker.update(address, active, 0.0);
     let bytes = Bytes::from_static;
     let payload = RequestPayload {
         name: bytes(b"r1"),
@@ -37,14 +37,14 @@
         content_type: None,
         body: bytes(b"b"),
     };
-    let (sender, order) = oneshot::channel();
+    let (sender, command) = oneshot::channel();
     let deadline = Instant::now() + Duration::from_secs(60);
     (
         AttemptTask {
-            worker: member,
+            worker,
             payload: Rc::new(payload),
             deadline,
-            command: order,
+            command,
             counters,
             class: Rc::default(),
             accepted: Rc::default(),
@@ -53,16 +53,24 @@
     )
 }
 
-/// Rule 3: the connect takes time, and the member may have been told to drain meanwhile.
+fn ended_with(end: AttemptEnd) -> AttemptResult {
+    AttemptResult { end, load_report: None }
+}
+
+/// Rule 3: the connect takes time, and the worker may have begun to drain meanwhile.
 #[rstest]
 #[case::it_drains_now(false, 8, AttemptEnd::WorkerInactive)]
 #[case::no_descriptor_is_left(true, 0, AttemptEnd::NoDescriptor)]
 #[tokio::test]
-async fn nothing_is_written(#[case] active: bool, #[case] descriptors: usize, #[case] end: AttemptEnd) {
+async fn sends_nothing_to_a_worker_that_drains_or_without_a_descriptor(
+    #[case] active: bool,
+    #[case] descriptors: usize,
+    #[case] end: AttemptEnd,
+) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (flow, _order) = flow(listener.local_addr().unwrap(), active, descriptors);
-    let ended = flow.run().await; // drops the member, and with it the connection
-    assert_eq!(ended, (end, None));
+    let (attempt, _command) = attempt_at(listener.local_addr().unwrap(), active, descriptors);
+    let ended = attempt.run().await; // drops the worker, and with it the connection
+    assert_eq!(ended, ended_with(end));
     if active {
         return;
     }
@@ -72,16 +80,16 @@
 }
 
 #[tokio::test]
-async fn what_is_given_up_before_it_begins_is_never_sent() {
+async fn never_sends_an_attempt_that_is_cancelled_before_it_begins() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (flow, order) = flow(listener.local_addr().unwrap(), true, 8);
-    order.send(AttemptCommand::Cancel).unwrap();
-    assert_eq!(flow.run().await, (AttemptEnd::CancelledUnsent, None));
+    let (attempt, command) = attempt_at(listener.local_addr().unwrap(), true, 8);
+    command.send(AttemptCommand::Cancel).unwrap();
+    assert_eq!(attempt.run().await, ended_with(AttemptEnd::CancelledUnsent));
 }
 
 /// A machine that is cut off answers no connect at all: here one whose backlog is full.
 #[tokio::test]
-async fn a_connect_that_never_comes_up_has_an_end() {
+async fn ends_a_connect_that_never_comes_up_after_the_time_out() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -90,13 +98,13 @@
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
         filling.push(stream.unwrap());
     }
-    let (flow, _order) = flow(address, true, 8);
-    assert_eq!(flow.run().await, (AttemptEnd::ConnectTimedOut, None));
+    let (attempt, _command) = attempt_at(address, true, 8);
+    assert_eq!(attempt.run().await, ended_with(AttemptEnd::ConnectTimedOut));
 }
 
-/// Rule 2 rests on this: only what certainly never left this machine whole proves that the job never ran.
+/// Rule 2 rests on this: only what certainly never left this machine whole proves that the request never ran.
 #[test]
-fn only_unsent_or_returned_jobs_never_ran() {
+fn only_unsent_or_returned_requests_prove_that_they_never_ran() {
     let never_ran = |end: &AttemptEnd| {
         matches!(
             end.outcome(),
