--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -14,7 +14,7 @@
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
 use chutesaddle::server::lifecycle::reload::{operator, Reload};
-use chutesaddle::server::lifecycle::{Lifecycle, Phase};
+use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
 use chutesaddle::server::peers::site_links::{new_instance, SiteLinks};
@@ -177,13 +177,13 @@
         () = started => {}
     }
     tracing::info!("stopping, {} requests wait for their answer", front.waiting());
-    lifecycle.stop();
+    lifecycle.notify(LifecycleEvent::Terminated);
     // Also what was under way to this process when the taking stopped is read, and told to go elsewhere.
     let mut empty_since = None;
     loop {
         sleep(LOOK).await;
         let empty = front.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
-        if lifecycle.still_takes() || !lifecycle.clears() || !empty {
+        if lifecycle.admission_is_open() || !lifecycle.closes_idle_connections() || !empty {
             empty_since = None;
             continue;
         }
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -25,7 +25,7 @@
 use crate::server::frontend::connection_eviction::{EvictionCandidates, EvictionClass};
 use crate::server::http::{Connection, Head, HttpError};
 use crate::server::lifecycle::handover_frames::FrameSender;
-use crate::server::lifecycle::Lifecycle;
+use crate::server::lifecycle::{Lifecycle, LifecycleEvent};
 use crate::server::messages::{ClientRequest, FinalAnswer, MigratedRequest};
 use crate::server::metrics::Counters;
 use request_parser::Asked;
@@ -131,10 +131,11 @@
         let mut phase = self.lifecycle.watch();
         loop {
             // The sender lives as long as this front.
-            let _ = phase.wait_for(|phase| phase.empties()).await;
-            if self.lifecycle.clears() {
+            let _ = phase.wait_for(|phase| phase.is_draining()).await;
+            if self.lifecycle.closes_idle_connections() {
                 while self.spares.close_one(EvictionClass::Idle) {}
-                self.lifecycle.emptied(self.is_empty());
+                let empty = self.is_empty();
+                self.lifecycle.notify(if empty { LifecycleEvent::Emptied } else { LifecycleEvent::Occupied });
             }
             sleep(CLEAR).await;
         }
@@ -357,7 +358,7 @@
 
     /// Writes an answer; the value says whether the connection stays open.
     async fn write(&self, connection: &mut Connection, answer: Answer, keep: bool) -> io::Result<bool> {
-        let keep = keep && (self.has_successor() || !self.lifecycle.phase().empties());
+        let keep = keep && (self.has_successor() || !self.lifecycle.phase().is_draining());
         let close = if keep { "" } else { "Connection: close\r\n" };
         let Answer { status, headers, body } = answer;
         let head = format!("HTTP/1.1 {status}\r\n{headers}{close}Content-Length: {}\r\n\r\n", body.len());
@@ -375,13 +376,13 @@
         mut transaction: Box<ClientRequest>,
         began: Instant,
     ) -> JobEnd {
-        if !self.lifecycle.takes(began) || self.waiting.get() > self.most_waiting() {
+        if !self.lifecycle.admits(began) || self.waiting.get() > self.most_waiting() {
             self.counters.rejected_at_door.add();
             self.counters.class(transaction.class).shed.add();
             return JobEnd::Answer(Answer::reject(COME_BACK_S));
         }
         let longest = self.settings().classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
-        if let Some(by) = self.lifecycle.answer_by(Duration::from_secs_f64(longest)) {
+        if let Some(by) = self.lifecycle.answer_deadline(Duration::from_secs_f64(longest)) {
             transaction.deadline = transaction.deadline.min(by);
         }
         // The engine answers before this; the bound keeps a fault there from holding a client for good.
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -1,5 +1,18 @@
-//! Whether the scheduler takes work: one state, owned here. PAUSE, RESUME and SIGTERM only ask for a change.
-//! Beside it, what changes a process or replaces it: the operators' door, SIGHUP, and upgrades.
+//! Whether this process takes work, and everything that changes that: start, PAUSE, RESUME, upgrade, SIGTERM.
+//!
+//! [`Lifecycle`] owns the one [`Phase`] of the process. Nobody else sets it: the modules below only report a
+//! [`LifecycleEvent`], and [`Phase::after`] decides what follows. The frontend asks here whether a request is admitted
+//! and whether idle connections are to be closed; gossip and the site links watch the phase.
+//!
+//! | module | question it answers |
+//! | --- | --- |
+//! | [`handover`] | how a new process takes over from the one that serves (an upgrade) |
+//! | [`handover_frames`] | what the two processes of an upgrade send each other, and in which bytes |
+//! | [`peer_processes`] | which processes of an upgrade are linked, and which requests are open there |
+//! | [`operator_interface`] | how STATUS, METRICS, PAUSE and RESUME come in |
+//! | [`reload`] | what SIGHUP changes while requests are in flight |
+//!
+//! The order of start-up and of exit is in `src/cli/serve.rs`; crossing events are listed in `docs/races.md`.
 
 pub mod handover;
 pub mod handover_frames;
@@ -7,48 +20,80 @@
 pub mod peer_processes;
 pub mod reload;
 
+#[cfg(test)]
+mod tests;
+
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Transactions are taken for this long after a PAUSE: the front layer asks ten times a second and sends
-/// new connections for a while after the first no.
-const PAUSE_TAKES: Duration = Duration::from_millis(1400);
+/// Requests are admitted for this long after PAUSE: the front layer polls `/ready` ten times a second and sends
+/// new connections for a while after the first 503.
+const PAUSE_ADMISSION: Duration = Duration::from_millis(1400);
 /// The same after SIGTERM, which leaves less time.
-const STOP_TAKES: Duration = Duration::from_millis(500);
-/// Idle connections of clients stay this long, so that the front layer has seen the no before they close.
-const IDLE_STAYS: Duration = Duration::from_millis(500);
-/// A paused scheduler holds no transaction that came later than this after the call.
-const PAUSE_HOLDS: Duration = Duration::from_millis(1900);
+const STOP_ADMISSION: Duration = Duration::from_millis(500);
+/// Idle connections of clients stay open this long, so that the front layer has read the 503 before they close.
+const IDLE_GRACE: Duration = Duration::from_millis(500);
+/// After PAUSE a request is rejected if its message was complete later than this, whenever it began.
+const PAUSE_COMPLETION: Duration = Duration::from_millis(1900);
 /// After SIGTERM the platform waits for the longest deadline, but for no more than this, and a little longer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const MAX_STOP_WAIT: Duration = Duration::from_secs(3);
 
-/// What the scheduler does about clients.
+/// What the process does about clients; see [`Phase::after`] for the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// A new process that does not serve yet.
     Starting,
-    /// It takes work.
+    /// It admits requests.
     Serving,
-    /// PAUSE came: it empties itself.
+    /// PAUSE came: requests in flight are finished, new ones rejected.
     Draining,
-    /// Nothing of a client is left; RESUME is awaited.
+    /// PAUSE came, and no client's request is left; RESUME is awaited.
     Drained,
-    /// Another process serves at this address now; this one finishes what it has.
+    /// A successor accepts connections at this address; this process finishes what it has.
     Replaced,
-    /// SIGTERM came: it empties itself and exits.
+    /// SIGTERM came: the process drains and exits.
     Stopping,
 }
 
+/// What can change the phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LifecycleEvent {
+    /// The process is ready to accept connections.
+    Started,
+    /// An operator sent PAUSE.
+    PauseRequested,
+    /// An operator sent RESUME.
+    ResumeRequested,
+    /// The frontend looked and holds no client's request.
+    Emptied,
+    /// The frontend looked and holds a client's request.
+    Occupied,
+    /// A successor has begun to serve.
+    SuccessorServing,
+    /// The successor has exited or its link has broken.
+    SuccessorLost,
+    /// SIGTERM came.
+    Terminated,
+}
+
+/// Why an operator's command changes nothing: the process is in a phase that operators cannot change.
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[error("this process is {}", .0.name())]
+pub struct TransitionRejected(pub Phase);
+
 impl Phase {
-    /// Whether the process empties itself: answers say that their connection closes.
-    pub fn empties(self) -> bool {
-        matches!(self, Phase::Draining | Phase::Drained | Phase::Stopping)
+    /// Whether the process drains: answers then say that their connection closes.
+    pub fn is_draining(self) -> bool {
+        match self {
+            Phase::Draining | Phase::Drained | Phase::Stopping => true,
+            Phase::Starting | Phase::Serving | Phase::Replaced => false,
+        }
     }
 
-    /// The word for it, as the door says it.
+    /// Its name in the answers of the operator interface and of `/ready`.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -59,37 +104,79 @@
             Phase::Stopping => "stopping",
         }
     }
-}
 
-/// Why a call changes nothing: what holds is not the operators' to change.
-#[derive(Debug, PartialEq, thiserror::Error)]
-#[error("this process is {}", .0.name())]
-pub struct TransitionRejected(pub Phase);
+    /// The phase that follows an event. All transitions are here.
+    ///
+    /// | event | from | to | reason |
+    /// | --- | --- | --- | --- |
+    /// | `Started` | starting | serving | the listener is ready; after SIGTERM it is too late to serve |
+    /// | `PauseRequested` | serving | draining | the operator wants the process empty |
+    /// | | draining, drained | unchanged | asked for already |
+    /// | | starting, replaced, stopping | rejected | a predecessor, a successor or SIGTERM decides |
+    /// | `ResumeRequested` | serving, draining, drained | serving | the operator wants work to be taken again |
+    /// | | starting, replaced, stopping | rejected | as for `PauseRequested` |
+    /// | `Emptied` | draining | drained | the last request is answered |
+    /// | `Occupied` | drained | draining | a request that began in time was admitted |
+    /// | `SuccessorServing` | serving, draining, drained | replaced | one process accepts connections |
+    /// | `SuccessorLost` | replaced | serving | nobody else accepts connections; an earlier PAUSE is forgotten |
+    /// | `Terminated` | any | stopping | nothing takes SIGTERM back |
+    ///
+    /// In every other phase an event changes nothing.
+    ///
+    /// # Errors
+    /// If an operator's command is rejected.
+    fn after(self, event: LifecycleEvent) -> Result<Phase, TransitionRejected> {
+        use LifecycleEvent as On;
+        use Phase::{Drained, Draining, Replaced, Serving, Starting, Stopping};
+        match (event, self) {
+            (On::Started, Starting) => Ok(Serving),
+            (On::Started, Serving | Draining | Drained | Replaced | Stopping) => Ok(self),
+            (On::PauseRequested, Serving) => Ok(Draining),
+            (On::PauseRequested, Draining | Drained) => Ok(self),
+            (On::ResumeRequested, Serving | Draining | Drained) => Ok(Serving),
+            (On::PauseRequested | On::ResumeRequested, Starting | Replaced | Stopping) => {
+                Err(TransitionRejected(self))
+            }
+            (On::Emptied, Draining) => Ok(Drained),
+            (On::Emptied, Starting | Serving | Drained | Replaced | Stopping) => Ok(self),
+            (On::Occupied, Drained) => Ok(Draining),
+            (On::Occupied, Starting | Serving | Draining | Replaced | Stopping) => Ok(self),
+            (On::SuccessorServing, Serving | Draining | Drained) => Ok(Replaced),
+            (On::SuccessorServing, Starting | Replaced | Stopping) => Ok(self),
+            (On::SuccessorLost, Replaced) => Ok(Serving),
+            (On::SuccessorLost, Starting | Serving | Draining | Drained | Stopping) => Ok(self),
+            (On::Terminated, Starting | Serving | Draining | Drained | Replaced | Stopping) => Ok(Stopping),
+        }
+    }
+}
 
-/// The state, and since when it holds.
+/// The phase of this process, and the times that follow from when it began to drain.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
-    /// When PAUSE or SIGTERM, whichever was first, ended the taking of work.
-    left_at: Cell<Instant>,
-    /// Until when messages that begin are taken all the same.
-    takes_until: Cell<Instant>,
+    /// When PAUSE or SIGTERM, whichever was first, began the drain.
+    drain_began: Cell<Instant>,
+    /// Messages that begin before this are admitted though the process drains.
+    admission_closes: Cell<Instant>,
 }
 
 impl Default for Lifecycle {
     fn default() -> Self {
         let now = Instant::now();
-        let phase = watch::Sender::new(Phase::Starting);
-        Lifecycle { phase, left_at: Cell::new(now), takes_until: Cell::new(now) }
+        Lifecycle {
+            phase: watch::Sender::new(Phase::Starting),
+            drain_began: Cell::new(now),
+            admission_closes: Cell::new(now),
+        }
     }
 }
 
 impl Lifecycle {
-    /// The state that holds now.
+    /// The phase now.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Tells of changes.
+    /// Notifies of each new phase.
     pub fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
@@ -99,100 +186,72 @@
         self.phase() == Phase::Serving
     }
 
-    /// Whether a transaction is taken whose message began to arrive at `began` and is whole now.
-    pub fn takes(&self, began: Instant) -> bool {
+    /// Whether a request is admitted whose message began to arrive at `began` and is complete now.
+    pub fn admits(&self, began: Instant) -> bool {
         match self.phase() {
             Phase::Starting | Phase::Serving | Phase::Replaced => true,
             Phase::Draining | Phase::Drained => {
-                began < self.takes_until.get() && Instant::now() < self.left_at.get() + PAUSE_HOLDS
+                let began_in_time = began < self.admission_closes.get();
+                let complete_in_time = Instant::now() < self.drain_began.get() + PAUSE_COMPLETION;
+                began_in_time && complete_in_time
             }
-            Phase::Stopping => began < self.takes_until.get(),
+            Phase::Stopping => began < self.admission_closes.get(),
         }
     }
 
-    /// Whether messages that begin now may still be taken, now that PAUSE or SIGTERM has come.
-    pub fn still_takes(&self) -> bool {
-        Instant::now() < self.takes_until.get()
-    }
-
-    /// Whether connections that stand idle are to be closed.
-    pub fn clears(&self) -> bool {
-        self.phase().empties() && Instant::now() >= self.left_at.get() + IDLE_STAYS
+    /// Whether messages that begin now may still be admitted, once PAUSE or SIGTERM has come.
+    pub fn admission_is_open(&self) -> bool {
+        Instant::now() < self.admission_closes.get()
     }
 
-    /// By when a transaction must be answered whose message is whole only now, long after SIGTERM: what is
-    /// open when the platform's patience ends would be lost. `longest` is the longest deadline of any class.
-    pub fn answer_by(&self, longest: Duration) -> Option<Instant> {
-        let late = self.phase() == Phase::Stopping && Instant::now() > self.left_at.get() + STOP_TAKES;
-        late.then(|| self.left_at.get() + longest.min(PATIENCE) + STOP_TAKES / 2)
+    /// Whether idle connections of clients are to be closed.
+    pub fn closes_idle_connections(&self) -> bool {
+        self.phase().is_draining() && Instant::now() >= self.drain_began.get() + IDLE_GRACE
     }
 
-    fn leave(&self, phase: Phase, takes: Duration) {
-        let now = Instant::now();
-        if self.phase().empties() {
-            self.takes_until.set(self.takes_until.get().min(now + takes));
-        } else {
-            self.left_at.set(now);
-            self.takes_until.set(now + takes);
+    /// By when a request must be answered whose message is complete only now, long after SIGTERM: what is
+    /// open when the platform stops waiting would be lost. `longest_deadline` is that of all classes.
+    pub fn answer_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
+        let admission_is_over = Instant::now() > self.drain_began.get() + STOP_ADMISSION;
+        if self.phase() != Phase::Stopping || !admission_is_over {
+            return None;
         }
-        self.phase.send_replace(phase);
+        Some(self.drain_began.get() + longest_deadline.min(MAX_STOP_WAIT) + STOP_ADMISSION / 2)
     }
 
-    /// Empties the scheduler.
+    /// Takes an event: the only function that changes the phase.
     ///
     /// # Errors
-    /// If the process is starting, replaced or stopping.
-    pub fn pause(&self) -> Result<(), TransitionRejected> {
-        match self.phase() {
-            Phase::Serving => self.leave(Phase::Draining, PAUSE_TAKES),
-            Phase::Draining | Phase::Drained => {}
-            other => return Err(TransitionRejected(other)),
+    /// If the event is an operator's command, and the process is starting, replaced or stopping.
+    pub fn handle(&self, event: LifecycleEvent) -> Result<(), TransitionRejected> {
+        let phase = self.phase();
+        let next = phase.after(event)?;
+        if next.is_draining() {
+            self.limit_admission(phase, event);
+        }
+        // RESUME notifies also where nothing changes: gossip then opens its socket anew.
+        if next != phase || event == LifecycleEvent::ResumeRequested {
+            self.phase.send_replace(next);
         }
         Ok(())
     }
 
-    /// Takes clients again.
-    ///
-    /// # Errors
-    /// If the process is starting, replaced or stopping.
-    pub fn resume(&self) -> Result<(), TransitionRejected> {
-        match self.phase() {
-            Phase::Serving | Phase::Draining | Phase::Drained => self.phase.send_replace(Phase::Serving),
-            other => return Err(TransitionRejected(other)),
-        };
-        Ok(())
-    }
-
-    /// From now on the process serves, unless it has been told to stop before.
-    pub fn start(&self) {
-        self.change(&[Phase::Starting], Phase::Serving);
-    }
-
-    /// From now on another process serves in its place.
-    pub fn replace(&self) {
-        self.change(&[Phase::Serving, Phase::Draining, Phase::Drained], Phase::Replaced);
-    }
-
-    /// That process is gone.
-    pub fn restore(&self) {
-        self.change(&[Phase::Replaced], Phase::Serving);
-    }
-
-    fn change(&self, from: &[Phase], to: Phase) {
-        self.phase.send_if_modified(|phase| {
-            let changes = from.contains(phase) && *phase != to;
-            changes.then(|| *phase = to).is_some()
-        });
-    }
-
-    /// Nothing of a client is left, or something is again.
-    pub fn emptied(&self, empty: bool) {
-        let now = if empty { Phase::Drained } else { Phase::Draining };
-        self.change(&[Phase::Draining, Phase::Drained], now);
+    /// Sets the times of a drain that begins; SIGTERM only shortens those of a drain that is under way.
+    fn limit_admission(&self, phase: Phase, event: LifecycleEvent) {
+        let now = Instant::now();
+        let terminated = event == LifecycleEvent::Terminated;
+        let closes = now + if terminated { STOP_ADMISSION } else { PAUSE_ADMISSION };
+        if !phase.is_draining() {
+            self.drain_began.set(now);
+            self.admission_closes.set(closes);
+        } else if terminated {
+            self.admission_closes.set(self.admission_closes.get().min(closes));
+        }
     }
 
-    /// SIGTERM came. Nothing takes it back.
-    pub fn stop(&self) {
-        self.leave(Phase::Stopping, STOP_TAKES);
+    /// Reports an event that is no operator's command.
+    pub fn notify(&self, event: LifecycleEvent) {
+        let handled = self.handle(event);
+        debug_assert!(handled.is_ok(), "only operators' commands are rejected");
     }
 }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -21,7 +21,7 @@
 use crate::server::frontend::Frontend;
 use crate::server::lifecycle::handover_frames::{link, FrameReceiver, FrameSender, HandoverFrame};
 use crate::server::lifecycle::peer_processes::PeerProcesses;
-use crate::server::lifecycle::Lifecycle;
+use crate::server::lifecycle::{Lifecycle, LifecycleEvent};
 use crate::server::messages::{CallbackRelay, PeerProcessId, ProcessRole};
 use crate::server::metrics::Counters;
 
@@ -130,7 +130,7 @@
             None => None,
         };
         spawn_local(Rc::clone(&self.front).run(Rc::clone(&self.listener)));
-        self.lifecycle.start();
+        self.lifecycle.notify(LifecycleEvent::Started);
         let _ = said.map(|outbox| outbox.send(HandoverFrame::Serving, None));
         while let Some(place) = self.place.as_deref() {
             let Ok(door) = meet(place).inspect_err(|error| {
@@ -162,7 +162,7 @@
             let served = self.front.has_successor();
             self.front.succeeded_by(None);
             self.queue.send(EngineMessage::SuccessorChanged(false));
-            self.lifecycle.restore();
+            self.lifecycle.notify(LifecycleEvent::SuccessorLost);
             tracing::warn!("the new process is gone");
             if served {
                 return; // it had taken the meeting place over
@@ -193,7 +193,7 @@
                     if !alike {
                         tracing::info!("the new process is of another build: jobs are finished here");
                     }
-                    self.lifecycle.replace();
+                    self.lifecycle.notify(LifecycleEvent::SuccessorServing);
                     self.front.succeeded_by(successor);
                     self.queue.send(EngineMessage::SuccessorChanged(alike));
                 }
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -13,7 +13,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-use crate::server::lifecycle::{Lifecycle, TransitionRejected};
+use crate::server::lifecycle::{Lifecycle, LifecycleEvent, TransitionRejected};
 use crate::server::metrics::Counters;
 
 /// Callers served at a time. One more takes the place of the one that has been there for longest: an
@@ -102,11 +102,11 @@
             }
             b"PAUSE" => {
                 tracing::info!("an operator says PAUSE");
-                changed(self.lifecycle.pause())
+                changed(self.lifecycle.handle(LifecycleEvent::PauseRequested))
             }
             b"RESUME" => {
                 tracing::info!("an operator says RESUME");
-                changed(self.lifecycle.resume())
+                changed(self.lifecycle.handle(LifecycleEvent::ResumeRequested))
             }
             _ => "-ERR no such call: STATUS, METRICS, PAUSE, RESUME\n".to_owned(),
         }
