--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -90,8 +90,8 @@
         tracing::info!("operators call at {}", address.map(|a| a.to_string()).unwrap_or_default());
         spawn_local(OperatorInterface::new(Rc::clone(&lifecycle), Rc::clone(&counters)).run(door));
     }
-    let place = handover::meeting_place();
-    let listener = handover::listener(place.as_deref(), config.listen).await;
+    let socket_path = handover::socket_path();
+    let listener = handover::take_listener(socket_path.as_deref(), config.listen).await;
     let (listener, old) = listener.map_err(|error| StartError::Listen(config.listen, error))?;
 
     let settings = config.settings;
@@ -146,13 +146,13 @@
         shares: Rc::clone(&shares),
     };
     let handover = Handover {
-        place,
+        socket_path,
         listener: Rc::new(listener),
-        front: Rc::clone(&front),
+        frontend: Rc::clone(&front),
         lifecycle: Rc::clone(&lifecycle),
         queue,
         peers: peers.clone(),
-        shares,
+        budgets: shares,
         counters: Rc::clone(&counters),
     };
     let mut engine = spawn_local(engine.run(config.known_endpoints));
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -308,7 +308,7 @@
             payload,
             origin,
         } = transaction;
-        let elsewhere = self.peers.holds(&payload.name);
+        let elsewhere = self.peers.has_open_request(&payload.name);
         if elsewhere || self.names.contains_key(&payload.name) || self.live.contains_key(&id) {
             // Call-backs could not tell the two apart.
             if self.counters.duplicate_ids.add().is_power_of_two() {
@@ -320,7 +320,7 @@
         }
         self.counters.transactions_taken.add();
         self.names.insert(payload.name.clone(), id);
-        self.peers.pass(None, &HandoverFrame::RequestOpened(payload.name.clone()));
+        self.peers.broadcast(None, &HandoverFrame::RequestOpened(payload.name.clone()));
         tracing::debug!(name = %payload.name.escape_ascii(), class, tenant, hint, slots, "taken");
         let live = Live {
             class,
@@ -435,14 +435,14 @@
         if side == ProcessRole::Successor {
             let learnt = self.dispatcher.learned_state();
             let names = learnt.workers().map(|worker| (worker, self.name(worker))).collect();
-            self.peers.tell(peer, HandoverFrame::LearnedState(Box::new(learnt), names));
+            self.peers.send(peer, HandoverFrame::LearnedState(Box::new(learnt), names));
         }
         for name in self.names.keys() {
-            self.peers.tell(peer, HandoverFrame::RequestOpened(name.clone()));
+            self.peers.send(peer, HandoverFrame::RequestOpened(name.clone()));
         }
         self.forget_sends();
         for (_, name, class, work) in &self.sends {
-            self.peers.tell(peer, HandoverFrame::WorkSent(name.clone(), *class, *work));
+            self.peers.send(peer, HandoverFrame::WorkSent(name.clone(), *class, *work));
         }
     }
 
@@ -513,7 +513,7 @@
         if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.attempts.iter().all(|a| !a.open)) {
             if let Some(live) = self.live.remove(&id) {
                 self.names.remove(&live.payload.name);
-                self.peers.pass(None, &HandoverFrame::RequestClosed(live.payload.name.clone()));
+                self.peers.broadcast(None, &HandoverFrame::RequestClosed(live.payload.name.clone()));
             }
         }
     }
@@ -610,7 +610,7 @@
         };
         self.spawn(request, attempt, flow.run());
         self.forget_sends();
-        self.peers.pass(None, &HandoverFrame::WorkSent(name.clone(), class, work));
+        self.peers.broadcast(None, &HandoverFrame::WorkSent(name.clone(), class, work));
         self.sends.push_back((Instant::now(), name, class, work));
         None
     }
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -135,7 +135,7 @@
     pub(super) fn pass_on(&self, call_back: &WorkerCallback, passed: Option<CallbackRelay>) -> bool {
         let hops = passed.map_or(0, |passed| passed.relays);
         let from = passed.map(|passed| passed.from).filter(|_| !self.moved.contains(&call_back.request_name));
-        hops < HOPS && self.peers.pass(from, &HandoverFrame::Callback(call_back.clone(), hops + 1))
+        hops < HOPS && self.peers.broadcast(from, &HandoverFrame::Callback(call_back.clone(), hops + 1))
     }
 
     /// The name of a member.
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -38,7 +38,7 @@
     /// Passes a connection to the process that has taken over. What its client sends meanwhile waits there.
     pub(super) fn pass_on(&self, connection: Connection, worth: EvictionClass, spoke: bool) {
         // One that could not read of it takes none: the client finds its connection closed between two requests.
-        let successor = self.successor.borrow().clone().filter(FrameSender::is_alike);
+        let successor = self.successor.borrow().clone().filter(FrameSender::has_same_form);
         // A socket that cannot be passed has broken.
         if let (Some(successor), Ok((socket, _))) = (successor, connection.into_parts()) {
             self.counters.connections_passed_on.add();
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -1,9 +1,18 @@
-//! The upgrade: a new process takes over from the one that serves, without a client noticing.
+//! The upgrade: a new process, the successor, takes over from the one that serves, and no client notices.
 //!
-//! The old process listens on a Unix socket in `$TMPDIR`. The new one connects there and is passed the socket
-//! on which clients are accepted: no connection that waits in its queue is refused or reset. Once the new one
-//! serves, the old one accepts no more, passes idle connections on and finishes the jobs that it has. Should
-//! the new one die, the old one goes on as before, unless it has been told to stop.
+//! 1. The predecessor listens on a Unix socket in `$TMPDIR`. The successor connects there ([`take_listener`]) and is
+//!    sent the listener on which clients are accepted: no connection in its queue is refused or reset.
+//! 2. The successor waits for the endpoint list, serves, and sends `Serving` ([`Handover::run`]).
+//! 3. The predecessor accepts no more, hands idle connections on and migrates or finishes its requests. Its phase is
+//!    [`super::Phase::Replaced`].
+//! 4. If the successor exits before the predecessor has been sent SIGTERM, the predecessor serves again.
+//!
+//! Each direction of the link is a lifetime: [`Handover::receive`] ends with the other process, and whoever called it
+//! ([`Handover::run`] for a predecessor, [`Handover::offer_listener`] for a successor) then does what follows.
+//!
+//! This module owns neither the bytes on the link ([`super::handover_frames`]) nor what is open at the other process
+//! ([`super::peer_processes`]). How a request is migrated is in `engine/migration.rs`, how a client's connection is handed
+//! on in `frontend/connection_handoff.rs`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,6 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use bytes::Bytes;
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
@@ -19,236 +29,287 @@
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
-use crate::server::lifecycle::handover_frames::{link, FrameReceiver, FrameSender, HandoverFrame};
+use crate::server::lifecycle::handover_frames::{
+    link, FrameReceiver, FrameSender, HandoverFrame, ReceivedFrame,
+};
 use crate::server::lifecycle::peer_processes::PeerProcesses;
 use crate::server::lifecycle::{Lifecycle, LifecycleEvent};
-use crate::server::messages::{CallbackRelay, PeerProcessId, ProcessRole};
+use crate::server::messages::{CallbackRelay, MigratedRequest, PeerProcessId, ProcessRole};
 use crate::server::metrics::Counters;
 
 /// The name of the Unix socket in `$TMPDIR`, which is this scheduler's alone.
-const SOCKET: &str = "handover.sock";
-/// How long a new process waits for the socket from an old one that has taken its call.
-const OFFER: Duration = Duration::from_secs(2);
-/// How long a new process keeps trying while another holds the address: it may be about to leave, or just
-/// be taking over itself.
-const TRY: Duration = Duration::from_secs(10);
-/// Wait between two tries.
-const TRY_AGAIN: Duration = Duration::from_millis(100);
-/// How long a new process waits for discovery before it serves with the pool as last known.
-const DISCOVERY: Duration = Duration::from_secs(2);
-/// How often it looks whether discovery has spoken.
-const LOOK: Duration = Duration::from_millis(5);
-
-/// Where the processes of an upgrade meet; `None` without a `$TMPDIR`, and then there are no upgrades.
-pub fn meeting_place() -> Option<PathBuf> {
-    std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty()).map(|dir| Path::new(&dir).join(SOCKET))
+const SOCKET_NAME: &str = "handover.sock";
+/// How long a successor waits for the listener from a predecessor that has accepted its connection.
+const LISTENER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a new process keeps trying while another one holds the address: that one may be about to exit, or may
+/// itself be taking over.
+const BIND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Wait between two tries to bind, and after a failed accept.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a successor waits for discovery before it serves with the endpoint list of its configuration.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often it checks whether an endpoint list has come.
+const DISCOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The path of the Unix socket where a successor finds this process; `None` without `$TMPDIR`, and then there are no
+/// upgrades.
+pub fn socket_path() -> Option<PathBuf> {
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
+    Some(Path::new(&directory).join(SOCKET_NAME))
 }
 
-/// The way to the old process, from the new one.
+/// The link to the predecessor.
 pub struct Predecessor {
-    outbox: FrameSender,
-    inbox: FrameReceiver,
+    sender: FrameSender,
+    receiver: FrameReceiver,
 }
 
-/// The socket for clients: from the process that has it, else bound anew.
+/// The listener for clients: from the predecessor if there is one, or else bound.
 ///
 /// # Errors
-/// If neither works within a while.
-pub async fn listener(
-    place: Option<&Path>,
+/// If the address cannot be bound, after [`BIND_TIMEOUT`] if it is another process that holds it.
+pub async fn take_listener(
+    socket_path: Option<&Path>,
     address: SocketAddr,
 ) -> io::Result<(TcpListener, Option<Predecessor>)> {
-    let until = Instant::now() + TRY;
+    let last_try = Instant::now() + BIND_TIMEOUT;
     loop {
-        if let Some((listener, old)) = offered(place, address).await {
-            return Ok((listener, Some(old)));
+        if let Some((listener, predecessor)) = listener_of_predecessor(socket_path, address).await {
+            return Ok((listener, Some(predecessor)));
         }
-        match TcpListener::bind(address).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && place.is_some() => {
-                if Instant::now() >= until {
-                    return Err(error);
-                }
-                sleep(TRY_AGAIN).await;
-            }
-            result => return Ok((result?, None)),
+        let error = match TcpListener::bind(address).await {
+            Ok(listener) => return Ok((listener, None)),
+            Err(error) => error,
+        };
+        let held_by_another_process = error.kind() == io::ErrorKind::AddrInUse && socket_path.is_some();
+        if !held_by_another_process || Instant::now() >= last_try {
+            return Err(error);
         }
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Asks the old process, if there is one: a socket file without one refuses the connection.
-async fn offered(place: Option<&Path>, address: SocketAddr) -> Option<(TcpListener, Predecessor)> {
-    let (outbox, mut inbox) = link(UnixStream::connect(place?).await.ok()?);
-    let (frame, socket) = timeout(OFFER, inbox.next()).await.ok()??;
+/// Connects to the predecessor and receives its listener. A socket file without a process refuses the connection.
+async fn listener_of_predecessor(
+    socket_path: Option<&Path>,
+    address: SocketAddr,
+) -> Option<(TcpListener, Predecessor)> {
+    let (sender, mut receiver) = link(UnixStream::connect(socket_path?).await.ok()?);
+    let ReceivedFrame { frame, socket } = timeout(LISTENER_TIMEOUT, receiver.next()).await.ok()??;
     let (HandoverFrame::Listener, Some(socket)) = (frame, socket) else { return None };
     let listener = std::net::TcpListener::from(socket);
     listener.set_nonblocking(true).ok()?;
     let listener = TcpListener::from_std(listener).ok()?;
-    // Told to listen elsewhere, this process is no successor.
-    let same = address.port() == 0 || listener.local_addr().is_ok_and(|its| its == address);
-    same.then_some((listener, Predecessor { outbox, inbox }))
+    // A process that is configured to listen elsewhere is no successor.
+    let any_port = address.port() == 0;
+    let same_address = listener.local_addr().is_ok_and(|local_address| local_address == address);
+    if !any_port && !same_address {
+        return None;
+    }
+    Some((listener, Predecessor { sender, receiver }))
 }
 
-/// One process's part in upgrades.
+/// What this process needs to take part in upgrades, as the successor first and as a predecessor later.
 pub struct Handover {
-    /// Where a new process finds this one.
-    pub place: Option<PathBuf>,
-    /// The socket for clients.
+    /// Where a successor finds this process; `None`: there are no upgrades.
+    pub socket_path: Option<PathBuf>,
+    /// The listener for clients.
     pub listener: Rc<TcpListener>,
-    /// What may be passed on, or comes in.
-    pub front: Rc<Frontend>,
-    /// The state.
+    /// Hands connections on, and serves those that come in.
+    pub frontend: Rc<Frontend>,
+    /// The phase of this process.
     pub lifecycle: Rc<Lifecycle>,
-    /// The way to the engine.
+    /// The queue to the engine.
     pub queue: EngineQueue,
-    /// The links.
+    /// The links to the other processes.
     pub peers: PeerProcesses,
-    /// The bounds that two processes share.
-    pub shares: Rc<DescriptorBudgets>,
-    /// Says whether discovery has spoken.
+    /// The descriptor budgets, which linked processes share.
+    pub budgets: Rc<DescriptorBudgets>,
+    /// Shows whether an endpoint list has come.
     pub counters: Rc<Counters>,
 }
 
 impl Handover {
-    /// Takes over from `old`, if there is one, then serves and waits for a successor.
-    pub async fn run(self: Rc<Self>, old: Option<Predecessor>) {
-        let said = match old {
-            Some(Predecessor { outbox, inbox }) => {
-                tracing::info!("taking over from the process that serves");
-                let this = Rc::clone(&self);
-                let id = self.join(outbox.clone(), ProcessRole::Predecessor);
-                spawn_local(async move {
-                    this.hear(id, inbox).await;
-                    this.part(id);
-                    tracing::info!("the old process has left");
-                });
-                let until = Instant::now() + DISCOVERY;
-                while self.counters.pool_updates.get() == 0 && Instant::now() < until {
-                    sleep(LOOK).await;
-                }
-                Some(outbox)
-            }
-            None => None,
-        };
-        spawn_local(Rc::clone(&self.front).run(Rc::clone(&self.listener)));
+    /// Takes over from the predecessor, if there is one, then serves and waits for successors.
+    pub async fn run(self: Rc<Self>, predecessor: Option<Predecessor>) {
+        let mut to_predecessor = None;
+        if let Some(predecessor) = predecessor {
+            to_predecessor = Some(predecessor.sender.clone());
+            self.follow_predecessor(predecessor);
+            self.wait_for_endpoint_list().await;
+        }
+        spawn_local(Rc::clone(&self.frontend).run(Rc::clone(&self.listener)));
         self.lifecycle.notify(LifecycleEvent::Started);
-        let _ = said.map(|outbox| outbox.send(HandoverFrame::Serving, None));
-        while let Some(place) = self.place.as_deref() {
-            let Ok(door) = meet(place).inspect_err(|error| {
-                tracing::warn!("no upgrade can find this process: {error}");
-            }) else {
-                return;
+        if let Some(sender) = to_predecessor {
+            sender.send(HandoverFrame::Serving, None);
+        }
+        self.accept_successors().await;
+    }
+
+    /// Receives from the predecessor until it exits.
+    fn follow_predecessor(self: &Rc<Self>, predecessor: Predecessor) {
+        tracing::info!("taking over from the predecessor");
+        let handover = Rc::clone(self);
+        let peer = self.add_peer(predecessor.sender, ProcessRole::Predecessor);
+        spawn_local(async move {
+            handover.receive(peer, predecessor.receiver).await;
+            handover.remove_peer(peer);
+            tracing::info!("the predecessor has exited");
+        });
+    }
+
+    async fn wait_for_endpoint_list(&self) {
+        let last_check = Instant::now() + DISCOVERY_TIMEOUT;
+        while self.counters.pool_updates.get() == 0 && Instant::now() < last_check {
+            sleep(DISCOVERY_CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Listens for successors for good, or not at all if the socket cannot be bound.
+    async fn accept_successors(self: &Rc<Self>) {
+        while let Some(socket_path) = self.socket_path.as_deref() {
+            let listener = match bind_socket(socket_path) {
+                Ok(listener) => listener,
+                Err(error) => {
+                    tracing::warn!(%error, "cannot listen for a successor");
+                    return;
+                }
             };
-            self.wait_for_successor(door).await;
+            self.offer_listener(listener).await;
         }
     }
 
-    /// Offers the socket to one new process at a time, until one that served has died.
-    async fn wait_for_successor(self: &Rc<Self>, door: UnixListener) {
+    /// Offers the listener to one successor at a time, until one that has served is lost: that one has replaced the
+    /// socket file, which is then to be bound again.
+    async fn offer_listener(self: &Rc<Self>, successors: UnixListener) {
         loop {
-            let stream = match door.accept().await {
-                Ok((stream, _)) => stream,
-                Err(_) => {
-                    sleep(TRY_AGAIN).await;
-                    continue;
-                }
+            let Ok((stream, _)) = successors.accept().await else {
+                sleep(RETRY_INTERVAL).await;
+                continue;
             };
-            let Ok(socket) = self.listener.as_fd().try_clone_to_owned() else { continue };
-            tracing::info!("a new process takes over");
-            let (outbox, inbox) = link(stream);
-            outbox.send(HandoverFrame::Listener, Some(socket));
-            let id = self.join(outbox.clone(), ProcessRole::Successor);
-            self.hear(id, inbox).await;
-            self.part(id);
-            let served = self.front.has_successor();
-            self.front.succeeded_by(None);
+            // Without a descriptor to spare the link is closed, and the successor tries again.
+            let Ok(listener) = self.listener.as_fd().try_clone_to_owned() else { continue };
+            tracing::info!("a successor takes over");
+            let (sender, receiver) = link(stream);
+            sender.send(HandoverFrame::Listener, Some(listener));
+            let peer = self.add_peer(sender, ProcessRole::Successor);
+            self.receive(peer, receiver).await;
+            self.remove_peer(peer);
+            let has_served = self.frontend.has_successor();
+            self.frontend.succeeded_by(None);
             self.queue.send(EngineMessage::SuccessorChanged(false));
             self.lifecycle.notify(LifecycleEvent::SuccessorLost);
-            tracing::warn!("the new process is gone");
-            if served {
-                return; // it had taken the meeting place over
+            tracing::warn!("the successor has exited");
+            if has_served {
+                return;
             }
         }
     }
 
-    fn join(&self, outbox: FrameSender, side: ProcessRole) -> PeerProcessId {
-        let id = self.peers.join(outbox);
-        self.peers.introduce(id);
-        self.queue.send(EngineMessage::PeerProcessJoined(id, side));
-        self.shares.among(1 + self.peers.count());
-        id
+    fn add_peer(&self, sender: FrameSender, role: ProcessRole) -> PeerProcessId {
+        let peer = self.peers.add(sender);
+        self.peers.send_open_requests(peer);
+        self.queue.send(EngineMessage::PeerProcessJoined(peer, role));
+        self.share_descriptors();
+        peer
     }
 
-    fn part(&self, id: PeerProcessId) {
-        self.peers.part(id);
-        self.shares.among(1 + self.peers.count());
+    fn remove_peer(&self, peer: PeerProcessId) {
+        self.peers.remove(peer);
+        self.share_descriptors();
     }
 
-    /// Takes what the other process says, until its end.
-    async fn hear(&self, id: PeerProcessId, mut inbox: FrameReceiver) {
-        while let Some((frame, socket)) = inbox.next().await {
-            match (frame, socket) {
-                (HandoverFrame::Serving, _) => {
-                    let successor = self.peers.outbox(id);
-                    let alike = successor.as_ref().is_some_and(FrameSender::is_alike);
-                    if !alike {
-                        tracing::info!("the new process is of another build: jobs are finished here");
-                    }
-                    self.lifecycle.notify(LifecycleEvent::SuccessorServing);
-                    self.front.succeeded_by(successor);
-                    self.queue.send(EngineMessage::SuccessorChanged(alike));
-                }
-                (HandoverFrame::IdleConnection { worth, spoke }, Some(socket)) => {
-                    if let Some(stream) = adopted(socket) {
-                        spawn_local(Rc::clone(&self.front).adopt(stream, worth, spoke));
-                    }
-                }
-                (HandoverFrame::LearnedState(learnt, names), _) => {
-                    self.queue.send(EngineMessage::LearnedState(learnt, names))
-                }
-                (HandoverFrame::RequestOpened(name), _) => self.peers.note(id, name, true),
-                (HandoverFrame::RequestClosed(name), _) => self.peers.note(id, name, false),
-                (
-                    HandoverFrame::Request { request: moved, read_ahead: ahead, keep_alive: keep },
-                    Some(socket),
-                ) => {
-                    self.peers.note(id, moved.payload.name.clone(), false);
-                    if let Some(stream) = adopted(socket) {
-                        // Handed in before the next frame is read, which may be a call-back for it.
-                        let (left, pending) = (moved.time_left, self.queue.take_over(moved));
-                        spawn_local(Rc::clone(&self.front).take_over(stream, ahead, keep, pending, left));
-                    }
-                }
-                (HandoverFrame::Callback(call_back, hops), _) => {
-                    let passed = Some(CallbackRelay { from: id, relays: hops });
-                    self.queue.send(EngineMessage::Callback(call_back, passed));
-                }
-                (HandoverFrame::WorkSent(name, class, work), _) => {
-                    self.peers.pass(Some(id), &HandoverFrame::WorkSent(name.clone(), class, work));
-                    self.queue.send(EngineMessage::SentByOtherProcess(name, class, work));
+    fn share_descriptors(&self) {
+        self.budgets.among(1 + self.peers.count());
+    }
+
+    /// Receives from another process until its end.
+    async fn receive(&self, peer: PeerProcessId, mut receiver: FrameReceiver) {
+        while let Some(received) = receiver.next().await {
+            self.handle(peer, received);
+        }
+    }
+
+    fn handle(&self, peer: PeerProcessId, received: ReceivedFrame) {
+        match (received.frame, received.socket) {
+            (HandoverFrame::Serving, _) => self.successor_serves(peer),
+            (HandoverFrame::IdleConnection { worth, spoke }, Some(socket)) => {
+                if let Some(stream) = adopt_socket(socket) {
+                    spawn_local(Rc::clone(&self.frontend).adopt(stream, worth, spoke));
                 }
-                (
-                    HandoverFrame::Listener
-                    | HandoverFrame::IdleConnection { .. }
-                    | HandoverFrame::Request { .. },
-                    _,
-                ) => {}
             }
+            (HandoverFrame::LearnedState(learned, names), _) => {
+                self.queue.send(EngineMessage::LearnedState(learned, names));
+            }
+            (HandoverFrame::RequestOpened(id), _) => self.peers.request_opened(peer, id),
+            (HandoverFrame::RequestClosed(id), _) => self.peers.request_closed(peer, id),
+            (HandoverFrame::Request { request, read_ahead, keep_alive }, Some(socket)) => {
+                self.adopt_request(peer, AdoptedRequest { request, socket, read_ahead, keep_alive });
+            }
+            (HandoverFrame::Callback(callback, relays), _) => {
+                let relay = CallbackRelay { from: peer, relays };
+                self.queue.send(EngineMessage::Callback(callback, Some(relay)));
+            }
+            (HandoverFrame::WorkSent(worker, class, work_s), _) => {
+                self.peers.broadcast(Some(peer), &HandoverFrame::WorkSent(worker.clone(), class, work_s));
+                self.queue.send(EngineMessage::SentByOtherProcess(worker, class, work_s));
+            }
+            // The first is expected only by `listener_of_predecessor`; the others never come without their socket.
+            (
+                HandoverFrame::Listener
+                | HandoverFrame::IdleConnection { .. }
+                | HandoverFrame::Request { .. },
+                _,
+            ) => {}
         }
     }
+
+    /// The successor accepts connections from now on, and this process hands its own on.
+    fn successor_serves(&self, peer: PeerProcessId) {
+        let successor = self.peers.sender(peer);
+        let migrates = successor.as_ref().is_some_and(FrameSender::has_same_form);
+        if !migrates {
+            tracing::info!("the successor is of another build: requests are finished here");
+        }
+        self.lifecycle.notify(LifecycleEvent::SuccessorServing);
+        self.frontend.succeeded_by(successor);
+        self.queue.send(EngineMessage::SuccessorChanged(migrates));
+    }
+
+    /// Takes over a request of the predecessor. It is in the engine's queue before the next frame is read, which may
+    /// be a callback for it.
+    fn adopt_request(&self, peer: PeerProcessId, adopted: AdoptedRequest) {
+        let AdoptedRequest { request, socket, read_ahead, keep_alive } = adopted;
+        self.peers.request_closed(peer, request.payload.name.clone());
+        let Some(stream) = adopt_socket(socket) else { return };
+        let time_left = request.time_left;
+        let pending = self.queue.take_over(request);
+        spawn_local(Rc::clone(&self.frontend).take_over(stream, read_ahead, keep_alive, pending, time_left));
+    }
+}
+
+/// A request of the predecessor, with the socket on which its client waits.
+struct AdoptedRequest {
+    request: Box<MigratedRequest>,
+    socket: OwnedFd,
+    read_ahead: Bytes,
+    keep_alive: bool,
 }
 
-fn adopted(socket: OwnedFd) -> Option<TcpStream> {
+/// A client's socket from another process; `None`: it has broken meanwhile.
+fn adopt_socket(socket: OwnedFd) -> Option<TcpStream> {
     let stream = std::net::TcpStream::from(socket);
     stream.set_nonblocking(true).ok()?;
     TcpStream::from_std(stream).ok()
 }
 
-/// Listens at the meeting place. The file of a process that is gone, or that this one replaces, gives way
-/// in one step: at no moment is there none.
-fn meet(place: &Path) -> io::Result<UnixListener> {
-    let own = place.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&own);
-    let door = UnixListener::bind(&own)?;
-    std::fs::rename(&own, place)?;
-    Ok(door)
+/// Listens at this path. The file of a process that has exited, or that this one replaces, is replaced in one step:
+/// at no moment is there none.
+fn bind_socket(path: &Path) -> io::Result<UnixListener> {
+    let temporary = path.with_extension(std::process::id().to_string());
+    // Usually there is none: only a killed process with the same number leaves one.
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
+    Ok(listener)
 }
--- a/src/server/lifecycle/peer_processes.rs
+++ b/src/server/lifecycle/peer_processes.rs
@@ -1,5 +1,8 @@
-//! The other processes of an upgrade, as the engine sees them: jobs that are open there, call-backs that
-//! belong there, and work that they send to members. With none, everything here is a no-op.
+//! The other processes of an upgrade, as the engine sees them.
+//!
+//! [`PeerProcesses`] owns the links, and for each the ids of the requests that are open there: an id that is open at any of
+//! them is in use. It does not know what follows from a frame; [`super::handover`] does. Without an upgrade there is no
+//! link, and everything here does nothing.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -10,98 +13,101 @@
 use crate::server::lifecycle::handover_frames::{FrameSender, HandoverFrame};
 use crate::server::messages::PeerProcessId;
 
-struct Peer {
+struct PeerProcess {
     id: PeerProcessId,
-    outbox: FrameSender,
-    /// Transactions that are open there.
-    names: HashSet<Bytes>,
+    sender: FrameSender,
+    /// Ids of the requests that are open there.
+    open_requests: HashSet<Bytes>,
 }
 
-/// The processes that this one has a link to. They form a line, old to new, so that what is passed to all
-/// but the one it came from reaches each of them once.
+/// The processes that this one has a link to. They form a chain from the oldest to the newest, so that a frame that each
+/// sends on to all but its source reaches every process once.
 #[derive(Clone, Default)]
 pub struct PeerProcesses {
-    peers: Rc<RefCell<Vec<Peer>>>,
-    next: Rc<Cell<u64>>,
+    peers: Rc<RefCell<Vec<PeerProcess>>>,
+    next_id: Rc<Cell<u64>>,
 }
 
 impl PeerProcesses {
     /// Adds a link.
-    pub fn join(&self, outbox: FrameSender) -> PeerProcessId {
-        let id = PeerProcessId(self.next.get());
-        self.next.set(id.0 + 1);
-        self.peers.borrow_mut().push(Peer { id, outbox, names: HashSet::new() });
+    pub fn add(&self, sender: FrameSender) -> PeerProcessId {
+        let id = PeerProcessId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
+        self.peers.borrow_mut().push(PeerProcess { id, sender, open_requests: HashSet::new() });
         id
     }
 
-    /// A link has ended, and whatever was open there with it.
-    pub fn part(&self, id: PeerProcessId) {
+    /// Removes a link that has ended, and notifies the others that no request is open there any more.
+    pub fn remove(&self, id: PeerProcessId) {
         let mut peers = self.peers.borrow_mut();
-        if let Some(at) = peers.iter().position(|peer| peer.id == id) {
-            let gone = peers.remove(at);
-            for name in gone.names {
-                peers
-                    .iter()
-                    .for_each(|peer| peer.outbox.send(HandoverFrame::RequestClosed(name.clone()), None));
+        let Some(index) = peers.iter().position(|peer| peer.id == id) else { return };
+        let removed = peers.remove(index);
+        for request in removed.open_requests {
+            for peer in peers.iter() {
+                peer.sender.send(HandoverFrame::RequestClosed(request.clone()), None);
             }
         }
     }
 
-    /// The way to one of them.
-    pub fn outbox(&self, id: PeerProcessId) -> Option<FrameSender> {
-        self.peers.borrow().iter().find(|peer| peer.id == id).map(|peer| peer.outbox.clone())
+    /// The sending side of a link.
+    pub fn sender(&self, id: PeerProcessId) -> Option<FrameSender> {
+        self.peers.borrow().iter().find(|peer| peer.id == id).map(|peer| peer.sender.clone())
     }
 
-    /// How many there are.
+    /// How many links there are.
     pub fn count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Whether all that was said to them is written.
+    /// Whether all frames have been written.
     pub fn is_flushed(&self) -> bool {
-        self.peers.borrow().iter().all(|peer| peer.outbox.is_flushed())
+        self.peers.borrow().iter().all(|peer| peer.sender.is_flushed())
     }
 
-    /// Whether a transaction of this name is open at one of them.
-    pub fn holds(&self, name: &Bytes) -> bool {
-        self.peers.borrow().iter().any(|peer| peer.names.contains(name))
+    /// Whether a request with this id is open at another process.
+    pub fn has_open_request(&self, request: &Bytes) -> bool {
+        self.peers.borrow().iter().any(|peer| peer.open_requests.contains(request))
     }
 
-    /// Tells one what is open at the others; its own engine tells the rest.
-    pub fn introduce(&self, id: PeerProcessId) {
+    /// Notifies a new peer of the requests that are open at the others; the engine sends those of this process.
+    pub fn send_open_requests(&self, id: PeerProcessId) {
         let peers = self.peers.borrow();
-        let Some(new) = peers.iter().find(|peer| peer.id == id) else { return };
-        for name in peers.iter().filter(|peer| peer.id != id).flat_map(|peer| &peer.names) {
-            new.outbox.send(HandoverFrame::RequestOpened(name.clone()), None);
+        let Some(new_peer) = peers.iter().find(|peer| peer.id == id) else { return };
+        for request in peers.iter().filter(|peer| peer.id != id).flat_map(|peer| &peer.open_requests) {
+            new_peer.sender.send(HandoverFrame::RequestOpened(request.clone()), None);
         }
     }
 
-    /// Says something to one of them.
-    pub fn tell(&self, id: PeerProcessId, frame: HandoverFrame) {
+    /// Sends a frame to one peer.
+    pub fn send(&self, id: PeerProcessId, frame: HandoverFrame) {
         if let Some(peer) = self.peers.borrow().iter().find(|peer| peer.id == id) {
-            peer.outbox.send(frame, None);
+            peer.sender.send(frame, None);
         }
     }
 
-    /// Says something to all but the one that it came from; whether there is such a one.
-    pub fn pass(&self, from: Option<PeerProcessId>, frame: &HandoverFrame) -> bool {
-        let peers = self.peers.borrow();
-        let others = peers.iter().filter(|peer| Some(peer.id) != from);
-        others.map(|peer| peer.outbox.send(frame.clone(), None)).count() > 0
+    /// Sends a frame to all peers but its source; false if there is none.
+    pub fn broadcast(&self, source: Option<PeerProcessId>, frame: &HandoverFrame) -> bool {
+        let mut sent = false;
+        for peer in self.peers.borrow().iter().filter(|peer| Some(peer.id) != source) {
+            peer.sender.send(frame.clone(), None);
+            sent = true;
+        }
+        sent
     }
 
-    /// One of them says that a transaction is open there, or is open no more.
-    pub fn note(&self, id: PeerProcessId, name: Bytes, open: bool) {
+    /// A request is open at a peer from now on.
+    pub fn request_opened(&self, id: PeerProcessId, request: Bytes) {
         if let Some(peer) = self.peers.borrow_mut().iter_mut().find(|peer| peer.id == id) {
-            if open {
-                peer.names.insert(name.clone());
-            } else {
-                peer.names.remove(&name);
-            }
+            peer.open_requests.insert(request.clone());
+        }
+        self.broadcast(Some(id), &HandoverFrame::RequestOpened(request));
+    }
+
+    /// A request is no longer open at a peer.
+    pub fn request_closed(&self, id: PeerProcessId, request: Bytes) {
+        if let Some(peer) = self.peers.borrow_mut().iter_mut().find(|peer| peer.id == id) {
+            peer.open_requests.remove(&request);
         }
-        self.pass(
-            Some(id),
-            &if open { HandoverFrame::RequestOpened(name) } else { HandoverFrame::RequestClosed(name) },
-        );
+        self.broadcast(Some(id), &HandoverFrame::RequestClosed(request));
     }
 }
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -322,7 +322,7 @@
         &format!(
             "{FULL}{TAKEN}
             s2 send START
-            s expect log a new process takes over
+            s expect log a successor takes over
             d expect new GET /v1/endpoints
             d send 200 Transfer-Encoding: chunked
             d send full m1:active
@@ -345,7 +345,7 @@
         &format!(
             "{FULL}{TAKEN}
             t2 send START
-            t expect log a new process takes over
+            t expect log a successor takes over
             e expect new GET /v1/endpoints
             e send 200 Transfer-Encoding: chunked
             e send full m2:active
--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -15,7 +15,7 @@
 /// Starts the second process and waits for its yes, which it gives when its own discovery has spoken.
 const UPGRADE: &str = "
     s2 send START
-    s expect log a new process takes over
+    s expect log a successor takes over
     p1 send raw STATUS\\n
     p1 expect -ERR starting
     d expect new GET /v1/endpoints
@@ -135,7 +135,7 @@
     "",
     "
     s2 send KILL
-    s expect log the new process is gone
+    s expect log the successor has exited
     o2 wait STATUS => +OK serving
     c1 send job r1
     m1 expect r1
@@ -176,7 +176,7 @@
             {UPGRADE}
             s2 expect log serves on
             s3 send START
-            s2 expect log a new process takes over
+            s2 expect log a successor takes over
             d expect new GET /v1/endpoints
             d send 200 Transfer-Encoding: chunked
             d send full m1:active
@@ -223,7 +223,7 @@
         c1 expect 200 & drawn
         v expect 3
         v close
-        s expect log the new process is gone
+        s expect log the successor has exited
         o2 wait STATUS => +OK serving
         c3 send job r2
         m1 expect r2
