--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -14,7 +14,7 @@
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
 use chutesaddle::server::lifecycle::reload::{operator, Reload};
-use chutesaddle::server::lifecycle::{Lifecycle, Phase};
+use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
 use chutesaddle::server::peers::site_links::{new_instance, SiteLinks};
@@ -90,8 +90,8 @@
         tracing::info!("operators call at {}", address.map(|a| a.to_string()).unwrap_or_default());
         spawn_local(OperatorInterface::new(Rc::clone(&lifecycle), Rc::clone(&counters)).run(door));
     }
-    let place = handover::meeting_place();
-    let listener = handover::listener(place.as_deref(), config.listen).await;
+    let socket_path = handover::socket_path();
+    let listener = handover::take_listener(socket_path.as_deref(), config.listen).await;
     let (listener, old) = listener.map_err(|error| StartError::Listen(config.listen, error))?;
 
     let settings = config.settings;
@@ -146,13 +146,13 @@
         shares: Rc::clone(&shares),
     };
     let handover = Handover {
-        place,
+        socket_path,
         listener: Rc::new(listener),
-        front: Rc::clone(&front),
+        frontend: Rc::clone(&front),
         lifecycle: Rc::clone(&lifecycle),
         queue,
         peers: peers.clone(),
-        shares,
+        budgets: shares,
         counters: Rc::clone(&counters),
     };
     let mut engine = spawn_local(engine.run(config.known_endpoints));
@@ -177,13 +177,13 @@
         () = started => {}
     }
     tracing::info!("stopping, {} requests wait for their answer", front.waiting());
-    lifecycle.stop();
+    lifecycle.notify(LifecycleEvent::Terminated);
     // Also what was under way to this process when the taking stopped is read, and told to go elsewhere.
     let mut empty_since = None;
     loop {
         sleep(LOOK).await;
         let empty = front.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
-        if lifecycle.still_takes() || !lifecycle.clears() || !empty {
+        if lifecycle.admission_is_open() || !lifecycle.closes_idle_connections() || !empty {
             empty_since = None;
             continue;
         }
