--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::scheduling::interface::AttemptOutcome;
+use crate::scheduling::AttemptOutcome;
 
 /// Each way in which an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -53,9 +53,7 @@
 use timers::{Timer, Timers};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{Action, Event, RequestId, Settings, WorkerId};
-use crate::scheduling::state::NOTE;
+use crate::scheduling::{Action, Dispatcher, Event, RequestId, Settings, Timer as DispatcherTimer, WorkerId};
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::peer_processes::PeerProcesses;
 use crate::server::load_report;
@@ -226,7 +224,8 @@
         self.dispatcher.configure(settings.clone());
         self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
         self.settings = settings;
-        self.notify_dispatcher(Event::TimerExpired(NOTE)); // gossip may be allowed from now on
+        self.notify_dispatcher(Event::TimerExpired(DispatcherTimer::Gossip.tag()));
+        // gossip may be allowed from now on
     }
 
     /// Another process of an upgrade has sent work to a worker.
@@ -254,7 +253,7 @@
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch { request, worker } => return self.dispatch(request, worker),
-            Action::Reject { request, hold_off_s } => self.reject(request, hold_off_s),
+            Action::Reject { request, retry_after_s } => self.reject(request, retry_after_s),
             Action::Fail(request) => self.fail(request),
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
             Action::SetTimer { after_s, tag } => {
--- a/src/server/engine/answers.rs
+++ b/src/server/engine/answers.rs
@@ -4,7 +4,7 @@
 
 use super::request_table::WaitEnd;
 use super::Engine;
-use crate::scheduling::interface::RequestId;
+use crate::scheduling::RequestId;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::FinalAnswer;
 use crate::server::metrics::Counters;
@@ -40,7 +40,7 @@
             return;
         }
         let Some(request) = self.requests.remove(id) else { return };
-        self.peers.pass(None, &HandoverFrame::RequestClosed(request.payload.name.clone()));
+        self.peers.broadcast(None, &HandoverFrame::RequestClosed(request.payload.name.clone()));
     }
 }
 
--- a/src/server/engine/attempt_state.rs
+++ b/src/server/engine/attempt_state.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::scheduling::interface::WorkerId;
+use crate::scheduling::WorkerId;
 use crate::server::messages::AttemptCommand;
 
 /// What has become of an attempt, as far as the engine knows.
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -13,13 +13,13 @@
 
 use super::attempt_state::{Attempt, AttemptChange};
 use super::Engine;
-use crate::scheduling::interface::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
+use crate::scheduling::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::EngineMessage;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::load_report::Report;
-use crate::server::workers::attempt::AttemptTask;
-use crate::server::workers::capacity_probe::probe;
+use crate::server::workers::attempt::{AttemptResult, AttemptTask};
+use crate::server::workers::capacity_probe::{probe, ProbeResult};
 
 /// How an attempt ended, with the load that its worker reported along with it.
 pub(super) struct Ending {
@@ -57,7 +57,7 @@
         let work_s = request.estimated_work_s.unwrap_or(0.0);
         self.spawn_attempt(id, attempt, task.run());
         self.recent_sends.expire(&self.settings);
-        self.peers.pass(None, &HandoverFrame::WorkSent(worker_name.clone(), class, work_s));
+        self.peers.broadcast(None, &HandoverFrame::WorkSent(worker_name.clone(), class, work_s));
         self.recent_sends.add(worker_name, class, work_s);
         None
     }
@@ -132,8 +132,8 @@
         let (endpoint, queue) = (Rc::clone(endpoint), self.queue.clone());
         let asks_for_load = !self.settings.load_report_names.is_empty();
         spawn_local(async move {
-            let (end, report) = probe(endpoint, asks_for_load).await;
-            queue.send(EngineMessage::ProbeEnded(worker, end, report));
+            let ProbeResult { end, load_report } = probe(endpoint, asks_for_load).await;
+            queue.send(EngineMessage::ProbeEnded(worker, end, load_report));
         });
         None
     }
@@ -143,12 +143,12 @@
         &self,
         request: RequestId,
         attempt: usize,
-        task: impl Future<Output = (AttemptEnd, Option<String>)> + 'static,
+        task: impl Future<Output = AttemptResult> + 'static,
     ) {
         let queue = self.queue.clone();
         spawn_local(async move {
-            let (end, load_header) = task.await;
-            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_header));
+            let AttemptResult { end, load_report } = task.await;
+            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_report));
         });
     }
 
--- a/src/server/engine/callbacks.rs
+++ b/src/server/engine/callbacks.rs
@@ -6,7 +6,7 @@
 
 use super::attempts::Ending;
 use super::Engine;
-use crate::scheduling::interface::{Event, RequestId, WorkerId};
+use crate::scheduling::{Event, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{CallbackEvent, CallbackRelay, FinalAnswer, WorkerCallback};
@@ -59,8 +59,8 @@
                 tracing::debug!(request = %name, attempt, "attempt started");
                 self.notify_dispatcher(Event::AttemptStarted { request, attempt });
             }
-            (CallbackEvent::Progress(share), true) => {
-                self.notify_dispatcher(Event::AttemptProgressed { request, attempt, share });
+            (CallbackEvent::Progress(fraction), true) => {
+                self.notify_dispatcher(Event::AttemptProgressed { request, attempt, fraction });
             }
             (CallbackEvent::Ended(end), true) => self.attempt_ended(request, attempt, Ending { end, load }),
             (CallbackEvent::Completed(result), true) => {
@@ -92,6 +92,6 @@
         }
         let migrated = self.migration.has_migrated(&callback.request_name);
         let excluded = relay.map(|relay| relay.from).filter(|_| !migrated);
-        self.peers.pass(excluded, &HandoverFrame::Callback(callback.clone(), relays + 1))
+        self.peers.broadcast(excluded, &HandoverFrame::Callback(callback.clone(), relays + 1))
     }
 }
--- a/src/server/engine/endpoint_list.rs
+++ b/src/server/engine/endpoint_list.rs
@@ -8,7 +8,7 @@
 
 use super::Engine;
 use crate::config::endpoint_list::{EndpointEntry, EndpointListUpdate, EndpointState};
-use crate::scheduling::interface::{Event, LearnedState, Settings, WorkerId, WorkerInfo, WorkerState};
+use crate::scheduling::{Event, LearnedState, Settings, WorkerId, WorkerInfo, WorkerState};
 use crate::server::messages::stable_number;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
@@ -27,10 +27,10 @@
         found.map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// Applies an update of the endpoint list. `cached` marks the list that was stored by an earlier run.
-    pub(super) fn endpoint_list_changed(&mut self, update: EndpointListUpdate, cached: bool) {
-        let whole = update.complete_snapshot && update.unreadable_entries == 0;
-        if whole {
+    /// Applies an update of the endpoint list. `from_cache` marks the list that was stored by an earlier run.
+    pub(super) fn endpoint_list_changed(&mut self, update: EndpointListUpdate, from_cache: bool) {
+        let complete_snapshot = update.complete_snapshot && update.unreadable_entries == 0;
+        if complete_snapshot {
             self.remove_unlisted(&update.entries);
         }
         let mut entries = Vec::with_capacity(update.entries.len());
@@ -40,14 +40,14 @@
             self.update_worker(id, entry);
         }
         self.counters.pool_size.set(self.workers.len());
-        self.notify_dispatcher(Event::WorkersListed { whole, cached, entries });
+        self.notify_dispatcher(Event::WorkersListed { complete_snapshot, from_cache, entries });
     }
 
     fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
         self.workers.retain(|_, worker| {
             let listed = entries.iter().any(|entry| entry.name == worker.name);
             if !listed {
-                worker.left();
+                worker.deactivate();
             }
             listed
         });
@@ -57,7 +57,7 @@
         let active = entry.state == EndpointState::Active;
         let Some(address) = entry.address.filter(|_| entry.state != EndpointState::Removed) else {
             if let Some(removed) = self.workers.remove(&id) {
-                removed.left();
+                removed.deactivate();
             }
             return;
         };
@@ -82,9 +82,9 @@
     /// have an attempt.
     pub(super) fn clean_up_workers(&mut self) {
         for worker in self.workers.values() {
-            worker.prune();
+            worker.close_idle_connections();
         }
-        self.connector.relax();
+        self.connector.recover_trusted_idle();
         if self.worker_ids.len() <= self.workers.len() {
             return;
         }
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -21,7 +21,7 @@
 use super::request_table::{RequestFacts, TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
-use crate::scheduling::interface::{Event, RequestId, WorkerId};
+use crate::scheduling::{Event, RequestId, RequestNeeds, WorkerId};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{FinalAnswer, MigratedAttempt, MigratedRequest, PeerProcessId, ProcessRole};
 use crate::server::metrics::Gauge;
@@ -143,7 +143,7 @@
         let workers: Vec<WorkerId> =
             attempts.iter().map(|attempt| self.worker_id(&attempt.worker_name)).collect();
         self.counters.transactions_adopted.add();
-        let (tenant, slots, memory) = record.needs();
+        let RequestNeeds { tenant, slots, memory } = record.needs();
         let facts = RequestFacts { class, tenant, deadline, slots, memory, estimated_work_s, payload };
         let mut request = TrackedRequest::new(facts, reply, Gauge::hold(&self.counters.active));
         // The other process knows whether it ran. Here it counts as run, so that it is not forwarded.
@@ -190,7 +190,7 @@
             class: self.counters.class(request.class),
             accepted,
         };
-        self.spawn_attempt(id, attempt, task.run_taken());
+        self.spawn_attempt(id, attempt, task.run_accepted());
     }
 
     /// Notifies a process that has joined of what it must know: the open requests, and the work that workers
@@ -199,14 +199,14 @@
         if role == ProcessRole::Successor {
             let learned = self.dispatcher.learned_state();
             let names = learned.workers().map(|worker| (worker, self.worker_name(worker))).collect();
-            self.peers.tell(peer, HandoverFrame::LearnedState(Box::new(learned), names));
+            self.peers.send(peer, HandoverFrame::LearnedState(Box::new(learned), names));
         }
         for name in self.requests.names() {
-            self.peers.tell(peer, HandoverFrame::RequestOpened(name.clone()));
+            self.peers.send(peer, HandoverFrame::RequestOpened(name.clone()));
         }
         self.recent_sends.expire(&self.settings);
         for frame in self.recent_sends.frames() {
-            self.peers.tell(peer, frame);
+            self.peers.send(peer, frame);
         }
     }
 }
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::Instant;
 
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 
 /// The longest window that is kept, whatever the settings say.
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -17,7 +17,7 @@
 
 use super::attempt_state::Attempt;
 use super::site_forwarding::ForwardingState;
-use crate::scheduling::interface::RequestId;
+use crate::scheduling::RequestId;
 use crate::server::messages::{FinalAnswer, RequestPayload};
 use crate::server::metrics::Gauged;
 
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -11,7 +11,7 @@
 use super::site_forwarding::ForwardingState;
 use super::timers::Timer;
 use super::Engine;
-use crate::scheduling::interface::{Event, LoadReport, Request, RequestId};
+use crate::scheduling::{Event, LoadReport, Request, RequestId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{ClientRequest, FinalAnswer};
@@ -26,12 +26,12 @@
         reply: oneshot::Sender<FinalAnswer>,
     ) {
         let name = &submitted.payload.name;
-        if self.peers.holds(name) || self.requests.is_in_use(name, id) {
+        if self.peers.has_open_request(name) || self.requests.is_in_use(name, id) {
             self.reject_duplicate(&submitted, reply);
             return;
         }
         self.counters.transactions_taken.add();
-        self.peers.pass(None, &HandoverFrame::RequestOpened(name.clone()));
+        self.peers.broadcast(None, &HandoverFrame::RequestOpened(name.clone()));
         tracing::debug!(
             request = %name.escape_ascii(),
             class = submitted.class,
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -28,12 +28,12 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::{self as gateway, Action, Event as GatewayEvent, Gateway, LinkId, Origin};
-use chutesaddle_site_link::{Frame, Job};
+use chutesaddle_site_link::{Frame, OfferedRequest};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
 use super::Engine;
-use crate::scheduling::interface::{RequestClass, RequestId};
+use crate::scheduling::{RequestClass, RequestId};
 use crate::server::messages::RequestPayload;
 use crate::server::metrics::Counters;
 
@@ -44,7 +44,7 @@
 /// An offer that was received, until the gateway has decided on it.
 struct PendingOffer {
     origin: Origin,
-    job: Box<Job>,
+    request: Box<OfferedRequest>,
 }
 
 /// The gateway, the site links, and the requests of other sites that run here.
@@ -86,18 +86,20 @@
 
     /// An attempt of this class is sent to a worker of this site: its idempotency key is bound to this site.
     pub(super) fn runs_at_this_site(&mut self, class: &RequestClass, payload: &RequestPayload) {
-        if let gateway::Effect::Keyed { key, window } = candidates::repeat_effect(class, payload) {
+        if let gateway::Idempotency::WithKey { key, window } =
+            candidates::idempotency_across_sites(class, payload)
+        {
             // The gateway only records it: there are no actions.
             let mut actions = Vec::new();
             let now = self.now();
-            self.gateway.handle(now, GatewayEvent::RanHere { key, window }, &mut actions);
+            self.gateway.handle(now, GatewayEvent::KeyRanLocally { key, window }, &mut actions);
         }
     }
 
     fn publish_metrics(&self) {
         let metrics = &self.counters.gateway;
-        metrics.all.set(self.gateway.figures());
-        metrics.stance.set(self.gateway.stance());
+        metrics.all.set(self.gateway.statistics());
+        metrics.stance.set(self.gateway.load_state());
     }
 }
 
@@ -126,27 +128,27 @@
     fn perform_gateway_action(&mut self, action: Action) {
         let Some(forwarding) = &mut self.forwarding else { return };
         match action {
-            Action::Cross { job, link, crossing, epoch, left } => {
-                self.forward(RequestId(job.0), outbound::Forward { link, crossing, epoch, left });
+            Action::Forward { request, link, forwarded, epoch, time_left } => {
+                self.forward(RequestId(request.0), outbound::Forward { link, forwarded, epoch, time_left });
             }
-            Action::Stay(job, reason) => self.not_forwarded(RequestId(job.0), reason),
-            Action::Return(job) => self.forwarded_request_returned(RequestId(job.0)),
-            Action::Answer(job, answer) => self.forwarded_request_answered(RequestId(job.0), answer),
-            Action::Withdraw(link, id) => forwarding.send(link, Frame::Withdraw(id.0)),
-            Action::Ask(link, ids) => {
-                forwarding.send(link, Frame::Ask(ids.into_iter().map(|id| id.0).collect()));
+            Action::KeepLocal(request, reason) => self.not_forwarded(RequestId(request.0), reason),
+            Action::ReturnToScheduler(request) => self.forwarded_request_returned(RequestId(request.0)),
+            Action::Answer(request, answer) => self.forwarded_request_answered(RequestId(request.0), answer),
+            Action::SendCancel(link, id) => forwarding.send(link, Frame::Cancel(id.0)),
+            Action::QueryStatus(link, ids) => {
+                forwarding.send(link, Frame::StatusQuery(ids.into_iter().map(|id| id.0).collect()));
             }
-            Action::Acknowledge(link, id) => forwarding.send(link, Frame::Acknowledge(id.0)),
-            Action::Grant { link, limit, term } => {
-                let epoch = forwarding.gateway.instance().0;
+            Action::AcknowledgeOutcome(link, id) => forwarding.send(link, Frame::Acknowledge(id.0)),
+            Action::GrantCapacity { link, limit, term } => {
+                let epoch = forwarding.gateway.incarnation().0;
                 forwarding.send(link, Frame::Grant { epoch, limit, term_us: term.as_micros() as u64 });
             }
-            Action::Take { link, origin, left } => self.accept_offer(link, origin, left),
-            Action::GiveBack(link, id, reason) => forwarding.send(link, Frame::GivenBack(id.0, reason)),
-            Action::Tell(link, id, outcome) => forwarding.send(link, Frame::Ended(id.0, outcome)),
-            Action::Say(link, id, known) => forwarding.send(link, Frame::Told(id.0, known)),
-            Action::Drop(origin) => forwarding.abort_inbound(origin),
-            Action::Close(link) => forwarding.close(link),
+            Action::Accept { link, origin, time_left } => self.accept_offer(link, origin, time_left),
+            Action::ReturnUnstarted(link, id, reason) => forwarding.send(link, Frame::Returned(id.0, reason)),
+            Action::SendOutcome(link, id, outcome) => forwarding.send(link, Frame::Ended(id.0, outcome)),
+            Action::SendStatus(link, id, known) => forwarding.send(link, Frame::Status(id.0, known)),
+            Action::CancelInbound(origin) => forwarding.abort_inbound(origin),
+            Action::CloseLink(link) => forwarding.close(link),
         }
     }
 }
--- a/src/server/engine/site_forwarding/candidates.rs
+++ b/src/server/engine/site_forwarding/candidates.rs
@@ -5,13 +5,11 @@
 
 use std::time::Duration;
 
-use chutesaddle_gateway::{Candidate, Effect, Event as GatewayEvent, JobId, Pressure};
+use chutesaddle_gateway::{self as gateway, Candidate, Event as GatewayEvent, LocalRequestId, SiteLoad};
 use tokio::time::Instant;
 
 use super::{deduplication_window, ForwardingChange};
-use crate::scheduling::interface::{
-    CapacitySummary, DeduplicationScope, Idempotency, RequestClass, RequestId,
-};
+use crate::scheduling::{CapacitySummary, DeduplicationScope, Idempotency, RequestClass, RequestId};
 use crate::server::engine::Engine;
 use crate::server::messages::RequestPayload;
 
@@ -35,19 +33,22 @@
 
 /// What a repeat of a request does. A key that not even all workers of one site know together binds like a
 /// non-idempotent request: which group of workers saw it cannot be known across sites.
-pub(super) fn repeat_effect(class: &RequestClass, payload: &RequestPayload) -> Effect {
+pub(super) fn idempotency_across_sites(
+    class: &RequestClass,
+    payload: &RequestPayload,
+) -> gateway::Idempotency {
     match (class.idempotency, class.deduplication_scope, &payload.key) {
         (
             Idempotency::Idempotent,
             DeduplicationScope::All | DeduplicationScope::Zone | DeduplicationScope::Cell,
             _,
-        ) => Effect::Repeatable,
+        ) => gateway::Idempotency::Idempotent,
         (Idempotency::WithKey, DeduplicationScope::All, Some(key)) => {
-            Effect::Keyed { key: key.clone(), window: deduplication_window(class) }
+            gateway::Idempotency::WithKey { key: key.clone(), window: deduplication_window(class) }
         }
         (Idempotency::WithKey, DeduplicationScope::All, None)
         | (Idempotency::WithKey, DeduplicationScope::Zone | DeduplicationScope::Cell, _)
-        | (Idempotency::NonIdempotent, _, _) => Effect::Once,
+        | (Idempotency::NonIdempotent, _, _) => gateway::Idempotency::NonIdempotent,
     }
 }
 
@@ -65,8 +66,8 @@
         let CapacitySummary { slots, free, waiting, backlog_s } = self.dispatcher.capacity_summary();
         let scarce = waiting > 0 || (free < SCARCE_FREE_SLOTS && !self.requests.is_empty());
         forwarding.next_load_update = now + if scarce { LOAD_UPDATE_SCARCE } else { LOAD_UPDATE_AMPLE };
-        let clear = Duration::try_from_secs_f64(backlog_s).unwrap_or_default();
-        self.notify_gateway(GatewayEvent::Pressure(Pressure { slots, free, waiting, clear }));
+        let backlog = Duration::try_from_secs_f64(backlog_s).unwrap_or_default();
+        self.notify_gateway(GatewayEvent::LoadMeasured(SiteLoad { slots, free, waiting, backlog }));
         self.notify_gateway(GatewayEvent::Tick);
         if self.gateway_wants_candidates() {
             self.offer_waiting_requests(now);
@@ -95,15 +96,15 @@
         let request = self.requests.get(id).filter(|request| request.is_waiting())?;
         let never_sent = request.attempts.is_empty() && request.forwarding.is_local();
         Some(Candidate {
-            job: JobId(id.0),
-            effect: repeat_effect(&self.settings.classes[request.class], &request.payload),
-            rank: request.priority,
-            inside: request.priority >= 0.0,
+            request: LocalRequestId(id.0),
+            idempotency: idempotency_across_sites(&self.settings.classes[request.class], &request.payload),
+            priority: request.priority,
+            within_quota: request.priority >= 0.0,
             slots: whole_slots(request.slots),
             start_in: Duration::try_from_secs_f64(urgency.start_in_s).unwrap_or_default(),
-            left: request.deadline.saturating_duration_since(Instant::now()),
-            refused: urgency.rejected,
-            travelled: !never_sent,
+            time_left: request.deadline.saturating_duration_since(Instant::now()),
+            rejected: urgency.rejected,
+            forwarded_before: !never_sent,
         })
     }
 
@@ -147,7 +148,7 @@
         let Some(candidate) = self.candidate(id, Urgency { start_in_s, rejected: true }) else {
             return false;
         };
-        if candidate.travelled {
+        if candidate.forwarded_before {
             return false;
         }
         if let Some(request) = self.requests.get_mut(id) {
@@ -160,7 +161,7 @@
     /// The client of a request has disconnected; the request may be at another site.
     pub(in crate::server::engine) fn withdraw_forwarded(&mut self, id: RequestId) {
         if self.forwarding.is_some() {
-            self.notify_gateway(GatewayEvent::ClientDisconnected(JobId(id.0)));
+            self.notify_gateway(GatewayEvent::ClientDisconnected(LocalRequestId(id.0)));
         }
     }
 }
--- a/src/server/engine/site_forwarding/frames.rs
+++ b/src/server/engine/site_forwarding/frames.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use chutesaddle_gateway::{CrossingId, Event as GatewayEvent, Instance, LinkId};
+use chutesaddle_gateway::{Event as GatewayEvent, ForwardedRequestId, Incarnation, LinkId};
 use chutesaddle_site_link::Frame;
 
 use super::candidates::whole_slots;
@@ -27,41 +27,39 @@
 impl SiteForwarding {
     /// What a frame means to the gateway; nothing where it cannot be used.
     fn frame_event(&mut self, link: LinkId, frame: Frame) -> Option<GatewayEvent> {
-        let known = self.links.get(&link)?;
-        let id = CrossingId;
-        Some(match (known.dialled, frame) {
+        let site_link = self.links.get(&link)?;
+        let id = ForwardedRequestId;
+        Some(match (site_link.dialled, frame) {
             (true, Frame::Grant { epoch, limit, term_us }) => {
-                self.counters.gateway.link(&known.site, true, |figures| figures.room = limit);
+                self.counters.gateway.link(&site_link.site, true, |figures| figures.room = limit);
                 let term = Duration::from_micros(term_us);
-                GatewayEvent::Granted { link, epoch: Instance(epoch), limit, term }
+                GatewayEvent::CreditGranted { link, epoch: Incarnation(epoch), limit, term }
             }
-            (true, Frame::Taken(crossing)) => GatewayEvent::Taken(link, id(crossing)),
-            (true, Frame::GivenBack(crossing, _)) => GatewayEvent::Returned(link, id(crossing)),
-            (true, Frame::Ended(crossing, outcome)) => {
-                GatewayEvent::AttemptEnded(link, id(crossing), outcome)
-            }
-            (true, Frame::Told(crossing, known)) => GatewayEvent::Told(link, id(crossing), known),
-            (false, Frame::Offer { crossing, epoch, left_us, keep_us, job }) => {
+            (true, Frame::Accepted(number)) => GatewayEvent::RequestAccepted(link, id(number)),
+            (true, Frame::Returned(number, _)) => GatewayEvent::RequestReturned(link, id(number)),
+            (true, Frame::Ended(number, outcome)) => GatewayEvent::RequestEnded(link, id(number), outcome),
+            (true, Frame::Status(number, status)) => GatewayEvent::StatusReceived(link, id(number), status),
+            (false, Frame::Offer { forwarded, epoch, time_left_us, keep_outcome_us, request }) => {
                 // An offer of a peer that is not listed any more has an origin too: it is given back.
-                let origin = self.gateway.origin(link, id(crossing))?;
-                let slots = whole_slots(job.slots);
-                self.pending_offer = Some(PendingOffer { origin, job });
-                GatewayEvent::Offered {
+                let origin = self.gateway.origin(link, id(forwarded))?;
+                let slots = whole_slots(request.slots);
+                self.pending_offer = Some(PendingOffer { origin, request });
+                GatewayEvent::RequestOffered {
                     link,
-                    crossing: id(crossing),
-                    epoch: Instance(epoch),
+                    forwarded: id(forwarded),
+                    epoch: Incarnation(epoch),
                     slots,
-                    left: Duration::from_micros(left_us),
-                    keep: Duration::from_micros(keep_us).min(MAX_WINDOW),
+                    time_left: Duration::from_micros(time_left_us),
+                    keep_outcome: Duration::from_micros(keep_outcome_us).min(MAX_WINDOW),
                 }
             }
-            (false, Frame::Withdraw(crossing)) => GatewayEvent::Withdrawn(link, id(crossing)),
-            (false, Frame::Ask(crossings)) => {
-                GatewayEvent::Asked(link, crossings.into_iter().map(id).collect())
+            (false, Frame::Cancel(number)) => GatewayEvent::RequestCancelled(link, id(number)),
+            (false, Frame::StatusQuery(numbers)) => {
+                GatewayEvent::StatusQueried(link, numbers.into_iter().map(id).collect())
             }
-            (false, Frame::Acknowledge(crossing)) => GatewayEvent::Acknowledged(link, id(crossing)),
+            (false, Frame::Acknowledge(number)) => GatewayEvent::OutcomeAcknowledged(link, id(number)),
             (dialled, frame) => {
-                let site = &known.site;
+                let site = &site_link.site;
                 tracing::warn!(site, dialled, ?frame, "unexpected frame on a site link, closing the link");
                 self.close(link);
                 return None;
--- a/src/server/engine/site_forwarding/inbound.rs
+++ b/src/server/engine/site_forwarding/inbound.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::{Event as GatewayEvent, LinkId, Origin, Outcome};
-use chutesaddle_site_link::{Frame, Job};
+use chutesaddle_site_link::{Frame, OfferedRequest};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
 use super::SiteForwarding;
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::engine::Engine;
 use crate::server::engine_queue::EngineMessage;
 use crate::server::messages::{affinity_key_of, ClientRequest, RequestPayload};
@@ -30,26 +30,26 @@
         }
     }
 
-    fn is_bound_elsewhere(&self, job: &Job) -> bool {
-        job.key.as_ref().is_some_and(|key| self.gateway.bound_elsewhere(self.now(), key))
+    fn is_bound_elsewhere(&self, offered: &OfferedRequest) -> bool {
+        offered.key.as_ref().is_some_and(|key| self.gateway.bound_elsewhere(self.now(), key))
     }
 }
 
 impl Engine {
     /// Accepts the offer that the gateway has just decided on. It is given back unstarted where this site
     /// does not know its class or tenant, or where its idempotency key is bound to another site.
-    pub(super) fn accept_offer(&mut self, link: LinkId, origin: Origin, left: Duration) {
+    pub(super) fn accept_offer(&mut self, link: LinkId, origin: Origin, time_left: Duration) {
         let Some(forwarding) = &mut self.forwarding else { return };
         let Some(offer) = forwarding.pending_offer.take().filter(|offer| offer.origin == origin) else {
             return;
         };
-        let numbers = local_numbers(&self.settings, &offer.job);
-        let Some(numbers) = numbers.filter(|_| !forwarding.is_bound_elsewhere(&offer.job)) else {
-            self.notify_gateway(GatewayEvent::Finished(origin, Outcome::Unstarted));
+        let numbers = local_numbers(&self.settings, &offer.request);
+        let Some(numbers) = numbers.filter(|_| !forwarding.is_bound_elsewhere(&offer.request)) else {
+            self.notify_gateway(GatewayEvent::InboundRequestEnded(origin, Outcome::Unstarted));
             return;
         };
-        forwarding.send(link, Frame::Taken(origin.crossing.0));
-        let request = client_request(*offer.job, numbers, origin, Instant::now() + left);
+        forwarding.send(link, Frame::Accepted(origin.forwarded.0));
+        let request = client_request(*offer.request, numbers, origin, Instant::now() + time_left);
         let mut pending = self.queue.submit(Box::new(request));
         let queue = self.queue.clone();
         let task = spawn_local(async move {
@@ -60,26 +60,33 @@
     }
 }
 
-fn local_numbers(settings: &Settings, job: &Job) -> Option<LocalNumbers> {
-    let class = settings.classes.iter().position(|class| class.name == job.class)?;
+fn local_numbers(settings: &Settings, offered: &OfferedRequest) -> Option<LocalNumbers> {
+    let class = settings.classes.iter().position(|class| class.name == offered.class)?;
     if settings.tenants.is_empty() {
         return Some(LocalNumbers { class, tenant: 0 });
     }
-    let tenant = settings.tenants.iter().position(|tenant| tenant.name == job.tenant)?;
+    let tenant = settings.tenants.iter().position(|tenant| tenant.name == offered.tenant)?;
     Some(LocalNumbers { class, tenant })
 }
 
-fn client_request(job: Job, numbers: LocalNumbers, origin: Origin, deadline: Instant) -> ClientRequest {
-    let Job { hint, slots, memory, name, target, key, content_type, body, .. } = job;
+fn client_request(
+    offered: OfferedRequest,
+    numbers: LocalNumbers,
+    origin: Origin,
+    deadline: Instant,
+) -> ClientRequest {
+    let OfferedRequest {
+        estimated_work_s, slots, memory, request_id, target, key, content_type, body, ..
+    } = offered;
     ClientRequest {
         class: numbers.class,
         tenant: numbers.tenant,
         deadline,
         slots: slots.max(0.0),
         memory: memory.max(0.0),
-        estimated_work_s: hint,
+        estimated_work_s,
         affinity_key: affinity_key_of(&target),
-        payload: RequestPayload { name, target, key, content_type, body },
+        payload: RequestPayload { name: request_id, target, key, content_type, body },
         origin: Some(origin),
     }
 }
--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -1,6 +1,6 @@
 //! The site links as the engine knows them, and what is received from them.
 
-use chutesaddle_gateway::{CrossingId, Event as GatewayEvent, Instance, LinkId, Origin, Outcome};
+use chutesaddle_gateway::{Event as GatewayEvent, ForwardedRequestId, Incarnation, LinkId, Origin, Outcome};
 use chutesaddle_site_link::Frame;
 
 use super::SiteForwarding;
@@ -23,7 +23,7 @@
 /// A link that has just come up.
 struct NewLink {
     link: LinkId,
-    instance: Instance,
+    incarnation: Incarnation,
     site_link: SiteLink,
 }
 
@@ -53,23 +53,23 @@
         match event {
             SiteLinkEvent::Up { link, site, instance, dialled, outbox } => {
                 let site_link = SiteLink { site, dialled, outbox };
-                self.link_up(NewLink { link, instance: Instance(instance), site_link });
+                self.link_up(NewLink { link, incarnation: Incarnation(instance), site_link });
             }
             SiteLinkEvent::Down(link) => {
                 forwarding.close(link);
-                self.notify_gateway(GatewayEvent::Down(link));
-                self.notify_gateway(GatewayEvent::Parted(link));
+                self.notify_gateway(GatewayEvent::OutboundLinkDown(link));
+                self.notify_gateway(GatewayEvent::InboundLinkDown(link));
             }
             SiteLinkEvent::SiteLinkSettings(link, frame) => self.frame_received(link, frame),
             SiteLinkEvent::Written(link, id) => {
-                self.notify_gateway(GatewayEvent::Written(link, CrossingId(id)));
+                self.notify_gateway(GatewayEvent::RequestWritten(link, ForwardedRequestId(id)));
             }
             SiteLinkEvent::RoundTrip(link, time) => {
                 if let Some(known) = forwarding.links.get(&link) {
                     let metrics = &forwarding.counters.gateway;
                     metrics.link(&known.site, known.dialled, |figures| figures.round_trip = time);
                 }
-                self.notify_gateway(GatewayEvent::RoundTrip(link, time));
+                self.notify_gateway(GatewayEvent::RoundTripMeasured(link, time));
             }
             SiteLinkEvent::Answered(origin, answer) => self.inbound_answered(origin, answer),
             SiteLinkEvent::Drain(draining) => self.notify_gateway(GatewayEvent::Drain(draining)),
@@ -80,7 +80,7 @@
     /// Adds a link, unless its site is unknown or has too many. Dropping its outbox closes it.
     fn link_up(&mut self, new: NewLink) {
         let Some(forwarding) = &mut self.forwarding else { return };
-        let NewLink { link, instance, site_link } = new;
+        let NewLink { link, incarnation, site_link } = new;
         let Some(site) = forwarding.gateway.site(&site_link.site) else { return };
         let dialled = site_link.dialled;
         let same_direction = |other: &&SiteLink| other.site == site_link.site && other.dialled == dialled;
@@ -90,9 +90,9 @@
         forwarding.counters.gateway.link(&site_link.site, dialled, |figures| figures.up = true);
         forwarding.links.insert(link, site_link);
         self.notify_gateway(if dialled {
-            GatewayEvent::Up { link, site, instance }
+            GatewayEvent::OutboundLinkUp { link, site, incarnation }
         } else {
-            GatewayEvent::Joined { link, site, instance }
+            GatewayEvent::InboundLinkUp { link, site, incarnation }
         });
     }
 
@@ -107,6 +107,6 @@
             FinalAnswer::Rejected { .. } => Outcome::Rejected,
             FinalAnswer::Failed | FinalAnswer::Migrated(_) => Outcome::Failed,
         };
-        self.notify_gateway(GatewayEvent::Finished(origin, outcome));
+        self.notify_gateway(GatewayEvent::InboundRequestEnded(origin, outcome));
     }
 }
--- a/src/server/engine/site_forwarding/outbound.rs
+++ b/src/server/engine/site_forwarding/outbound.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use chutesaddle_gateway::{Answer, CrossingId, Instance, LinkId, Stay};
-use chutesaddle_site_link::{Frame, Job};
+use chutesaddle_gateway::{ForwardedAnswer, ForwardedRequestId, Incarnation, LinkId, NotForwarded};
+use chutesaddle_site_link::{Frame, OfferedRequest};
 
 use super::{deduplication_window, ForwardingChange, OnReturn};
-use crate::scheduling::interface::{Event, RequestId, Settings};
+use crate::scheduling::{Event, RequestId, Settings};
 use crate::server::engine::request_table::TrackedRequest;
 use crate::server::engine::Engine;
 use crate::server::messages::FinalAnswer;
@@ -19,11 +19,11 @@
 pub(super) struct Forward {
     pub(super) link: LinkId,
     /// Its number on the link.
-    pub(super) crossing: CrossingId,
+    pub(super) forwarded: ForwardedRequestId,
     /// The incarnation of the other process that granted the slots.
-    pub(super) epoch: Instance,
+    pub(super) epoch: Incarnation,
     /// The time that it has at the other site.
-    pub(super) left: Duration,
+    pub(super) time_left: Duration,
 }
 
 impl Engine {
@@ -39,21 +39,21 @@
             request.forwarding.change(ForwardingChange::Forwarded(on_return));
         }
         let window = deduplication_window(&self.settings.classes[request.class]);
-        let job = Box::new(wire_job(&self.settings, request));
+        let offered = Box::new(offered_request(&self.settings, request));
         self.counters.class(request.class).crossed.add();
         let Some(forwarding) = &mut self.forwarding else { return };
         let offer = Frame::Offer {
-            crossing: forward.crossing.0,
+            forwarded: forward.forwarded.0,
             epoch: forward.epoch.0,
-            left_us: forward.left.as_micros() as u64,
-            keep_us: window.max(MIN_OUTCOME_RETENTION).as_micros() as u64,
-            job,
+            time_left_us: forward.time_left.as_micros() as u64,
+            keep_outcome_us: window.max(MIN_OUTCOME_RETENTION).as_micros() as u64,
+            request: offered,
         };
         forwarding.send(forward.link, offer);
     }
 
     /// The gateway does not forward a request that it was offered.
-    pub(super) fn not_forwarded(&mut self, id: RequestId, reason: Stay) {
+    pub(super) fn not_forwarded(&mut self, id: RequestId, reason: NotForwarded) {
         if let Some(request) = self.requests.get_mut(id) {
             request.forwarding.change(ForwardingChange::Kept);
         }
@@ -78,11 +78,13 @@
     }
 
     /// A forwarded request has its final answer.
-    pub(super) fn forwarded_request_answered(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn forwarded_request_answered(&mut self, id: RequestId, answer: ForwardedAnswer) {
         let answer = match answer {
-            Answer::Served(result) => FinalAnswer::Served(result),
-            Answer::Rejected => FinalAnswer::Rejected { retry_after_s: self.settings.max_retry_after_s },
-            Answer::Failed => FinalAnswer::Failed,
+            ForwardedAnswer::Served(result) => FinalAnswer::Served(result),
+            ForwardedAnswer::Rejected => {
+                FinalAnswer::Rejected { retry_after_s: self.settings.max_retry_after_s }
+            }
+            ForwardedAnswer::Failed => FinalAnswer::Failed,
         };
         self.answer(id, answer);
         self.forget_if_done(id);
@@ -90,15 +92,15 @@
 }
 
 /// A request as a link carries it. Classes and tenants go by name: their numbers are each site's own.
-fn wire_job(settings: &Settings, request: &TrackedRequest) -> Job {
+fn offered_request(settings: &Settings, request: &TrackedRequest) -> OfferedRequest {
     let payload = &request.payload;
-    Job {
+    OfferedRequest {
         class: settings.classes[request.class].name.clone(),
         tenant: settings.tenants.get(request.tenant).map(|tenant| tenant.name.clone()).unwrap_or_default(),
-        hint: request.estimated_work_s,
+        estimated_work_s: request.estimated_work_s,
         slots: request.slots,
         memory: request.memory,
-        name: payload.name.clone(),
+        request_id: payload.name.clone(),
         target: payload.target.clone(),
         key: payload.key.clone(),
         content_type: payload.content_type.clone(),
--- a/src/server/engine/site_forwarding/state.rs
+++ b/src/server/engine/site_forwarding/state.rs
@@ -1,6 +1,6 @@
 //! Where a request stands between this site and others, and the one function that changes it.
 
-use crate::scheduling::state::RequestRecord;
+use crate::scheduling::RequestRecord;
 
 /// What a request has to do with other sites.
 #[derive(Debug)]
--- a/src/server/engine/timers.rs
+++ b/src/server/engine/timers.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::Instant;
 
-use crate::scheduling::interface::RequestId;
+use crate::scheduling::RequestId;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::scheduling::state::RequestRecord;
+use crate::scheduling::RequestRecord;
 use crate::server::attempt_end::AttemptEnd;
 
 /// A number for a name, the same in every scheduler of whatever build, so that all of them choose alike by it.
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -1,16 +1,16 @@
-//! The task of one attempt by itself: ends that need a moment at which the whole program cannot be stopped.
+//! One attempt by itself: ends that need a moment at which the whole program cannot be held.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use chutesaddle::scheduling::interface::AttemptOutcome;
+use chutesaddle::scheduling::AttemptOutcome;
 use chutesaddle::server::attempt_end::AttemptEnd;
 use chutesaddle::server::descriptor_budget::DescriptorBudget;
 use chutesaddle::server::messages::{AttemptCommand, RequestPayload};
 use chutesaddle::server::metrics::Counters;
-use chutesaddle::server::workers::attempt::AttemptTask;
+use chutesaddle::server::workers::attempt::{AttemptResult, AttemptTask};
 use chutesaddle::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
@@ -18,8 +18,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// The task of an attempt at the worker at `address`, and the engine's end of it.
-fn attempt_task(
+/// An attempt at a worker at `address`, and the sender of the engine's commands.
+fn attempt_at(
     address: SocketAddr,
     active: bool,
     descriptors: usize,
@@ -37,36 +37,40 @@
         content_type: None,
         body: bytes(b"b"),
     };
-    let (command, commands) = oneshot::channel();
+    let (sender, command) = oneshot::channel();
     let deadline = Instant::now() + Duration::from_secs(60);
     (
         AttemptTask {
             worker,
             payload: Rc::new(payload),
             deadline,
-            command: commands,
+            command,
             counters,
             class: Rc::default(),
             accepted: Rc::default(),
         },
-        command,
+        sender,
     )
 }
 
-/// The connect takes time, and the worker may have begun to drain meanwhile.
+fn ended_with(end: AttemptEnd) -> AttemptResult {
+    AttemptResult { end, load_report: None }
+}
+
+/// Rule 3: the connect takes time, and the worker may have begun to drain meanwhile.
 #[rstest]
-#[case::worker_drains_while_connecting(false, 8, AttemptEnd::WorkerInactive)]
-#[case::no_descriptor_left(true, 0, AttemptEnd::NoDescriptor)]
+#[case::it_drains_now(false, 8, AttemptEnd::WorkerInactive)]
+#[case::no_descriptor_is_left(true, 0, AttemptEnd::NoDescriptor)]
 #[tokio::test]
-async fn writes_nothing_when_the_attempt_cannot_be_sent(
+async fn sends_nothing_to_a_worker_that_drains_or_without_a_descriptor(
     #[case] active: bool,
     #[case] descriptors: usize,
     #[case] end: AttemptEnd,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (task, _command) = attempt_task(listener.local_addr().unwrap(), active, descriptors);
-    let ended = task.run().await; // drops the worker, and with it the connection
-    assert_eq!(ended, (end, None));
+    let (attempt, _command) = attempt_at(listener.local_addr().unwrap(), active, descriptors);
+    let ended = attempt.run().await; // drops the worker, and with it the connection
+    assert_eq!(ended, ended_with(end));
     if active {
         return;
     }
@@ -76,16 +80,16 @@
 }
 
 #[tokio::test]
-async fn attempt_cancelled_before_it_begins_is_never_sent() {
+async fn never_sends_an_attempt_that_is_cancelled_before_it_begins() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (task, command) = attempt_task(listener.local_addr().unwrap(), true, 8);
+    let (attempt, command) = attempt_at(listener.local_addr().unwrap(), true, 8);
     command.send(AttemptCommand::Cancel).unwrap();
-    assert_eq!(task.run().await, (AttemptEnd::CancelledUnsent, None));
+    assert_eq!(attempt.run().await, ended_with(AttemptEnd::CancelledUnsent));
 }
 
-/// A machine that is cut off answers no connect: here a listener whose backlog is full.
+/// A machine that is cut off answers no connect at all: here one whose backlog is full.
 #[tokio::test]
-async fn connect_without_any_answer_times_out() {
+async fn ends_a_connect_that_never_comes_up_after_the_time_out() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -94,14 +98,13 @@
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
         filling.push(stream.unwrap());
     }
-    let (task, _command) = attempt_task(address, true, 8);
-    assert_eq!(task.run().await, (AttemptEnd::ConnectTimedOut, None));
+    let (attempt, _command) = attempt_at(address, true, 8);
+    assert_eq!(attempt.run().await, ended_with(AttemptEnd::ConnectTimedOut));
 }
 
-/// Retries of non-idempotent requests rest on this: only what certainly never left this machine whole, or what the
-/// worker says it did not run, proves that it never ran.
+/// Rule 2 rests on this: only what certainly never left this machine whole proves that the request never ran.
 #[test]
-fn only_unsent_or_returned_attempts_prove_that_they_never_ran() {
+fn only_unsent_or_returned_requests_prove_that_they_never_ran() {
     let never_ran = |end: &AttemptEnd| {
         matches!(
             end.outcome(),
