--- /dev/null
+++ b/src/simulator/host.rs
@@ -0,0 +1,164 @@
+//! Holds the schedulers of one process: hands each the events that are for it, and collects its actions.
+
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+
+use super::error::{RecordError, WireError};
+use super::frame::{read_frame, FrameFault, FrameReader};
+use super::records::incoming::{self, ListNotice};
+use super::records::{outgoing, IncomingRecord};
+use crate::scheduling::dispatcher::Dispatcher;
+use crate::scheduling::interface::{Action, Event, LoadReportField, Settings, WorkerInfo};
+
+/// One scheduler.
+struct Instance {
+    dispatcher: Dispatcher,
+    /// What the values of a load report mean, in their order.
+    report_fields: Vec<LoadReportField>,
+    /// What it has decided in this frame.
+    actions: Vec<Action>,
+}
+
+/// The instances of one process and the worker lists that they share on the wire. The instances share nothing else.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<u16, Instance>,
+    worker_lists: BTreeMap<u8, Vec<WorkerInfo>>,
+    frames_answered: u64,
+}
+
+/// What one frame has done so far.
+#[derive(Default)]
+struct Batch {
+    /// The time of its events, in seconds.
+    now_s: f64,
+    /// The instance that the next records are for.
+    current: Option<u16>,
+    /// The instances that may have actions, in the order of their first event.
+    touched: Vec<u16>,
+}
+
+impl Batch {
+    fn touch(&mut self, index: u16) {
+        if !self.touched.contains(&index) {
+            self.touched.push(index);
+        }
+    }
+}
+
+impl Host {
+    /// Answers frames from `input` on `output` until the input ends.
+    ///
+    /// # Errors
+    /// Stops at the first frame that cannot be read, before any part of its reply is written.
+    pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
+        let (mut frame, mut reply) = (Vec::new(), Vec::new());
+        while read_frame(&mut input, &mut frame, self.frames_answered)? {
+            let actions = self.handle_frame(&frame).map_err(|fault| fault.in_frame(self.frames_answered))?;
+            reply.clear();
+            outgoing::put_with_length(&mut reply, |reply| reply.extend_from_slice(&actions));
+            output.write_all(&reply)?;
+            output.flush()?;
+            self.frames_answered += 1;
+        }
+        Ok(())
+    }
+
+    /// Hands the records of one frame (without its length) to the instances; returns their actions as records.
+    fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameFault> {
+        let mut records = FrameReader::new(frame)?;
+        let mut batch = Batch { now_s: records.now_s, ..Batch::default() };
+        while let Some(record) = records.next_record()? {
+            let mut fields = record.fields;
+            let handled = self.handle_record(record.code, &mut fields, &mut batch);
+            handled.map_err(|error| record.fault(error))?;
+            if !fields.is_empty() {
+                return Err(record.fault(RecordError::TooLong(fields.len())));
+            }
+        }
+        Ok(self.take_actions(&batch.touched))
+    }
+
+    /// The actions of these instances as records.
+    fn take_actions(&mut self, touched: &[u16]) -> Vec<u8> {
+        let mut reply = Vec::new();
+        for index in touched {
+            let Some(instance) = self.instances.get_mut(index) else { continue };
+            if instance.actions.is_empty() {
+                continue;
+            }
+            outgoing::put_instance(&mut reply, *index);
+            for action in instance.actions.drain(..) {
+                outgoing::put_action(&mut reply, &action);
+            }
+        }
+        reply
+    }
+
+    /// Handles one record: those for the whole process, then those that start an instance, then those that are for
+    /// one that runs.
+    fn handle_record(&mut self, code: u8, fields: &mut &[u8], batch: &mut Batch) -> Result<(), RecordError> {
+        let record = IncomingRecord::of_code(code);
+        if record == Some(IncomingRecord::SelectInstance) {
+            batch.current = Some(incoming::instance_number(fields)?);
+            return Ok(());
+        }
+        if record == Some(IncomingRecord::DefineList) {
+            let (number, entries) = incoming::worker_list(fields)?;
+            self.worker_lists.insert(number, entries);
+            return Ok(());
+        }
+        let index = batch.current.ok_or(RecordError::NoInstance)?;
+        if record == Some(IncomingRecord::StartInstance) {
+            self.start_instance(index, fields)?;
+            batch.touch(index);
+            return Ok(());
+        }
+        if !self.instances.contains_key(&index) {
+            return Err(RecordError::NotEnlisted(index));
+        }
+        let Some(record) = record else {
+            return Err(RecordError::UnknownValue { field: "the record code", value: code.into() });
+        };
+        if record == IncomingRecord::StopInstance {
+            self.instances.remove(&index);
+            return Ok(());
+        }
+        let event = self.event(record, index, fields)?;
+        batch.touch(index);
+        if let (Some(instance), Some(event)) = (self.instances.get_mut(&index), event) {
+            instance.dispatcher.handle(batch.now_s, event, &mut instance.actions);
+        }
+        Ok(())
+    }
+
+    /// Starts an instance; one of the same number is replaced.
+    fn start_instance(&mut self, index: u16, fields: &mut &[u8]) -> Result<(), RecordError> {
+        let start = incoming::instance_start(fields)?;
+        let settings: Settings = start.settings.parse()?;
+        let report_fields = settings.load_report_fields.clone();
+        let dispatcher = Dispatcher::new(settings, start.seed);
+        self.instances.insert(index, Instance { dispatcher, report_fields, actions: Vec::new() });
+        Ok(())
+    }
+
+    /// The event of a record for a running instance; `None` where it asks for no decision.
+    fn event(
+        &self,
+        record: IncomingRecord,
+        index: u16,
+        fields: &mut &[u8],
+    ) -> Result<Option<Event>, RecordError> {
+        if record == IncomingRecord::EndpointList {
+            return match incoming::list_notice(fields)? {
+                ListNotice::DiscoveryFailed => Ok(Some(Event::DiscoveryFailed)),
+                ListNotice::Update { list, complete, cached } => {
+                    let entries = self.worker_lists.get(&list).ok_or(RecordError::UndefinedList(list))?;
+                    Ok(Some(Event::WorkersListed { whole: complete, cached, entries: entries.clone() }))
+                }
+            };
+        }
+        let instance = self.instances.get(&index).ok_or(RecordError::NotEnlisted(index))?;
+        incoming::event(record, fields, &instance.report_fields)
+    }
+}
--- /dev/null
+++ b/src/simulator/records/outgoing.rs
@@ -0,0 +1,74 @@
+//! Writes the decisions' actions as records.
+
+use bytes::BufMut;
+
+use super::OutgoingRecord;
+use crate::scheduling::interface::{Action, WorkerId};
+
+/// Bytes of a length field.
+const LENGTH_BYTES: usize = 4;
+/// The receiver that stands for every other scheduler.
+const ALL_SCHEDULERS: u32 = u32::MAX;
+
+/// Says that the records after this one are actions of this instance.
+pub(in crate::simulator) fn put_instance(reply: &mut Vec<u8>, instance: u16) {
+    put_record(reply, OutgoingRecord::SelectInstance, |fields| fields.put_u16_le(instance));
+}
+
+/// Appends one action.
+pub(in crate::simulator) fn put_action(reply: &mut Vec<u8>, action: &Action) {
+    match *action {
+        Action::Dispatch { request, worker } => put_record(reply, OutgoingRecord::Dispatch, |fields| {
+            fields.put_u32_le(request.0);
+            put_worker(fields, worker);
+            fields.put_f64_le(0.0); // no time-out of its own: the request's deadline holds
+        }),
+        Action::Reject { request, hold_off_s } => put_record(reply, OutgoingRecord::Reject, |fields| {
+            fields.put_u32_le(request.0);
+            fields.put_f64_le(hold_off_s);
+        }),
+        Action::Fail(request) => {
+            put_record(reply, OutgoingRecord::Fail, |fields| fields.put_u32_le(request.0));
+        }
+        Action::Cancel { request, attempt } => put_record(reply, OutgoingRecord::Cancel, |fields| {
+            fields.put_u32_le(request.0);
+            fields.put_u8(attempt as u8);
+        }),
+        Action::SetTimer { after_s, tag } => put_record(reply, OutgoingRecord::SetTimer, |fields| {
+            fields.put_f64_le(after_s);
+            fields.put_u64_le(tag);
+        }),
+        Action::Probe(worker) => {
+            put_record(reply, OutgoingRecord::Probe, |fields| put_worker(fields, worker));
+        }
+        Action::BroadcastGossip(ref bytes) => put_record(reply, OutgoingRecord::BroadcastGossip, |fields| {
+            fields.put_u32_le(ALL_SCHEDULERS);
+            fields.put_u16_le(bytes.len() as u16);
+            fields.put_slice(bytes);
+        }),
+        Action::WatchEndpointList => {
+            put_record(reply, OutgoingRecord::WatchEndpointList, |fields| fields.put_u8(1));
+        }
+    }
+}
+
+/// Appends a record: its code, the length of its fields, its fields.
+fn put_record(reply: &mut Vec<u8>, record: OutgoingRecord, put_fields: impl FnOnce(&mut Vec<u8>)) {
+    reply.put_u8(record as u8);
+    put_with_length(reply, put_fields);
+}
+
+/// Appends what `put` writes, with its length before it.
+pub(in crate::simulator) fn put_with_length(reply: &mut Vec<u8>, put: impl FnOnce(&mut Vec<u8>)) {
+    let start = reply.len();
+    reply.put_u32_le(0);
+    put(reply);
+    let length = (reply.len() - start - LENGTH_BYTES) as u32;
+    reply[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+}
+
+/// A worker is its address, first byte first, and its port.
+fn put_worker(fields: &mut Vec<u8>, worker: WorkerId) {
+    fields.put_u32((worker.0 >> 16) as u32);
+    fields.put_u16_le(worker.0 as u16);
+}
