--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,208 +1,197 @@
-//! Reads the `path=value` options of a deployment into [`Settings`]. Unknown keys are skipped; missing
-//! ones keep the defaults of [`Settings::default`].
+//! Reads a deployment's settings, written as lines of `path=value`, into [`Settings`].
+//!
+//! The simulator sends the settings in this form; the platform's file holds the same ones as nested JSON, which
+//! [`super::flatten`] turns into these lines. So there is one reader, and both programs decide alike. Unknown keys are
+//! skipped, because a deployment may have more than this program knows; missing keys keep the defaults of
+//! [`Settings::default`]; a known key whose value cannot be read is an error that names both.
+//!
+//! - [`keys`]: each key of the wire page, with our term for it.
+//! - [`key_values`]: typed access to the lines.
+//! - [`reconfigure`]: what follows when the settings change while the process runs.
+
+mod key_values;
+mod keys;
+mod reconfigure;
 
-use std::collections::BTreeMap;
 use std::str::FromStr;
 
 use crate::scheduling::interface::{
     DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant,
 };
 
-/// A known key whose value cannot be read.
-#[derive(Debug, thiserror::Error, PartialEq)]
-#[error("option {key}: cannot read value {value:?}")]
-pub struct SettingsError {
-    /// The key.
-    pub key: String,
-    /// Its value.
-    pub value: String,
-}
+pub use key_values::SettingsError;
+pub use reconfigure::Reconfigured;
 
-/// More entries than this in a list of the options are taken for a mistake.
-const MOST_ENTRIES: usize = 65_536;
+use key_values::KeyValues;
 
-struct Options<'a>(BTreeMap<&'a str, &'a str>);
+/// How long a client waits where its class states no deadline, in seconds.
+const DEFAULT_DEADLINE_S: f64 = 60.0;
 
-fn bad(key: &str, value: &str) -> SettingsError {
-    SettingsError { key: key.to_owned(), value: value.to_owned() }
-}
+/// What the deployment calls the effect of a repeated request.
+const IDEMPOTENCY_VALUES: [(&str, Idempotency); 3] = [
+    ("repeatable", Idempotency::Idempotent),
+    ("by_key", Idempotency::WithKey),
+    ("once", Idempotency::NonIdempotent),
+];
 
-impl Options<'_> {
-    fn get<T: FromStr>(&self, key: &str, default: T) -> Result<T, SettingsError> {
-        match self.0.get(key) {
-            Some(value) => value.parse().map_err(|_| bad(key, value)),
-            None => Ok(default),
-        }
-    }
+/// What the deployment calls the workers that drop each other's repeats.
+const DEDUPLICATION_SCOPE_VALUES: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("cell", DeduplicationScope::Cell),
+];
+
+/// Whether discovery must be polled, or sends changes by itself.
+const DISCOVERY_POLLED_VALUES: [(&str, bool); 2] = [("on_request", true), ("pushed", false)];
+
+/// The value of [`keys::WEIGHTS`] that says that weights fall with what a worker holds.
+const WEIGHTS_SHOW_LOAD_VALUE: &str = "live";
+
+impl FromStr for Settings {
+    type Err = SettingsError;
 
-    fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
-        let value: f64 = self.get(key, default)?;
-        if value.is_finite() && value >= 0.0 {
-            Ok(value)
+    fn from_str(text: &str) -> Result<Self, SettingsError> {
+        let values = KeyValues::parse(text);
+        let mut settings = Settings {
+            classes: read_classes(&values)?,
+            tenants: read_tenants(&values)?,
+            load_report_names: values.list(keys::LOAD_REPORT_NAMES)?,
+            ..Settings::default()
+        };
+        let names = settings.load_report_names.iter();
+        settings.load_report_fields = names.map(|name| load_report_field(&values, name)).collect();
+        let retry_after_allowed = values.get(keys::RETRY_AFTER_ALLOWED, false)?;
+        read_deployment(&values, &mut settings)?;
+        read_timing(&values, &mut settings)?;
+        read_permissions(&values, &mut settings)?;
+        if retry_after_allowed {
+            settings.max_retry_after_s = values.number(keys::MAX_RETRY_AFTER, 0.0)?;
         } else {
-            Err(bad(key, self.0.get(key).copied().unwrap_or_default()))
+            settings.max_retry_after_s = 0.0;
         }
+        read_discovery(&values, &mut settings)?;
+        read_capacity_limits(&values, &mut settings)?;
+        Ok(settings)
     }
+}
 
-    fn one_of<T: Copy>(&self, key: &str, names: &[(&str, T)], default: T) -> Result<T, SettingsError> {
-        match self.0.get(key) {
-            None => Ok(default),
-            Some(value) => names.iter().find(|n| n.0 == *value).map(|n| n.1).ok_or_else(|| bad(key, value)),
-        }
+fn read_classes(values: &KeyValues) -> Result<Vec<RequestClass>, SettingsError> {
+    let objectives_per_work: Vec<f64> = values.list(keys::CLASS_OBJECTIVE_PER_WORK)?;
+    let required_kinds: Vec<i64> = values.list(keys::CLASS_REQUIRED_KIND)?;
+    let mut classes = Vec::new();
+    for index in 0..values.count(keys::CLASSES)? {
+        let mut class = read_class(values, index)?;
+        let objective_per_work = objectives_per_work.get(index).copied().unwrap_or(0.0);
+        class.objective_per_work = objective_per_work.max(class.objective_per_work);
+        // A negative number stands for a class that any kind of worker may run.
+        class.required_kind = required_kinds.get(index).and_then(|&kind| usize::try_from(kind).ok());
+        classes.push(class);
     }
+    Ok(classes)
+}
 
-    fn count(&self, key: &str) -> Result<usize, SettingsError> {
-        let count = self.get(key, 0)?;
-        if count > MOST_ENTRIES {
-            return Err(bad(key, &count.to_string()));
-        }
-        Ok(count)
-    }
+/// Reads what the deployment says of one class under the class itself.
+fn read_class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingsError> {
+    let key = |field: &str| keys::of_item(keys::CLASSES, index, field);
+    let objective_per_work = values.number(&key(keys::CLASS_OBJECTIVE_STRETCH), 0.0)?;
+    let deadline_s = values.number(&key(keys::CLASS_DEADLINE), DEFAULT_DEADLINE_S)?;
+    Ok(RequestClass {
+        name: values.get(&key(keys::CLASS_NAME), String::new())?,
+        latency_objective_s: values.number(&key(keys::CLASS_LATENCY_OBJECTIVE), deadline_s)?,
+        objective_per_work,
+        deadline_s,
+        priority_weight: values.number(&key(keys::CLASS_PRIORITY_WEIGHT), 1.0)?,
+        weight_after_objective: values.number(&key(keys::CLASS_WEIGHT_AFTER_OBJECTIVE), 0.0)?,
+        idempotency: values.one_of(
+            &key(keys::CLASS_IDEMPOTENCY),
+            &IDEMPOTENCY_VALUES,
+            Idempotency::NonIdempotent,
+        )?,
+        deduplication_scope: values.one_of(
+            &key(keys::CLASS_DEDUPLICATION_SCOPE),
+            &DEDUPLICATION_SCOPE_VALUES,
+            DeduplicationScope::Cell,
+        )?,
+        deduplication_window_s: values.number(&key(keys::CLASS_DEDUPLICATION_WINDOW), 0.0)?,
+        required_kind: None,
+    })
+}
 
-    fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>, SettingsError> {
-        let value = self.0.get(key).copied().unwrap_or_default();
-        let items = value.split(',').filter(|item| !item.is_empty());
-        items.map(|item| item.parse().map_err(|_| bad(key, value))).collect()
+fn read_tenants(values: &KeyValues) -> Result<Vec<Tenant>, SettingsError> {
+    let mut tenants = Vec::new();
+    for index in 0..values.count(keys::TENANTS)? {
+        let key = |field: &str| keys::of_item(keys::TENANTS, index, field);
+        let quota_per_s = values.number(&key(keys::TENANT_QUOTA), 0.0)?;
+        tenants.push(Tenant { name: values.get(&key(keys::TENANT_NAME), String::new())?, quota_per_s });
     }
+    Ok(tenants)
+}
 
-    fn report_field(&self, name: &str) -> LoadReportField {
-        let meaning = match name {
-            "x0" => self.0.get("specifics.report_x0").copied().unwrap_or_default(),
-            "x1" => self.0.get("specifics.report_x1").copied().unwrap_or_default(),
-            other => other,
-        };
-        match meaning {
-            "free_slots" => LoadReportField::FreeSlots,
-            "queue" => LoadReportField::Queue,
-            "free_memory" => LoadReportField::FreeMemory,
-            _ => LoadReportField::Other,
-        }
+/// What a value of a load report means. Two names mean what the deployment says of them.
+fn load_report_field(values: &KeyValues, name: &str) -> LoadReportField {
+    let meaning = match name {
+        keys::REPORT_NAME_X0 => values.text(keys::REPORT_MEANING_X0),
+        keys::REPORT_NAME_X1 => values.text(keys::REPORT_MEANING_X1),
+        other => other,
+    };
+    match meaning {
+        "free_slots" => LoadReportField::FreeSlots,
+        "queue" => LoadReportField::Queue,
+        "free_memory" => LoadReportField::FreeMemory,
+        _ => LoadReportField::Other,
     }
 }
 
-impl FromStr for Settings {
-    type Err = SettingsError;
+/// Which scheduler this is, and of what.
+fn read_deployment(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.scheduler_index = values.get(keys::SCHEDULER_INDEX, settings.scheduler_index)?;
+    settings.scheduler_count = values.get(keys::SCHEDULER_COUNT, settings.scheduler_count)?.max(1);
+    settings.zone = values.get(keys::ZONE, settings.zone)?;
+    settings.event_interval_s = values.number(keys::EVENT_INTERVAL, settings.event_interval_s)?;
+    settings.weight_over_quota = values.number(keys::WEIGHT_OVER_QUOTA, settings.weight_over_quota)?;
+    settings.zones = values.list(keys::ZONES)?;
+    settings.worker_kinds = values.list(keys::WORKER_KINDS)?;
+    Ok(())
+}
 
-    fn from_str(text: &str) -> Result<Self, SettingsError> {
-        let o = Options(text.lines().filter_map(|line| line.split_once('=')).collect());
-        let d = Settings::default();
-        let stretches: Vec<f64> = o.list("specifics.class_stretch")?;
-        let tied: Vec<i64> = o.list("specifics.class_kind")?;
-        let effects = [
-            ("repeatable", Idempotency::Idempotent),
-            ("by_key", Idempotency::WithKey),
-            ("once", Idempotency::NonIdempotent),
-        ];
-        let groups = [
-            ("all", DeduplicationScope::All),
-            ("zone", DeduplicationScope::Zone),
-            ("cell", DeduplicationScope::Cell),
-        ];
-        let mut classes = Vec::new();
-        for i in 0..o.count("grades.count")? {
-            let key = |field: &str| format!("grades.{i}.{field}");
-            let aim_stretch = o.number(&key("aim_stretch"), 0.0)?;
-            let deadline_s = o.number(&key("deadline_s"), 60.0)?;
-            classes.push(RequestClass {
-                name: o.get(&key("name"), String::new())?,
-                latency_objective_s: o.number(&key("slo_s"), deadline_s)?,
-                objective_per_work: stretches.get(i).copied().unwrap_or(0.0).max(aim_stretch),
-                deadline_s,
-                priority_weight: o.number(&key("worth"), 1.0)?,
-                weight_after_objective: o.number(&key("late_worth"), 0.0)?,
-                idempotency: o.one_of(&key("effect"), &effects, Idempotency::NonIdempotent)?,
-                deduplication_scope: o.one_of(&key("group"), &groups, DeduplicationScope::Cell)?,
-                deduplication_window_s: o.number(&key("window_s"), 0.0)?,
-                required_kind: tied.get(i).and_then(|&kind| usize::try_from(kind).ok()),
-            });
-        }
-        let mut tenants = Vec::new();
-        for i in 0..o.count("parties.count")? {
-            let quota_per_s = o.number(&format!("parties.{i}.quota_per_s"), 0.0)?;
-            tenants.push(Tenant { name: o.get(&format!("parties.{i}.name"), String::new())?, quota_per_s });
-        }
-        let fields: Vec<String> = o.list("report.fields")?;
-        let hold_off = o.get("allowed.retry_after", false)?;
-        let ask = [("on_request", true), ("pushed", false)];
-        Ok(Settings {
-            scheduler_index: o.get("index", d.scheduler_index)?,
-            scheduler_count: o.get("balancers", d.scheduler_count)?.max(1),
-            zone: o.get("zone", d.zone)?,
-            event_interval_s: o.number("tick_s", d.event_interval_s)?,
-            classes,
-            tenants,
-            weight_over_quota: o.number("over_share_worth", d.weight_over_quota)?,
-            load_report_fields: fields.iter().map(|name| o.report_field(name)).collect(),
-            load_report_names: fields,
-            zones: o.list("areas")?,
-            worker_kinds: o.list("kinds")?,
-            connect_timeout_s: o.number("allowed.connect_timeout_s", d.connect_timeout_s)?,
-            connection_idle_timeout_s: o.number("allowed.conn_idle_s", d.connection_idle_timeout_s)?,
-            answer_slack_s: o.number("contract.answer_slack_s", d.answer_slack_s)?,
-            starts_reported: o.get("specifics.tells_start", d.starts_reported)?,
-            progress_interval_s: o.number("specifics.progress_s", d.progress_interval_s)?,
-            max_attempts: o.get("allowed.send_cap", d.max_attempts)?,
-            hedging_allowed: o.get("allowed.second_copies", d.hedging_allowed)?,
-            cancellation_allowed: o.get("allowed.may_cancel", d.cancellation_allowed)?,
-            capacity_probes_allowed: o.get("allowed.probes", d.capacity_probes_allowed)?,
-            gossip_allowed: o.get("allowed.peer_messages", d.gossip_allowed)?,
-            max_retry_after_s: if hold_off { o.number("allowed.max_retry_after_s", 0.0)? } else { 0.0 },
-            discovery_polled: o.one_of("membership_mode", &ask, d.discovery_polled)?,
-            weights_show_load: o.get("weights", String::new())? == "live",
-            max_poll_interval_s: o.number("contract.ask_within_s", d.max_poll_interval_s)?,
-            drain_grace_s: o.number("contract.drain_grace_s", d.drain_grace_s)?,
-            slow_start_fraction: o.number("contract.cold_share", d.slow_start_fraction)?,
-            slow_start_duration_s: o.number("contract.warm_within_s", d.slow_start_duration_s)?,
-            collapse_multiple: o.number("contract.fall_multiple", d.collapse_multiple)?,
-            overload_window_s: o.number("contract.overload_for_s", d.overload_window_s)?,
-        })
-    }
+/// Time limits of connections and answers, and what workers report while a request runs.
+fn read_timing(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.connect_timeout_s = values.number(keys::CONNECT_TIMEOUT, settings.connect_timeout_s)?;
+    settings.connection_idle_timeout_s =
+        values.number(keys::CONNECTION_IDLE_TIMEOUT, settings.connection_idle_timeout_s)?;
+    settings.answer_slack_s = values.number(keys::ANSWER_SLACK, settings.answer_slack_s)?;
+    settings.starts_reported = values.get(keys::STARTS_REPORTED, settings.starts_reported)?;
+    settings.progress_interval_s = values.number(keys::PROGRESS_INTERVAL, settings.progress_interval_s)?;
+    Ok(())
 }
 
-impl Settings {
-    /// These settings followed by `new` ones while the process runs. Classes, tenants, zones and kinds are
-    /// known by number to what is under way, so each name keeps its number. What the new settings do not
-    /// name any more stays until a restart; the second value says which lists that concerns.
-    pub fn reconfigured(&self, new: Settings) -> (Settings, Vec<&'static str>) {
-        let zone = new.zones.get(usize::from(new.zone)).cloned();
-        let kinds = new.worker_kinds.clone();
-        let mut kept = Vec::new();
-        let mut settings = Settings {
-            classes: follow(&self.classes, new.classes, |c| &c.name, "grades", &mut kept),
-            tenants: follow(&self.tenants, new.tenants, |t| &t.name, "parties", &mut kept),
-            zones: follow(&self.zones, new.zones, |name| name, "areas", &mut kept),
-            worker_kinds: follow(&self.worker_kinds, new.worker_kinds, |name| name, "kinds", &mut kept),
-            ..new
-        };
-        let number = |names: &[String], name: &String| names.iter().position(|known| known == name);
-        let zone = zone.and_then(|zone| number(&settings.zones, &zone));
-        settings.zone = zone.and_then(|zone| u16::try_from(zone).ok()).unwrap_or(settings.zone);
-        for class in &mut settings.classes {
-            let name = class.required_kind.and_then(|kind| kinds.get(kind));
-            class.required_kind =
-                name.and_then(|name| number(&settings.worker_kinds, name)).or(class.required_kind);
-        }
-        (settings, kept)
-    }
+/// What the deployment allows, but for Retry-After.
+fn read_permissions(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.max_attempts = values.get(keys::MAX_ATTEMPTS, settings.max_attempts)?;
+    settings.hedging_allowed = values.get(keys::HEDGING_ALLOWED, settings.hedging_allowed)?;
+    settings.cancellation_allowed = values.get(keys::CANCELLATION_ALLOWED, settings.cancellation_allowed)?;
+    settings.capacity_probes_allowed =
+        values.get(keys::CAPACITY_PROBES_ALLOWED, settings.capacity_probes_allowed)?;
+    settings.gossip_allowed = values.get(keys::GOSSIP_ALLOWED, settings.gossip_allowed)?;
+    Ok(())
 }
 
-fn follow<T: Clone>(
-    old: &[T],
-    mut new: Vec<T>,
-    name: impl Fn(&T) -> &String,
-    list: &'static str,
-    kept: &mut Vec<&'static str>,
-) -> Vec<T> {
-    let mut items = Vec::with_capacity(new.len());
-    for item in old {
-        match new.iter().position(|other| name(other) == name(item)) {
-            Some(i) => items.push(new.remove(i)),
-            None => {
-                items.push(item.clone());
-                kept.extend((!kept.contains(&list)).then_some(list));
-            }
-        }
-    }
-    items.extend(new);
-    items
+/// How the endpoint list arrives, and what its weights mean.
+fn read_discovery(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.discovery_polled =
+        values.one_of(keys::DISCOVERY_MODE, &DISCOVERY_POLLED_VALUES, settings.discovery_polled)?;
+    settings.weights_show_load = values.text(keys::WEIGHTS) == WEIGHTS_SHOW_LOAD_VALUE;
+    settings.max_poll_interval_s = values.number(keys::MAX_POLL_INTERVAL, settings.max_poll_interval_s)?;
+    settings.drain_grace_s = values.number(keys::DRAIN_GRACE, settings.drain_grace_s)?;
+    Ok(())
+}
+
+/// What a worker that warms up can take.
+fn read_capacity_limits(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.slow_start_fraction = values.number(keys::SLOW_START_FRACTION, settings.slow_start_fraction)?;
+    settings.slow_start_duration_s =
+        values.number(keys::SLOW_START_DURATION, settings.slow_start_duration_s)?;
+    settings.collapse_multiple = values.number(keys::COLLAPSE_MULTIPLE, settings.collapse_multiple)?;
+    settings.overload_window_s = values.number(keys::OVERLOAD_WINDOW, settings.overload_window_s)?;
+    Ok(())
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -7,6 +7,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
+use crate::config::settings::Reconfigured;
 use crate::config::{Config, ConfigError, GossipAddresses};
 use crate::scheduling::interface::Settings;
 use crate::server::descriptor_budget::DescriptorBudgets;
@@ -109,7 +110,8 @@
     /// Takes up what can change in flight. The list that the file knows is older than what discovery has
     /// told since, and the seed is spent: both are passed over.
     fn take(&mut self, config: Config, said: Option<SiteLinkSettings>) {
-        let (settings, mut kept) = self.settings.reconfigured(config.settings);
+        let Reconfigured { settings, lists_with_kept_names: mut kept } =
+            self.settings.reconfigured(config.settings);
         kept.extend((config.name != self.name).then_some("name"));
         kept.extend((config.listen != self.listen).then_some("listen"));
         kept.extend((config.operator_listen != self.ops).then_some("ops"));
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chutesaddle::config::endpoint_list::EndpointState;
+use chutesaddle::config::endpoint_list::{EndpointEntry, EndpointState};
 use chutesaddle::config::Config;
 use chutesaddle::scheduling::interface::*;
 use common::*;
@@ -28,54 +28,64 @@
 #[test]
 fn nested_settings_reach_the_one_settings_type() {
     let config = read(TEXT).unwrap();
-    let s = &config.settings;
+    let settings = &config.settings;
     assert_eq!((config.seed, config.descriptor_limit), (0x8c1f_30d2_7a5b_e964, 512));
-    assert_eq!((s.scheduler_count, s.scheduler_index, s.event_interval_s), (3, 2, 0.005));
-    assert_eq!((s.classes[0].name.as_str(), s.classes[0].idempotency), ("draw_map", Idempotency::WithKey));
-    assert_eq!((s.classes[0].objective_per_work, s.classes[0].required_kind), (2.5, None));
-    assert_eq!(s.tenants[0].name, "acme");
-    assert_eq!((s.connect_timeout_s, s.connection_idle_timeout_s, s.answer_slack_s), (0.3, 50.0, 0.04));
-    assert_eq!(s.load_report_fields, [LoadReportField::Other, LoadReportField::FreeSlots]);
-    assert_eq!((s.zones.len(), s.worker_kinds[1].as_str()), (2, "m2"));
-    assert!(s.capacity_probes_allowed, "both programs go by the same settings");
+    assert_eq!(
+        (settings.scheduler_count, settings.scheduler_index, settings.event_interval_s),
+        (3, 2, 0.005)
+    );
+    assert_eq!(
+        (settings.classes[0].name.as_str(), settings.classes[0].idempotency),
+        ("draw_map", Idempotency::WithKey)
+    );
+    assert_eq!((settings.classes[0].objective_per_work, settings.classes[0].required_kind), (2.5, None));
+    assert_eq!(settings.tenants[0].name, "acme");
+    assert_eq!(
+        (settings.connect_timeout_s, settings.connection_idle_timeout_s, settings.answer_slack_s),
+        (0.3, 50.0, 0.04)
+    );
+    assert_eq!(settings.load_report_fields, [LoadReportField::Other, LoadReportField::FreeSlots]);
+    assert_eq!((settings.zones.len(), settings.worker_kinds[1].as_str()), (2, "m2"));
+    assert!(settings.capacity_probes_allowed, "both programs go by the same settings");
 }
 
-/// Once, every scheduler crashed on reading its first list: the last entry was cut short by a node.
+/// simd-json's `get_array` would cut the last entry short by a node, and panic.
 #[test]
-fn the_known_pool_is_read_to_its_last_entry() {
+fn the_known_endpoint_list_is_read_to_its_last_entry() {
     let known = read(TEXT).unwrap().known_endpoints;
     assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (41, true, 1));
-    let members: Vec<_> = known.entries.iter().map(|m| (m.name.as_str(), m.state, m.started_s)).collect();
-    assert_eq!(members, [("s-1", EndpointState::Active, 1.5), ("s-3", EndpointState::Draining, 0.0)]);
+    let entries: Vec<_> =
+        known.entries.iter().map(|entry| (entry.name.as_str(), entry.state, entry.started_s)).collect();
+    assert_eq!(entries, [("s-1", EndpointState::Active, 1.5), ("s-3", EndpointState::Draining, 0.0)]);
 }
 
-const WAYS: &str = r#""peer_listen":"127.0.0.1:7946","peers":["127.0.0.2:1","127.0.0.3:1"],
+const GOSSIP_ADDRESSES: &str = r#""peer_listen":"127.0.0.1:7946","peers":["127.0.0.2:1","127.0.0.3:1"],
     "peers_all":"127.0.0.4:1","seed""#;
 
 #[test]
-fn notes_need_leave_and_a_way() {
-    let with_ways = TEXT.replace("\"seed\"", WAYS);
+fn gossip_needs_permission_and_addresses() {
+    let with_addresses = TEXT.replace("\"seed\"", GOSSIP_ADDRESSES);
     let allowed = |text: &str| text.replace("\"probes\":true", "\"probes\":true,\"peer_messages\":true");
     for (text, both) in
-        [(TEXT, false), (&with_ways, false), (&allowed(TEXT), false), (&allowed(&with_ways), true)]
+        [(TEXT, false), (&with_addresses, false), (&allowed(TEXT), false), (&allowed(&with_addresses), true)]
     {
         let config = read(text).unwrap();
         assert_eq!((config.settings.gossip_allowed, config.gossip.is_some()), (both, both));
     }
-    let ways = read(&allowed(&with_ways)).unwrap().gossip.unwrap();
-    assert_eq!((ways.peers.len(), ways.all.port(), ways.listen.port()), (2, 1, 7946));
+    let gossip = read(&allowed(&with_addresses)).unwrap().gossip.unwrap();
+    assert_eq!((gossip.peers.len(), gossip.all.port(), gossip.listen.port()), (2, 1, 7946));
     for (from, to, named) in [
         ("127.0.0.3:1", "nowhere", "peers"),
         ("peers_all", "others", "peers_all"),
         ("7946", "", "peer_listen"),
     ] {
-        let error = read(&allowed(&with_ways).replace(from, to)).unwrap_err();
+        let error = read(&allowed(&with_addresses).replace(from, to)).unwrap_err();
         assert!(error.contains(named), "{error}");
     }
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
+fn an_unusable_field_is_named() {
     for (from, to, named) in [
         ("\"n3\"", "3", "name"),
         ("127.0.0.1:7070", "here", "listen"),
@@ -96,7 +106,7 @@
     contract.answer_slack_s=0.04\nreport.how=answers\nreport.fields=eps,x0\nspecifics.report_x0=free_slots\n\
     specifics.class_stretch=2.5,2\nspecifics.class_kind=-1,-1\n";
 
-/// The simulator's program is told the settings in lines, the one on sockets as JSON.
+/// The simulator's program receives the settings as lines, the server as JSON.
 #[test]
 fn both_programs_act_alike_on_the_same_events() {
     for (schedulers, reports, probes) in [1, 4, 5, 6, 20, 100]
@@ -136,3 +146,62 @@
         assert!(sent > 0, "{schedulers} schedulers sent nothing");
     }
 }
+
+#[test]
+fn each_field_of_the_platforms_file_lands_in_the_field_it_should() {
+    let text = TEXT
+        .replace("\"seed\"", GOSSIP_ADDRESSES)
+        .replace("\"listen\"", "\"ops\":\"127.0.0.1:7071\",\"listen\"");
+    let text = text.replace("\"probes\":true", "\"peer_messages\":true");
+    let config = read(&text).unwrap();
+    assert_eq!(config.name, "n3");
+    assert_eq!(config.listen, "127.0.0.1:7070".parse().unwrap());
+    assert_eq!(config.operator_listen, Some("127.0.0.1:7071".parse().unwrap()));
+    assert_eq!(config.discovery, "127.0.0.1:8500".parse().unwrap());
+    assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!(config.descriptor_limit, 512);
+    let gossip = config.gossip.unwrap();
+    assert_eq!(gossip.listen, "127.0.0.1:7946".parse().unwrap());
+    assert_eq!(gossip.peers, ["127.0.0.2:1".parse().unwrap(), "127.0.0.3:1".parse().unwrap()]);
+    assert_eq!(gossip.all, "127.0.0.4:1".parse().unwrap());
+    assert_eq!((config.settings.scheduler_count, config.known_endpoints.version), (3, 41));
+    let without_limit = read(&text.replace("\"sockets\"", "\"others\"")).unwrap();
+    assert_eq!((without_limit.descriptor_limit, read(TEXT).unwrap().operator_listen), (1024, None));
+}
+
+#[test]
+fn each_field_of_the_endpoint_list_lands_in_the_field_it_should() {
+    let entries = r#"{"id":"s-1","addr":"10.1.0.18:7070","zone":"a","kind":"m2","cell":3,"state":"active",
+        "weight":1.5,"started_ms":2500},{"id":"s-2","state":"left"},{"id":"s-3","addr":"10.1.0.19:7070",
+        "state":"leaving"},{"id":"s-4","addr":"10.1.0.20:7070","state":"elsewhere"},{"id":"s-5","state":"active"}"#;
+    let known = format!(r#""known":{{"version":43,"full":false,"servers":[{entries}]}},"unused":{{"#);
+    let known = read(&TEXT.replace("\"known\":{", &known)).unwrap().known_endpoints;
+    let first = EndpointEntry {
+        name: "s-1".into(),
+        address: Some("10.1.0.18:7070".parse().unwrap()),
+        zone: "a".into(),
+        kind: "m2".into(),
+        cell: 3,
+        state: EndpointState::Active,
+        started_s: 2.5,
+        weight: 1.5,
+    };
+    let bare = EndpointEntry {
+        name: "s-2".into(),
+        address: None,
+        zone: String::new(),
+        kind: String::new(),
+        cell: 0,
+        state: EndpointState::Removed,
+        started_s: 0.0,
+        weight: 0.0,
+    };
+    let draining = EndpointEntry {
+        name: "s-3".into(),
+        address: Some("10.1.0.19:7070".parse().unwrap()),
+        state: EndpointState::Draining,
+        ..bare.clone()
+    };
+    assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (43, false, 2));
+    assert_eq!(known.entries, [first, bare, draining]);
+}
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! Byte-exact frames, and frames that are not what they should be.
+//! The simulator's wire through its host: byte-exact replies, and errors for malformed frames.
 
 use std::fmt::Write as _;
 
@@ -51,7 +51,7 @@
     record(12, &[&tag.to_le_bytes()])
 }
 
-fn day() -> Vec<Vec<u8>> {
+fn valid_frames() -> Vec<Vec<u8>> {
     vec![
         frame(1.0, &[]),
         frame(1.0, &[on(3), enlist(OPTIONS), list(2), view(2, 2)]),
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_request_becomes_a_route_byte_for_byte() {
-    let (out, error) = run(&day());
+    let (out, error) = run(&valid_frames());
     assert_eq!(error, None);
     let at = "0d02000000".to_owned() + "0300";
     let timer =
@@ -98,7 +98,7 @@
     let probed = record(13, &[&WORKER, &[0, 0], &none, &[0]]);
     let left = record(2, &[&77u32.to_le_bytes()]);
     let gone = record(7, &[]);
-    let mut frames = day();
+    let mut frames = valid_frames();
     frames.push(frame(3.0, &[on(3), note, head, ended, peer, probed, left, view(3, 0), gone]));
     assert_eq!(run(&frames).1, None);
 }
@@ -122,9 +122,9 @@
         (frame(1.0, &[on(3)])[..15].to_vec(), "frame 4: input ends inside the frame"),
         (vec![9, 0], "frame 4: input ends inside the frame"),
     ];
-    let whole = run(&day()).0;
+    let whole = run(&valid_frames()).0;
     for (bad, expected) in cases {
-        let mut frames = day();
+        let mut frames = valid_frames();
         frames.push(bad);
         let (out, error) = run(&frames);
         let error = error.expect(expected);
@@ -138,7 +138,7 @@
     let mut rng = fastrand::Rng::with_seed(42);
     let (mut replies, mut errors) = (0, 0);
     for _ in 0..20_000 {
-        let mut frames = day();
+        let mut frames = valid_frames();
         let frame = &mut frames[rng.usize(1..4)];
         for _ in 0..rng.usize(1..4) {
             let at = rng.usize(4..frame.len());
