--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -56,7 +56,6 @@
 use crate::scheduling::{Action, Dispatcher, Event, RequestId, Settings, Timer as DispatcherTimer, WorkerId};
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::peer_processes::PeerProcesses;
-use crate::server::load_report;
 use crate::server::messages::FinalAnswer;
 use crate::server::metrics::Counters;
 use crate::server::peers::gossip_transport::GossipSender;
@@ -193,25 +192,27 @@
     /// One line for each message; the functions are in the modules listed above.
     fn handle_message(&mut self, message: EngineMessage) {
         match message {
-            EngineMessage::RequestSubmitted(id, request, reply) => self.accept_request(id, *request, reply),
+            EngineMessage::RequestSubmitted { id, request, reply } => {
+                self.accept_request(id, *request, reply)
+            }
             EngineMessage::ClientDisconnected(id) => self.client_disconnected(id),
-            EngineMessage::Callback(callback, relay) => self.callback(callback, relay),
-            EngineMessage::RequestMigrated(id, migrated, reply) => self.take_over(id, *migrated, reply),
-            EngineMessage::SuccessorChanged(has_successor) => self.successor_changed(has_successor),
-            EngineMessage::PeerProcessJoined(peer, role) => self.peer_process_joined(peer, role),
-            EngineMessage::LearnedState(learned, names) => self.state_learned(*learned, &names),
-            EngineMessage::SentByOtherProcess(worker_name, class, work_s) => {
+            EngineMessage::CallbackReceived { callback, relay } => self.callback(callback, relay),
+            EngineMessage::RequestMigrated { id, request, reply } => self.take_over(id, *request, reply),
+            EngineMessage::SuccessorChanged { accepts_requests } => self.successor_changed(accepts_requests),
+            EngineMessage::PeerProcessJoined { peer, role } => self.peer_process_joined(peer, role),
+            EngineMessage::LearnedState { learned, worker_names } => {
+                self.state_learned(*learned, &worker_names)
+            }
+            EngineMessage::SentByOtherProcess { worker_name, class, work_s } => {
                 self.sent_by_other_process(&worker_name, class, work_s);
             }
-            EngineMessage::AttemptEnded(id, attempt, end, load_header) => {
-                let report = load_header.map(|header| load_report::from_header(&header)).unwrap_or_default();
-                self.attempt_task_ended(id, attempt, end, report);
+            EngineMessage::AttemptEnded { request, attempt, end, load_report } => {
+                self.attempt_task_ended(request, attempt, end, load_report);
             }
-            EngineMessage::ProbeEnded(worker, end, report) => {
-                let (outcome, load) = (end.outcome(), self.load_of(&report));
-                self.notify_dispatcher(Event::ProbeEnded { worker, outcome, load });
+            EngineMessage::ProbeEnded { worker, end, load_report } => {
+                self.probe_ended(worker, end, &load_report);
             }
-            EngineMessage::GossipReceived(from, bytes) => {
+            EngineMessage::GossipReceived { from, bytes } => {
                 self.notify_dispatcher(Event::GossipReceived { from, bytes });
             }
             EngineMessage::SiteLink(event) => self.site_link_event(*event),
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -17,7 +17,7 @@
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::EngineMessage;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
-use crate::server::load_report::Report;
+use crate::server::load_report::{self, Report};
 use crate::server::workers::attempt::{AttemptResult, AttemptTask};
 use crate::server::workers::capacity_probe::{probe, ProbeResult};
 
@@ -84,15 +84,18 @@
         }
     }
 
-    /// The task of an attempt has ended, with the load report of the worker's answer.
+    /// The task of an attempt has ended, with the load report in the header of the worker's answer.
     pub(super) fn attempt_task_ended(
         &mut self,
         id: RequestId,
         attempt: usize,
         end: AttemptEnd,
-        report: Report,
+        load_report: Option<String>,
     ) {
-        let load = self.load_of(&report);
+        let load = match load_report {
+            Some(header) => self.load_of(&load_report::from_header(&header)),
+            None => LoadReport::default(),
+        };
         self.attempt_ended(id, attempt, Ending { end, load });
     }
 
@@ -133,11 +136,17 @@
         let asks_for_load = !self.settings.load_report_names.is_empty();
         spawn_local(async move {
             let ProbeResult { end, load_report } = probe(endpoint, asks_for_load).await;
-            queue.send(EngineMessage::ProbeEnded(worker, end, load_report));
+            queue.send(EngineMessage::ProbeEnded { worker, end, load_report });
         });
         None
     }
 
+    /// A capacity probe has ended.
+    pub(super) fn probe_ended(&mut self, worker: WorkerId, end: AttemptEnd, load_report: &Report) {
+        let load = self.load_of(load_report);
+        self.notify_dispatcher(Event::ProbeEnded { worker, outcome: end.outcome(), load });
+    }
+
     /// Runs the task of an attempt, and reports its end to this engine.
     pub(super) fn spawn_attempt(
         &self,
@@ -148,7 +157,7 @@
         let queue = self.queue.clone();
         spawn_local(async move {
             let AttemptResult { end, load_report } = task.await;
-            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_report));
+            queue.send(EngineMessage::AttemptEnded { request, attempt, end, load_report });
         });
     }
 
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -42,10 +42,10 @@
 }
 
 impl MigrationState {
-    /// A successor is there, or is there no more. With it go the requests that have migrated to it.
-    fn change(&mut self, has_successor: bool) {
+    /// A successor accepts requests, or does so no more: then the requests that have migrated to it are gone with it.
+    fn change(&mut self, accepts_requests: bool) {
         let before = std::mem::take(self);
-        *self = match (before, has_successor) {
+        *self = match (before, accepts_requests) {
             (MigrationState::Off, true) => MigrationState::Migrating { migrated: HashSet::new() },
             (MigrationState::Migrating { migrated }, true) => MigrationState::Migrating { migrated },
             (MigrationState::Off | MigrationState::Migrating { .. }, false) => MigrationState::Off,
@@ -79,9 +79,9 @@
 }
 
 impl Engine {
-    /// A successor is there, or is there no more.
-    pub(super) fn successor_changed(&mut self, has_successor: bool) {
-        self.migration.change(has_successor);
+    /// A successor accepts requests, or does so no more.
+    pub(super) fn successor_changed(&mut self, accepts_requests: bool) {
+        self.migration.change(accepts_requests);
         self.migrate_requests();
     }
 
--- a/src/server/engine_queue.rs
+++ b/src/server/engine_queue.rs
@@ -1,4 +1,9 @@
-//! The one way to the engine: what reaches it, and the front's hold on a transaction that waits.
+//! The engine's queue: the messages that reach it, and the answer that a submitted request waits for.
+//!
+//! It is the only way to the engine. Everything that happens on the network becomes an [`EngineMessage`], sent by the
+//! module that noticed it: [`crate::server::frontend`] (clients and callbacks), [`crate::server::workers`] (ends of
+//! attempts and probes), [`crate::server::discovery`], [`crate::server::peers`] (gossip and site links) and
+//! [`crate::server::lifecycle`] (reloads and upgrades). What each message does is [`crate::server::engine`].
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,61 +21,125 @@
 
 /// What reaches the engine.
 pub enum EngineMessage {
-    /// A new transaction and where its answer goes.
-    RequestSubmitted(RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>),
-    /// The client of a transaction has left.
+    /// A client, or another site, submits a request.
+    RequestSubmitted {
+        /// The number that it has from now on.
+        id: RequestId,
+        /// The request.
+        request: Box<ClientRequest>,
+        /// Where its final answer goes.
+        reply: oneshot::Sender<FinalAnswer>,
+    },
+    /// The client of a request does not wait any more.
     ClientDisconnected(RequestId),
-    /// A member's call-back, and how it came here if it came in at another process.
-    Callback(WorkerCallback, Option<CallbackRelay>),
-    /// A transaction that another process has moved here, and where its answer goes.
-    RequestMigrated(RequestId, Box<MigratedRequest>, oneshot::Sender<FinalAnswer>),
-    /// Whether another process has taken over, so that transactions are to be moved there.
-    SuccessorChanged(bool),
-    /// A link to another process of an upgrade is up, which is to replace this one or is replaced by it.
-    PeerProcessJoined(PeerProcessId, ProcessRole),
-    /// What the process that is replaced has learnt, with the names of the members in its numbers.
-    LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
-    /// Another process has sent a job of this class to the member of this name, with so much work.
-    SentByOtherProcess(String, usize, f64),
-    /// A flow has ended.
-    AttemptEnded(RequestId, usize, AttemptEnd, Option<String>),
-    /// A member that was asked has answered, or not, with its load report.
-    ProbeEnded(WorkerId, AttemptEnd, Report),
-    /// A note of the scheduler of this number.
-    GossipReceived(usize, Vec<u8>),
-    /// The pool has changed.
+    /// A worker's callback has arrived.
+    CallbackReceived {
+        /// The callback.
+        callback: WorkerCallback,
+        /// How it came here, if it arrived at another process of an upgrade.
+        relay: Option<CallbackRelay>,
+    },
+    /// A request has migrated here from the process that this one replaces.
+    RequestMigrated {
+        /// The number that it has from now on.
+        id: RequestId,
+        /// The request.
+        request: Box<MigratedRequest>,
+        /// Where its final answer goes.
+        reply: oneshot::Sender<FinalAnswer>,
+    },
+    /// The process that replaces this one has begun to serve, or is gone.
+    SuccessorChanged {
+        /// It serves and reads this build's frames: requests migrate to it.
+        accepts_requests: bool,
+    },
+    /// The link to another process of an upgrade is up.
+    PeerProcessJoined {
+        /// The process.
+        peer: PeerProcessId,
+        /// What it is to this one.
+        role: ProcessRole,
+    },
+    /// What the process that this one replaces has learned of the workers.
+    LearnedState {
+        /// The state, with the worker numbers of that process.
+        learned: Box<LearnedState>,
+        /// The names of the workers with these numbers.
+        worker_names: Vec<(WorkerId, String)>,
+    },
+    /// Another process of an upgrade has sent an attempt to a worker.
+    SentByOtherProcess {
+        /// The worker.
+        worker_name: String,
+        /// Index into the settings' classes.
+        class: usize,
+        /// Its expected work in seconds.
+        work_s: f64,
+    },
+    /// The task of an attempt has ended.
+    AttemptEnded {
+        /// The request.
+        request: RequestId,
+        /// The number of the attempt.
+        attempt: usize,
+        /// How it ended.
+        end: AttemptEnd,
+        /// The load report in the header of the worker's answer.
+        load_report: Option<String>,
+    },
+    /// A capacity probe has ended.
+    ProbeEnded {
+        /// The worker.
+        worker: WorkerId,
+        /// How it ended.
+        end: AttemptEnd,
+        /// The load report in its answer.
+        load_report: Report,
+    },
+    /// A gossip message of another scheduler has arrived.
+    GossipReceived {
+        /// The index of that scheduler.
+        from: usize,
+        /// The message.
+        bytes: Vec<u8>,
+    },
+    /// Discovery has an update of the endpoint list.
     EndpointListChanged(EndpointListUpdate),
-    /// Something at the gateway between sites.
+    /// A site link, a request of another site or the operator's gateway settings have changed.
     SiteLink(Box<SiteLinkEvent>),
-    /// The settings have changed; they keep the numbers of classes, tenants, zones and kinds.
+    /// The settings have changed. Classes, tenants, zones and worker kinds keep their numbers.
     SettingsChanged(Box<Settings>),
 }
 
-/// The way to the engine. It has no bound of its own: each connection has at most one message in it at a
-/// time, and the number of connections is bounded.
+/// The sending end of the engine's queue.
+///
+/// The channel itself is unbounded. What is in it is bounded, because each connection has at most one message in it
+/// at a time and the number of connections is bounded.
 #[derive(Clone)]
 pub struct EngineQueue {
     pub(super) sender: mpsc::UnboundedSender<EngineMessage>,
+    /// The number of the next request.
     pub(super) next: Rc<Cell<u32>>,
 }
 
 impl EngineQueue {
-    /// Hands in a message. Once the engine has stopped, the process is ending and nothing is owed.
+    /// Sends a message.
     pub fn send(&self, message: EngineMessage) {
+        // Once the engine has stopped, the process is ending and nobody waits for an answer.
         let _ = self.sender.send(message);
     }
 
-    /// Hands in a transaction.
-    pub fn submit(&self, transaction: Box<ClientRequest>) -> PendingAnswer {
-        self.pending(|id, reply| EngineMessage::RequestSubmitted(id, transaction, reply))
+    /// Submits a request.
+    pub fn submit(&self, request: Box<ClientRequest>) -> PendingAnswer {
+        self.send_request(|id, reply| EngineMessage::RequestSubmitted { id, request, reply })
     }
 
-    /// Hands in a transaction that another process has moved here.
-    pub fn take_over(&self, moved: Box<MigratedRequest>) -> PendingAnswer {
-        self.pending(|id, reply| EngineMessage::RequestMigrated(id, moved, reply))
+    /// Submits a request that has migrated here from another process.
+    pub fn take_over(&self, request: Box<MigratedRequest>) -> PendingAnswer {
+        self.send_request(|id, reply| EngineMessage::RequestMigrated { id, request, reply })
     }
 
-    fn pending(
+    fn send_request(
         &self,
         message: impl FnOnce(RequestId, oneshot::Sender<FinalAnswer>) -> EngineMessage,
     ) -> PendingAnswer {
@@ -82,8 +151,8 @@
     }
 }
 
-/// A transaction that waits for its answer. Dropped before that, its client counts as gone, however the
-/// front's task came to its end.
+/// A request that waits for its answer. If it is dropped before that, its client counts as disconnected, for whatever
+/// reason the task that held it came to its end.
 pub struct PendingAnswer {
     id: RequestId,
     reply: oneshot::Receiver<FinalAnswer>,
@@ -92,7 +161,7 @@
 }
 
 impl PendingAnswer {
-    /// The answer.
+    /// Waits for the answer. A request that the engine drops without one counts as failed.
     pub async fn reply(&mut self) -> FinalAnswer {
         let reply = (&mut self.reply).await;
         self.answered = true;
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -406,7 +406,7 @@
     fn call_back(&self, body: Bytes) -> Answer {
         match request_parser::read_call_back(body) {
             Some(call_back) => {
-                self.queue.send(EngineMessage::Callback(call_back, None));
+                self.queue.send(EngineMessage::CallbackReceived { callback: call_back, relay: None });
                 Answer::new("200 OK", "")
             }
             None => {
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -197,7 +197,7 @@
             self.remove_peer(peer);
             let has_served = self.frontend.has_successor();
             self.frontend.succeeded_by(None);
-            self.queue.send(EngineMessage::SuccessorChanged(false));
+            self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: false });
             self.lifecycle.notify(LifecycleEvent::SuccessorLost);
             tracing::warn!("the successor has exited");
             if has_served {
@@ -209,7 +209,7 @@
     fn add_peer(&self, sender: FrameSender, role: ProcessRole) -> PeerProcessId {
         let peer = self.peers.add(sender);
         self.peers.send_open_requests(peer);
-        self.queue.send(EngineMessage::PeerProcessJoined(peer, role));
+        self.queue.send(EngineMessage::PeerProcessJoined { peer, role });
         self.share_descriptors();
         peer
     }
@@ -239,7 +239,7 @@
                 }
             }
             (HandoverFrame::LearnedState(learned, names), _) => {
-                self.queue.send(EngineMessage::LearnedState(learned, names));
+                self.queue.send(EngineMessage::LearnedState { learned, worker_names: names });
             }
             (HandoverFrame::RequestOpened(id), _) => self.peers.request_opened(peer, id),
             (HandoverFrame::RequestClosed(id), _) => self.peers.request_closed(peer, id),
@@ -248,11 +248,11 @@
             }
             (HandoverFrame::Callback(callback, relays), _) => {
                 let relay = CallbackRelay { from: peer, relays };
-                self.queue.send(EngineMessage::Callback(callback, Some(relay)));
+                self.queue.send(EngineMessage::CallbackReceived { callback, relay: Some(relay) });
             }
             (HandoverFrame::WorkSent(worker, class, work_s), _) => {
                 self.peers.broadcast(Some(peer), &HandoverFrame::WorkSent(worker.clone(), class, work_s));
-                self.queue.send(EngineMessage::SentByOtherProcess(worker, class, work_s));
+                self.queue.send(EngineMessage::SentByOtherProcess { worker_name: worker, class, work_s });
             }
             // The first is expected only by `listener_of_predecessor`; the others never come without their socket.
             (
@@ -273,7 +273,7 @@
         }
         self.lifecycle.notify(LifecycleEvent::SuccessorServing);
         self.frontend.succeeded_by(successor);
-        self.queue.send(EngineMessage::SuccessorChanged(migrates));
+        self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: migrates });
     }
 
     /// Takes over a request of the predecessor. It is in the engine's queue before the next frame is read, which may
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -123,7 +123,7 @@
                         continue;
                     };
                     counters.notes_heard.add();
-                    queue.send(EngineMessage::GossipReceived(from, note.to_vec()));
+                    queue.send(EngineMessage::GossipReceived { from, bytes: note.to_vec() });
                 }
             },
         }
