--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use chutesaddle_operator_config::reader::Reader;
-use chutesaddle_operator_config::{duration, share, Mistake, Mistakes};
+use chutesaddle_operator_config::{duration, percentage, ConfigError, ConfigErrors};
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -137,27 +137,27 @@
     ///
     /// # Errors
     /// All mistakes, with their places.
-    pub fn read(name: &str, text: &str, nodes: usize) -> Result<Self, Mistakes> {
+    pub fn read(name: &str, text: &str, nodes: usize) -> Result<Self, ConfigErrors> {
         let document = KdlDocument::parse_v2(text).map_err(|error| {
             let found = error.diagnostics.iter();
             let mistake = |d: &kdl::KdlDiagnostic| {
-                Mistake::new(d.span, "well-formed KDL", d.message.clone().unwrap_or_default())
+                ConfigError::new(d.span, "well-formed KDL", d.message.clone().unwrap_or_default())
             };
-            Mistakes::new(name, text, found.map(mistake).collect())
+            ConfigErrors::new(name, text, found.map(mistake).collect())
         })?;
         let mut reader = Reader::default();
         let mut faults: Vec<Fault> = Vec::new();
         for node in document.nodes() {
             let Some(fault) = fault(node, nodes, &mut reader) else { continue };
             if faults.iter().any(|other| collides(&fault, other)) {
-                reader.mistake(node.span(), "one fault of this kind of a scheduler at a time", "another");
+                reader.error(node.span(), "one fault of this kind of a scheduler at a time", "another");
             }
             faults.push(fault);
         }
         faults.sort_by_key(|fault| fault.at);
-        match reader.mistakes {
-            mistakes if mistakes.is_empty() => Ok(Plan(faults)),
-            mistakes => Err(Mistakes::new(name, text, mistakes)),
+        match reader.errors {
+            errors if errors.is_empty() => Ok(Plan(faults)),
+            errors => Err(ConfigErrors::new(name, text, errors)),
         }
     }
 
@@ -182,14 +182,14 @@
 }
 
 fn fault(node: &KdlNode, nodes: usize, reader: &mut Reader) -> Option<Fault> {
-    let mistakes = reader.mistakes.len();
+    let mistakes = reader.errors.len();
     let name = node.name().value();
     let numbers = match name {
         "kill" | "stop" | "rough" => 1..=1,
         "cut" => 2..=2,
         "split" => 1..=nodes,
         _ => {
-            reader.mistake(node.name().span(), "one of kill, stop, cut, split, rough", format!("{name:?}"));
+            reader.error(node.name().span(), "one of kill, stop, cut, split, rough", format!("{name:?}"));
             return None;
         }
     };
@@ -205,10 +205,10 @@
             Some("at") => unread(&mut at, text.and_then(duration), "a time such as \"2s\""),
             Some("for") => unread(&mut lasts, text.and_then(duration), "a time such as \"500ms\""),
             Some("lost") if name == "rough" => {
-                put(&mut rough.lost, text.and_then(share), "a share such as \"30%\"")
+                put(&mut rough.lost, text.and_then(percentage), "a share such as \"30%\"")
             }
             Some("doubled") if name == "rough" => {
-                put(&mut rough.doubled, text.and_then(share), "a share such as \"30%\"")
+                put(&mut rough.doubled, text.and_then(percentage), "a share such as \"30%\"")
             }
             Some("late") if name == "rough" => {
                 put(&mut rough.late, text.and_then(duration), "a time such as \"300ms\"")
@@ -216,19 +216,19 @@
             Some(_) => Some("one of at, for, and for rough also lost, doubled, late".to_owned()),
         };
         if let Some(expected) = unknown {
-            reader.mistake(entry.span(), expected, plain(entry.value()));
+            reader.error(entry.span(), expected, plain(entry.value()));
         }
     }
     if let Some(children) = node.children() {
-        reader.mistake(children.span(), "no block here", "one");
+        reader.error(children.span(), "no block here", "one");
     }
-    if !numbers.contains(&about.len()) && reader.mistakes.len() == mistakes {
+    if !numbers.contains(&about.len()) && reader.errors.len() == mistakes {
         let expected = format!("from {} to {} schedulers", numbers.start(), numbers.end());
-        reader.mistake(node.span(), expected, about.len().to_string());
+        reader.error(node.span(), expected, about.len().to_string());
     }
     for (missing, what) in [(at.is_none(), "at"), (lasts.is_none(), "for")] {
-        if missing && reader.mistakes.len() == mistakes {
-            reader.mistake(node.span(), format!("{what}=\"..\""), "none");
+        if missing && reader.errors.len() == mistakes {
+            reader.error(node.span(), format!("{what}=\"..\""), "none");
         }
     }
     let (at, lasts) = (at?, lasts?);
--- /dev/null
+++ b/crates/operator-config/src/error.rs
@@ -0,0 +1,72 @@
+//! What is wrong with a file, and where.
+
+use std::fmt;
+
+use miette::{Diagnostic, NamedSource, SourceSpan};
+
+/// One error in a file: what was expected at a place, and what was found there.
+#[derive(Clone, Debug, thiserror::Error, Diagnostic)]
+#[error("expected {expected}, found {found}")]
+pub struct ConfigError {
+    expected: String,
+    found: String,
+    #[label("{expected}")]
+    span: SourceSpan,
+}
+
+impl ConfigError {
+    /// At this place, something else than expected was found.
+    pub fn new(span: SourceSpan, expected: impl Into<String>, found: impl Into<String>) -> Self {
+        ConfigError { expected: expected.into(), found: found.into(), span }
+    }
+}
+
+/// All errors of one file. It is a [`Diagnostic`], which shows them in their lines; as text it is one line for each,
+/// `FILE:LINE:COLUMN: expected .., found ..`.
+#[derive(Debug, Diagnostic)]
+pub struct ConfigErrors {
+    #[source_code]
+    source: NamedSource<String>,
+    #[related]
+    errors: Vec<ConfigError>,
+}
+
+impl std::error::Error for ConfigErrors {}
+
+impl ConfigErrors {
+    /// The errors of a file of this name and text, in any order.
+    pub fn new(name: &str, text: &str, mut errors: Vec<ConfigError>) -> Self {
+        errors.sort_by_key(|error| error.span.offset());
+        ConfigErrors { source: NamedSource::new(name, text.to_owned()), errors }
+    }
+
+    /// How many there are.
+    pub fn count(&self) -> usize {
+        self.errors.len()
+    }
+
+    /// The file with its errors marked, for a terminal.
+    pub fn render(&self) -> String {
+        let mut text = String::new();
+        let handler = miette::GraphicalReportHandler::new_themed(miette::GraphicalTheme::unicode_nocolor());
+        match handler.render_report(&mut text, self) {
+            Ok(()) => text,
+            // The plain lines say the same.
+            Err(fmt::Error) => self.to_string(),
+        }
+    }
+}
+
+impl fmt::Display for ConfigErrors {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let text = self.source.inner();
+        for (index, error) in self.errors.iter().enumerate() {
+            let before = text.get(..error.span.offset()).unwrap_or(text);
+            let line = before.matches('\n').count() + 1;
+            let column = before.rsplit('\n').next().map_or(0, |rest| rest.chars().count()) + 1;
+            let separator = if index == 0 { "" } else { "\n" };
+            write!(f, "{separator}{}:{line}:{column}: {error}", self.source.name())?;
+        }
+        Ok(())
+    }
+}
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -1,27 +1,30 @@
-//! Reads nodes strictly: what is not asked for is a mistake, and so is what is there twice.
+//! Reads nodes strictly: a node that is not asked for is an error, and so is one that is there twice.
+//!
+//! A reader collects errors and goes on, so that one run reports them all. What it cannot read it gives back as
+//! `None`, after it has recorded the error.
 
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use miette::SourceSpan;
 
-use crate::mistake::Mistake;
+use crate::error::ConfigError;
 
-/// Collects mistakes, so that one call tells them all.
+/// Collects the errors of a file.
 #[derive(Default)]
 pub struct Reader {
     /// Those found so far.
-    pub mistakes: Vec<Mistake>,
+    pub errors: Vec<ConfigError>,
 }
 
 /// The nodes of one block, all of which have a known name.
 pub struct Nodes<'a>(Vec<&'a KdlNode>);
 
 impl Reader {
-    /// Notes a mistake.
-    pub fn mistake(&mut self, span: SourceSpan, expected: impl Into<String>, found: impl Into<String>) {
-        self.mistakes.push(Mistake::new(span, expected, found));
+    /// Records an error.
+    pub fn error(&mut self, span: SourceSpan, expected: impl Into<String>, found: impl Into<String>) {
+        self.errors.push(ConfigError::new(span, expected, found));
     }
 
-    /// The nodes of a document; those with another name than these are mistakes.
+    /// The nodes of a document; those with another name than these are errors.
     pub fn nodes<'a>(&mut self, document: &'a KdlDocument, names: &[&str]) -> Nodes<'a> {
         let mut known = Vec::new();
         for node in document.nodes() {
@@ -30,7 +33,7 @@
                 known.push(node);
             } else {
                 let expected = format!("one of {}", names.join(", "));
-                self.mistake(node.name().span(), expected, format!("{name:?}"));
+                self.error(node.name().span(), expected, format!("{name:?}"));
             }
         }
         Nodes(known)
@@ -45,84 +48,86 @@
     }
 
     /// The one argument of a node, which has no other and no children.
-    pub fn argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
+    fn only_argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
         if let Some(children) = node.children() {
-            self.mistake(children.span(), "no block here", "one");
+            self.error(children.span(), "no block here", "one");
         }
-        self.first(node, expected)
+        self.argument(node, expected)
     }
 
     /// The one argument of a node that may have children.
-    pub fn first<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
-        for entry in node.entries().iter().filter(|entry| entry.name().is_some()) {
-            self.mistake(entry.span(), format!("{expected}, without a name"), entry.to_string().trim());
+    pub fn argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
+        for property in node.entries().iter().filter(|entry| entry.name().is_some()) {
+            self.error(property.span(), format!("{expected}, without a name"), property.to_string().trim());
         }
-        let mut plain = node.entries().iter().filter(|entry| entry.name().is_none());
-        let first = plain.next();
-        for more in plain {
-            self.mistake(more.span(), "one value", "another");
+        let mut arguments = node.entries().iter().filter(|entry| entry.name().is_none());
+        let first = arguments.next();
+        for more in arguments {
+            self.error(more.span(), "one value", "another");
         }
         if first.is_none() {
-            self.mistake(node.name().span(), format!("{expected} behind it"), "nothing");
+            self.error(node.name().span(), format!("{expected} behind it"), "nothing");
         }
         first.map(|entry| entry.value())
     }
 
-    /// A node that has no argument of its own.
-    pub fn bare(&mut self, node: &KdlNode) {
+    /// Checks that a node has no argument of its own.
+    pub fn no_argument(&mut self, node: &KdlNode) {
         for entry in node.entries() {
-            self.mistake(entry.span(), "no value here", entry.to_string().trim());
+            self.error(entry.span(), "no value here", entry.to_string().trim());
         }
     }
 
-    /// The node's argument as text that `read` makes sense of.
+    /// The node's argument as text that `parse` accepts.
     pub fn text<T>(
         &mut self,
         node: &KdlNode,
         expected: &str,
-        read: impl FnOnce(&str) -> Option<T>,
+        parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        let value = self.argument(node, expected)?;
-        self.take(node, value, expected, value.as_string().and_then(read))
+        let value = self.only_argument(node, expected)?;
+        self.require(node, value, expected, value.as_string().and_then(parse))
     }
 
-    /// The same as a whole number within bounds.
-    pub fn whole(&mut self, node: &KdlNode, from: i128, to: i128) -> Option<usize> {
+    /// The node's argument as a whole number within bounds.
+    pub fn integer(&mut self, node: &KdlNode, from: i128, to: i128) -> Option<usize> {
         let expected = format!("a whole number from {from} to {to}");
-        let value = self.argument(node, &expected)?;
-        let number = value.as_integer().filter(|n| (from..=to).contains(n)).and_then(|n| n.try_into().ok());
-        self.take(node, value, &expected, number)
+        let value = self.only_argument(node, &expected)?;
+        let number = value.as_integer().filter(|number| (from..=to).contains(number));
+        self.require(node, value, &expected, number.and_then(|number| number.try_into().ok()))
     }
 
-    /// The same as `#true` or `#false`.
-    pub fn flag(&mut self, node: &KdlNode) -> Option<bool> {
-        let value = self.argument(node, "#true or #false")?;
-        self.take(node, value, "#true or #false", value.as_bool())
+    /// The node's argument as `#true` or `#false`.
+    pub fn boolean(&mut self, node: &KdlNode) -> Option<bool> {
+        let expected = "#true or #false";
+        let value = self.only_argument(node, expected)?;
+        self.require(node, value, expected, value.as_bool())
     }
 
-    /// What was read of a node's value, which is a mistake if that is nothing.
-    pub fn take<T>(
+    /// Gives back what was parsed of a node's value, and records an error if that is nothing.
+    pub fn require<T>(
         &mut self,
         node: &KdlNode,
         value: &KdlValue,
         expected: &str,
-        read: Option<T>,
+        parsed: Option<T>,
     ) -> Option<T> {
-        if read.is_none() {
+        if parsed.is_none() {
             let entry = node.entries().iter().find(|entry| entry.value() == value);
-            self.mistake(entry.map_or(node.span(), |e| e.span()), expected, value.to_string());
+            let span = entry.map_or(node.span(), |entry| entry.span());
+            self.error(span, expected, value.to_string());
         }
-        read
+        parsed
     }
 }
 
 impl<'a> Nodes<'a> {
-    /// The node of that name; a second one is a mistake.
+    /// The node of that name; a second one is an error.
     pub fn one(&self, name: &str, reader: &mut Reader) -> Option<&'a KdlNode> {
         let mut found = self.all(name);
         let first = found.next();
         for more in found {
-            reader.mistake(more.name().span(), format!("{name:?} once"), "it again");
+            reader.error(more.name().span(), format!("{name:?} once"), "it again");
         }
         first
     }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chutesaddle_operator_config::{read, Operator};
+use chutesaddle_operator_config::{read, OperatorConfig};
 
 const WHOLE: &str = r#"
 gateway {
@@ -22,7 +22,7 @@
 "#;
 
 #[test]
-fn everything_that_can_be_said_is_read() {
+fn reads_every_setting() {
     let gateway = read("a.kdl", WHOLE).unwrap().gateway.unwrap();
     assert_eq!(gateway.site, "khi-1");
     assert_eq!(gateway.listen, Some("127.0.0.1:7400".parse().unwrap()));
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn an_empty_file_switches_nothing_on() {
-    assert_eq!(read("a.kdl", "// nothing\n").unwrap(), Operator::default());
+fn reads_an_empty_file_as_nothing_switched_on() {
+    assert_eq!(read("a.kdl", "// nothing\n").unwrap(), OperatorConfig::default());
 }
 
 #[test]
-fn every_mistake_is_told_with_its_place_and_what_was_expected() {
+fn reports_each_error_with_its_place_and_what_was_expected() {
     let cases = [
         ("site \"khi-1\"", "site \"\"", "4:10: expected a site's name"),
         ("listen \"127.0.0.1:7400\"", "listen 7400", "5:12: expected an address such as"),
@@ -65,27 +65,27 @@
     ];
     for (right, wrong, report) in cases {
         let text = format!("\n{}", WHOLE.replacen(right, wrong, 1));
-        let mistakes = read("a.kdl", &text).expect_err(wrong);
-        let lines = mistakes.to_string();
+        let errors = read("a.kdl", &text).expect_err(wrong);
+        let lines = errors.to_string();
         assert!(lines.contains(report) && lines.starts_with("a.kdl:"), "{wrong}: {lines}");
-        assert_eq!(mistakes.count(), 1, "{wrong}: {lines}");
+        assert_eq!(errors.count(), 1, "{wrong}: {lines}");
     }
 }
 
 #[test]
-fn all_mistakes_come_at_once_in_their_order() {
+fn reports_all_errors_at_once_in_their_order() {
     let text = WHOLE.replace("\"5ms\"", "5").replace("peer \"lhe-1\"", "peers \"lhe-1\"");
-    let mistakes = read("a.kdl", &text).unwrap_err();
-    let lines: Vec<String> = mistakes.to_string().lines().map(str::to_owned).collect();
+    let errors = read("a.kdl", &text).unwrap_err();
+    let lines: Vec<String> = errors.to_string().lines().map(str::to_owned).collect();
     assert!(lines[0].starts_with("a.kdl:6:5: expected one of site, listen"), "{lines:?}");
     assert!(lines[1].starts_with("a.kdl:13:"), "{lines:?}");
-    assert!(mistakes.drawn().contains("peers \"lhe-1\""));
+    assert!(errors.render().contains("peers \"lhe-1\""));
 }
 
 #[test]
-fn what_is_no_kdl_is_told_by_its_place() {
-    let mistakes = read("a.kdl", "gateway {\n    site \"khi-1\n}\n").unwrap_err().to_string();
-    assert!(mistakes.starts_with("a.kdl:2:") && mistakes.contains("well-formed KDL"), "{mistakes}");
+fn reports_the_place_of_malformed_kdl() {
+    let errors = read("a.kdl", "gateway {\n    site \"khi-1\n}\n").unwrap_err().to_string();
+    assert!(errors.starts_with("a.kdl:2:") && errors.contains("well-formed KDL"), "{errors}");
 }
 
 /// What the example in `deploy/` says is what holds without it: its comments are true.
--- a/crates/replicated-register/src/rules.rs
+++ b/crates/replicated-register/src/rules.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use chutesaddle_operator_config::reader::Reader;
-use chutesaddle_operator_config::{duration, Mistake, Mistakes};
+use chutesaddle_operator_config::{duration, ConfigError, ConfigErrors};
 use kdl::{KdlDocument, KdlNode};
 
 /// The operators' rules, by the names that they use.
@@ -22,25 +22,25 @@
 
 impl Rules {
     /// Reads a document's body: `quota "TENANT" 4.5`, `window "CLASS" "40s"`, `drain "WORKER"`, `take-out "WORKER"`, one to
-    /// a line, each name once. `name` is what mistakes call it.
+    /// a line, each name once. `name` is what its errors call it.
     ///
     /// # Errors
-    /// All mistakes, with their places.
-    pub fn read(name: &str, text: &str) -> Result<Self, Mistakes> {
+    /// All errors, with their places.
+    pub fn read(name: &str, text: &str) -> Result<Self, ConfigErrors> {
         let document = KdlDocument::parse_v2(text).map_err(|error| {
             let each = error.diagnostics.iter();
-            let mistake = |d: &kdl::KdlDiagnostic| {
-                Mistake::new(d.span, "well-formed KDL", d.message.clone().unwrap_or_default())
+            let to_error = |d: &kdl::KdlDiagnostic| {
+                ConfigError::new(d.span, "well-formed KDL", d.message.clone().unwrap_or_default())
             };
-            Mistakes::new(name, text, each.map(mistake).collect())
+            ConfigErrors::new(name, text, each.map(to_error).collect())
         })?;
         let (mut reader, mut rules) = (Reader::default(), Rules::default());
         for node in document.nodes() {
             rules.take(node, &mut reader);
         }
-        match reader.mistakes {
-            mistakes if mistakes.is_empty() => Ok(rules),
-            mistakes => Err(Mistakes::new(name, text, mistakes)),
+        match reader.errors {
+            errors if errors.is_empty() => Ok(rules),
+            errors => Err(ConfigErrors::new(name, text, errors)),
         }
     }
 
@@ -49,7 +49,7 @@
         let valued = matches!(word, "quota" | "window");
         if !valued && !matches!(word, "drain" | "take-out") {
             let expected = "one of quota, window, drain, take-out";
-            return reader.mistake(node.name().span(), expected, format!("{word:?}"));
+            return reader.error(node.name().span(), expected, format!("{word:?}"));
         }
         let entries = node.entries();
         let plain = entries.iter().all(|entry| entry.name().is_none()) && node.children().is_none();
@@ -57,7 +57,7 @@
             entries.first().and_then(|entry| entry.value().as_string()).filter(|name| !name.is_empty());
         let (Some(about), true) = (about, plain && entries.len() == 1 + usize::from(valued)) else {
             let expected = if valued { "a name and a value" } else { "a name" };
-            return reader.mistake(node.span(), expected, node.to_string().trim().to_owned());
+            return reader.error(node.span(), expected, node.to_string().trim().to_owned());
         };
         let about = about.to_owned();
         let new = match (word, entries.get(1)) {
@@ -65,13 +65,13 @@
                 let number = entry.value().as_float().or(entry.value().as_integer().map(|n| n as f64));
                 let Some(quota) = number.filter(|n| n.is_finite() && *n >= 0.0) else {
                     let expected = "requests a second, 0 or more";
-                    return reader.mistake(entry.span(), expected, entry.value().to_string());
+                    return reader.error(entry.span(), expected, entry.value().to_string());
                 };
                 self.quotas.insert(about, quota).is_none()
             }
             ("window", Some(entry)) => {
                 let Some(window) = entry.value().as_string().and_then(duration) else {
-                    return reader.mistake(entry.span(), "a time such as \"40s\"", entry.value().to_string());
+                    return reader.error(entry.span(), "a time such as \"40s\"", entry.value().to_string());
                 };
                 self.windows.insert(about, window).is_none()
             }
@@ -79,7 +79,7 @@
             _ => self.taken_out.insert(about),
         };
         if !new {
-            reader.mistake(node.span(), "each name once", "it again");
+            reader.error(node.span(), "each name once", "it again");
         }
     }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -28,7 +28,7 @@
     }
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
     let operator = chutesaddle_operator_config::read(&file.display().to_string(), &text)
-        .map_err(|mistakes| format!("{} mistakes\n{mistakes}\n{}", mistakes.count(), mistakes.drawn()))?;
+        .map_err(|mistakes| format!("{} mistakes\n{mistakes}\n{}", mistakes.count(), mistakes.render()))?;
     Ok(match operator.gateway {
         None => "nothing is switched on".to_owned(),
         Some(gateway) => format!("a gateway of {:?} to {} peers", gateway.site, gateway.peers.len()),
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -37,7 +37,7 @@
         File(PathBuf, std::io::Error),
         /// What is wrong with it, a mistake to a line.
         #[error("{0}")]
-        Mistakes(#[from] chutesaddle_operator_config::Mistakes),
+        Mistakes(#[from] chutesaddle_operator_config::ConfigErrors),
         /// What it names cannot be used.
         #[error(transparent)]
         Gateway(#[from] GatewayError),
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -11,7 +11,7 @@
 
 use bytes::BytesMut;
 use chutesaddle_gateway::{Incarnation, LinkId};
-use chutesaddle_operator_config::GatewayFile;
+use chutesaddle_operator_config::GatewaySettings;
 use chutesaddle_site_link::{
     Config, Frame, Handshake, HandshakeStep, Link, LinkError, LocalIdentity, PeerIdentity, Secret,
 };
@@ -81,7 +81,7 @@
 #[derive(Clone)]
 pub struct SiteLinkSettings {
     /// The file.
-    pub file: GatewayFile,
+    pub file: GatewaySettings,
     /// What its `secret-file` holds.
     pub secret: Secret,
 }
@@ -137,7 +137,7 @@
         let mut kept = Vec::new();
         kept.extend((said.file.site != old.file.site).then_some("gateway site"));
         kept.extend((said.file.listen != old.file.listen).then_some("gateway listen"));
-        let file = GatewayFile { site: old.file.site.clone(), listen: old.file.listen, ..said.file };
+        let file = GatewaySettings { site: old.file.site.clone(), listen: old.file.listen, ..said.file };
         self.tell(SiteLinkEvent::Configure(Box::new(file.decisions.clone())));
         self.said.send_replace(Rc::new(SiteLinkSettings { file, secret: said.secret }));
         self.dial_all();
