--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,151 +1,257 @@
-//! Several files into one. Times go by the wall clocks that the files' anchors name, plus what the caller knows of
-//! their error; numbers of classes, tenants, members and sources are made to fit.
+//! Several files into one.
+//!
+//! Times go by the wall clocks that the files' anchors name, plus the caller's correction of each clock. The numbers
+//! of classes, tenants, workers and sources are made to fit.
 
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
 
-use crate::header::ClassTerms;
+use crate::header::ClassObjective;
 use crate::{Header, Item, Reader, Record, TraceError, Writer};
 
+/// A file to merge.
+pub struct MergeInput<R> {
+    /// The file.
+    pub reader: Reader<R>,
+    /// What is to be added to its clock, in microseconds.
+    pub clock_correction_us: i64,
+}
+
+impl<R: Read + Seek> MergeInput<R> {
+    /// Time 0 of the file, corrected.
+    fn anchor(&self) -> u64 {
+        self.reader.header().anchor.saturating_add_signed(self.clock_correction_us)
+    }
+}
+
 /// One file on its way into another.
 struct Part<'a, R> {
     reader: &'a mut Reader<R>,
     /// Added to each time.
     shift: u64,
-    classes: Vec<u16>,
-    tenants: Vec<u16>,
+    numbers: HeaderNumbers,
     sources: HashMap<u16, u16>,
-    members: HashMap<(u16, u16), u16>,
+    workers: HashMap<WorkerKey, u16>,
     next: Option<Item>,
 }
 
-/// Gives a number to each new thing, up to the most that a file can tell apart.
-fn number<T: PartialEq>(known: &mut Vec<T>, item: T, what: &str) -> Result<u16, TraceError> {
-    let at = known.iter().position(|other| *other == item).unwrap_or_else(|| {
-        known.push(item);
-        known.len() - 1
-    });
-    u16::try_from(at).map_err(|_| TraceError::Merge(format!("more {what} than a file can tell apart")))
+impl<R> Part<'_, R> {
+    /// When the next item happened, on the clock of the merged file.
+    fn next_time(&self) -> Option<u64> {
+        match self.next.as_ref()? {
+            Item::Record(timed) => Some(timed.at + self.shift),
+            Item::Gap(entry) | Item::Damaged(entry) => Some(entry.first + self.shift),
+        }
+    }
+}
+
+/// A worker, as numbered in one file.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct WorkerKey {
+    source: u16,
+    worker: u16,
 }
 
-/// Merges files into one, in the order of their clocks, and gives how many records it holds. Each comes with what is
-/// to be added to its clock, in microseconds.
+/// The numbers in the merged file of the classes and tenants of one file.
+struct HeaderNumbers {
+    classes: Vec<u16>,
+    tenants: Vec<u16>,
+}
+
+/// Merges files into one, in the order of their clocks, and gives how many records it holds.
 ///
 /// # Errors
-/// If the same class has other terms in two of them, or a file cannot be read or written.
-pub fn merge<R: Read + Seek, W: Write>(files: &mut [(Reader<R>, i64)], to: W) -> Result<u64, TraceError> {
-    let anchors = files.iter().map(|(reader, error)| reader.header().anchor.saturating_add_signed(*error));
-    let anchors: Vec<u64> = anchors.collect();
+/// If the same class has other objectives in two of them, their names were replaced under different secrets, or a
+/// file cannot be read or written.
+pub fn merge<R: Read + Seek, W: Write>(files: &mut [MergeInput<R>], to: W) -> Result<u64, TraceError> {
+    let anchors: Vec<u64> = files.iter().map(MergeInput::anchor).collect();
     let anchor = anchors.iter().copied().min().unwrap_or_default();
-    let (mut classes, mut tenants): (Vec<ClassTerms>, Vec<String>) = (Vec::new(), Vec::new());
-    let mut over_share: Option<f64> = None;
-    let mut numbers = Vec::new();
-    for (reader, _) in files.iter() {
-        let header = reader.header();
-        if *over_share.get_or_insert(header.over_share) != header.over_share {
+    let headers: Vec<&Header> = files.iter().map(|file| file.reader.header()).collect();
+    let mut merged_header = MergedHeader::default();
+    let numbers =
+        headers.iter().map(|header| merged_header.add(header)).collect::<Result<Vec<_>, TraceError>>()?;
+    let secret_mark = common_secret(&headers)?;
+    let mut writer = Writer::new(to, &merged_header.finish(anchor, secret_mark))?;
+    let mut merger = Merger::default();
+    let mut parts = Vec::new();
+    for ((file, file_anchor), numbers) in files.iter_mut().zip(anchors).zip(numbers) {
+        parts.push(merger.begin(file, file_anchor - anchor, numbers, &mut writer)?);
+    }
+    while let Some(earliest) = earliest(&parts) {
+        merger.take_next(&mut parts[earliest], &mut writer)?;
+    }
+    writer.finish()?;
+    Ok(merger.written)
+}
+
+/// The part whose next item happened first.
+fn earliest<R>(parts: &[Part<'_, R>]) -> Option<usize> {
+    let times = parts.iter().enumerate().filter_map(|(index, part)| Some((part.next_time()?, index)));
+    times.min().map(|(_, index)| index)
+}
+
+fn common_secret(headers: &[&Header]) -> Result<Option<u64>, TraceError> {
+    let marks: Vec<Option<u64>> = headers.iter().map(|header| header.secret_mark).collect();
+    if marks.windows(2).any(|pair| pair[0] != pair[1]) {
+        return Err(TraceError::Merge("their names were replaced under different secrets".into()));
+    }
+    Ok(marks.first().copied().flatten())
+}
+
+/// The header of the merged file, as it is put together.
+#[derive(Default)]
+struct MergedHeader {
+    classes: Vec<ClassObjective>,
+    tenants: Vec<String>,
+    over_quota_weight: Option<f64>,
+}
+
+impl MergedHeader {
+    /// Adds the classes and tenants of a file, and gives their numbers.
+    fn add(&mut self, header: &Header) -> Result<HeaderNumbers, TraceError> {
+        if *self.over_quota_weight.get_or_insert(header.over_quota_weight) != header.over_quota_weight {
             return Err(TraceError::Merge("work beyond a share is worth more in one than in another".into()));
         }
-        let of_class = |class: &ClassTerms| {
-            if classes.iter().any(|known| known.name == class.name && known != class) {
+        let mut classes = Vec::new();
+        for class in &header.classes {
+            if self.classes.iter().any(|known| known.name == class.name && known != class) {
                 return Err(TraceError::Merge(format!("the class {:?} has other terms", class.name)));
             }
-            number(&mut classes, class.clone(), "classes")
-        };
-        let of_classes: Vec<u16> = header.classes.iter().map(of_class).collect::<Result<_, _>>()?;
-        let of_tenant = |tenant: &String| number(&mut tenants, tenant.clone(), "tenants");
-        numbers.push((of_classes, header.tenants.iter().map(of_tenant).collect::<Result<Vec<u16>, _>>()?));
+            classes.push(number(&mut self.classes, class.clone(), "classes")?);
+        }
+        let mut tenants = Vec::new();
+        for tenant in &header.tenants {
+            tenants.push(number(&mut self.tenants, tenant.clone(), "tenants")?);
+        }
+        Ok(HeaderNumbers { classes, tenants })
     }
-    let secrets: Vec<Option<u64>> = files.iter().map(|(reader, _)| reader.header().secret).collect();
-    if secrets.windows(2).any(|pair| pair[0] != pair[1]) {
-        return Err(TraceError::Merge("their names were replaced under different secrets".into()));
+
+    fn finish(self, anchor: u64, secret_mark: Option<u64>) -> Header {
+        Header {
+            scheduler: "merged".into(),
+            anchor,
+            classes: self.classes,
+            tenants: self.tenants,
+            over_quota_weight: self.over_quota_weight.unwrap_or_default(),
+            secret_mark,
+            ..Header::default()
+        }
     }
-    let header = Header {
-        scheduler: "merged".into(),
-        anchor,
-        classes,
-        tenants,
-        over_share: over_share.unwrap_or_default(),
-        secret: secrets.first().copied().flatten(),
-        ..Header::default()
-    };
-    let mut writer = Writer::new(to, &header)?;
-    let mut parts = Vec::new();
-    let mut sources = 0u16;
-    for (((reader, _), anchor_of), (classes, tenants)) in files.iter_mut().zip(anchors).zip(numbers) {
-        sources += 1;
-        let Header { scheduler, site, .. } = reader.header().clone();
-        writer.push_of(sources, 0, &Record::Source { number: sources, scheduler, site })?;
-        let next = reader.next_item()?;
-        let (sources, members) = (HashMap::from([(0, sources)]), HashMap::new());
-        parts.push(Part { reader, shift: anchor_of - anchor, classes, tenants, sources, members, next });
+}
+
+/// Gives a number to each new thing, up to the most that a file can tell apart.
+fn number<T: PartialEq>(known: &mut Vec<T>, item: T, what: &str) -> Result<u16, TraceError> {
+    let index = known.iter().position(|other| *other == item).unwrap_or_else(|| {
+        known.push(item);
+        known.len() - 1
+    });
+    u16::try_from(index).map_err(|_| TraceError::Merge(format!("more {what} than a file can tell apart")))
+}
+
+/// The numbers given out so far.
+#[derive(Default)]
+struct Merger {
+    last_source: u16,
+    last_worker: u16,
+    /// Records written.
+    written: u64,
+}
+
+impl Merger {
+    fn begin<'a, R: Read + Seek, W: Write>(
+        &mut self,
+        file: &'a mut MergeInput<R>,
+        shift: u64,
+        numbers: HeaderNumbers,
+        writer: &mut Writer<W>,
+    ) -> Result<Part<'a, R>, TraceError> {
+        self.last_source += 1;
+        let source = self.last_source;
+        let Header { scheduler, site, .. } = file.reader.header().clone();
+        writer.push_of(source, 0, &Record::Source { number: source, scheduler, site })?;
+        let next = file.reader.next_item()?;
+        let sources = HashMap::from([(0, source)]);
+        Ok(Part { reader: &mut file.reader, shift, numbers, sources, workers: HashMap::new(), next })
     }
-    let (mut written, mut members) = (0, 0u16);
-    loop {
-        let at = |part: &Part<'_, R>| match part.next.as_ref()? {
-            Item::Record(record) => Some(record.at + part.shift),
-            Item::Gap(entry) | Item::Damaged(entry) => Some(entry.first + part.shift),
-        };
-        let earliest = parts.iter().enumerate().filter_map(|(n, part)| Some((at(part)?, n))).min();
-        let Some((at, n)) = earliest else { break };
-        let part = &mut parts[n];
+
+    /// Writes the next item of a file.
+    fn take_next<R: Read + Seek, W: Write>(
+        &mut self,
+        part: &mut Part<'_, R>,
+        writer: &mut Writer<W>,
+    ) -> Result<(), TraceError> {
         let item = part.next.take();
         part.next = part.reader.next_item()?;
         match item {
             Some(Item::Record(timed)) => {
-                let source = source(part, timed.source, &mut sources);
-                let record = renumbered(part, timed.source, timed.record, &mut members)?;
-                writer.push_of(source, at, &record)?;
-                written += 1;
+                let source = self.source(part, timed.source);
+                let record = self.renumber(part, timed.source, timed.record)?;
+                writer.push_of(source, timed.at + part.shift, &record)?;
+                self.written += 1;
             }
             // What cannot be read any more is missing like what was dropped.
             Some(Item::Gap(entry) | Item::Damaged(entry)) => {
-                let source = source(part, entry.source, &mut sources);
-                writer.gap(source, entry.count, at, entry.last + part.shift)?;
+                let source = self.source(part, entry.source);
+                writer.gap(source, entry.count, entry.first + part.shift, entry.last + part.shift)?;
             }
             None => {}
         }
+        Ok(())
     }
-    writer.finish()?;
-    Ok(written)
-}
 
-fn source<R>(part: &mut Part<'_, R>, source: u16, sources: &mut u16) -> u16 {
-    *part.sources.entry(source).or_insert_with(|| {
-        *sources = sources.saturating_add(1);
-        *sources
-    })
-}
+    /// The number in the merged file of a source of one file.
+    fn source<R>(&mut self, part: &mut Part<'_, R>, source: u16) -> u16 {
+        *part.sources.entry(source).or_insert_with(|| {
+            self.last_source = self.last_source.saturating_add(1);
+            self.last_source
+        })
+    }
 
-/// The record with numbers of the merged file.
-fn renumbered<R>(
-    part: &mut Part<'_, R>,
-    source: u16,
-    mut record: Record,
-    members: &mut u16,
-) -> Result<Record, TraceError> {
-    let own = part.sources.get(&source).copied().unwrap_or_default();
-    match &mut record {
-        Record::Source { number, .. } => *number = own,
-        Record::Arrival { class, tenant, .. } => {
-            let known = |numbers: &[u16], n: u16| numbers.get(usize::from(n)).copied();
-            let unknown =
-                || TraceError::Merge("a record names a class or tenant that its header does not".into());
-            *class = known(&part.classes, *class).ok_or_else(unknown)?;
-            *tenant = known(&part.tenants, *tenant).ok_or_else(unknown)?;
+    /// The record with the numbers of the merged file.
+    fn renumber<R>(
+        &mut self,
+        part: &mut Part<'_, R>,
+        source: u16,
+        mut record: Record,
+    ) -> Result<Record, TraceError> {
+        match &mut record {
+            Record::Source { number, .. } => {
+                *number = part.sources.get(&source).copied().unwrap_or_default();
+            }
+            Record::Arrival { class, tenant, .. } => {
+                *class = known_number(&part.numbers.classes, *class)?;
+                *tenant = known_number(&part.numbers.tenants, *tenant)?;
+            }
+            Record::Worker { worker, .. }
+            | Record::EndpointState { worker, .. }
+            | Record::AttemptSent { worker, .. } => {
+                *worker = self.worker(part, WorkerKey { source, worker: *worker })?;
+            }
+            Record::AttemptProgressed { .. }
+            | Record::AttemptEnded { .. }
+            | Record::Rejected { .. }
+            | Record::Forwarding { .. }
+            | Record::Answered { .. }
+            | Record::Lifecycle(_) => {}
         }
-        Record::Member { member, .. } | Record::Pool { member, .. } | Record::Route { member, .. } => {
-            let full = || TraceError::Merge("more members than a file can tell apart".into());
-            let key = (source, *member);
-            *member = match part.members.get(&key) {
-                Some(known) => *known,
-                None => {
-                    *members = members.checked_add(1).ok_or_else(full)?;
-                    part.members.insert(key, *members);
-                    *members
-                }
-            };
+        Ok(record)
+    }
+
+    /// The number in the merged file of a worker of one file.
+    fn worker<R>(&mut self, part: &mut Part<'_, R>, key: WorkerKey) -> Result<u16, TraceError> {
+        if let Some(known) = part.workers.get(&key) {
+            return Ok(*known);
         }
-        _ => {}
+        let Some(next) = self.last_worker.checked_add(1) else {
+            return Err(TraceError::Merge("more members than a file can tell apart".into()));
+        };
+        self.last_worker = next;
+        part.workers.insert(key, next);
+        Ok(next)
     }
-    Ok(record)
+}
+
+fn known_number(numbers: &[u16], number: u16) -> Result<u16, TraceError> {
+    let known = numbers.get(usize::from(number)).copied();
+    known.ok_or_else(|| TraceError::Merge("a record names a class or tenant that its header does not".into()))
 }
--- a/crates/trace/tests/file.rs
+++ b/crates/trace/tests/file.rs
@@ -3,18 +3,18 @@
 use std::io::Cursor;
 
 use chutesaddle_trace::{
-    merge, Answered, Checker, ClassTerms, Fault, Header, Item, Reader, Record, Summary, Timed, TraceError,
-    Way, Writer,
+    merge, AnswerKind, Checker, ClassObjective, ForwardingStep, Header, Item, MergeInput, Reader, Record,
+    Summary, TimedRecord, TraceError, Violation, ViolationKind, Writer,
 };
 use proptest::prelude::*;
 
 fn header(scheduler: &str, anchor: u64) -> Header {
-    let terms = |name: &str, aim_us, worth| ClassTerms {
+    let terms = |name: &str, latency_objective_us, worth| ClassObjective {
         name: name.into(),
-        aim_us,
+        latency_objective_us,
         stretch: 2.0,
         deadline_us: 8_000_000,
-        worth,
+        weight: worth,
     };
     Header {
         scheduler: scheduler.into(),
@@ -22,28 +22,40 @@
         anchor,
         classes: vec![terms("draw-map", 250_000, 2.0), terms("publish-map", 800_000, 5.0)],
         tenants: vec!["barfani-heights".into(), "chinar-slopes".into()],
-        over_share: 0.05,
+        over_quota_weight: 0.05,
         ..Header::default()
     }
 }
 
 fn arrival(id: u64, class: u16, tenant: u16, inside: bool) -> Record {
     let (hint_us, left_us) = (Some(100_000 + id % 7), 8_000_000);
-    Record::Arrival { id, name: id.wrapping_mul(31), class, tenant, hint_us, left_us, key: None, inside }
+    Record::Arrival {
+        id,
+        name_hash: id.wrapping_mul(31),
+        class,
+        tenant,
+        hint_us,
+        time_left_us: left_us,
+        key_hash: None,
+        within_quota: inside,
+    }
 }
 
-/// The life of `n` transactions, ten milliseconds apart.
-fn lives(n: u64) -> Vec<(u64, Record)> {
-    let mut records = vec![(0, Record::Member { member: 1, name: "s-1".into() })];
+/// The records of `n` requests, ten milliseconds apart.
+fn records_of(n: u64) -> Vec<(u64, Record)> {
+    let mut records = vec![(0, Record::Worker { worker: 1, name: "s-1".into() })];
     for id in 0..n {
         let at = 10_000 * id;
-        let how =
-            [Answered::Served, Answered::Served, Answered::Rejected, Answered::Failed][(id % 4) as usize];
+        let how = [AnswerKind::Served, AnswerKind::Served, AnswerKind::Rejected, AnswerKind::Failed]
+            [(id % 4) as usize];
         let took_us = 200_000 + 1000 * (id % 500);
         records.push((at, arrival(id, (id % 2) as u16, (id / 2 % 2) as u16, !id.is_multiple_of(5))));
-        records.push((at + 1000, Record::Route { id, attempt: 0, member: 1 }));
-        records.push((at + took_us, Record::Ended { id, attempt: 0, end: 0, free: Some(2), queue: None }));
-        records.push((at + took_us, Record::Answer { id, how, took_us }));
+        records.push((at + 1000, Record::AttemptSent { id, attempt: 0, worker: 1 }));
+        records.push((
+            at + took_us,
+            Record::AttemptEnded { id, attempt: 0, outcome: 0, free_slots: Some(2), queued: None },
+        ));
+        records.push((at + took_us, Record::Answered { id, kind: how, latency_us: took_us }));
     }
     records.sort_by_key(|(at, _)| *at);
     records
@@ -65,28 +77,28 @@
 
 fn records(items: &[Item]) -> Vec<(u64, Record)> {
     let record = |item: &Item| match item {
-        Item::Record(Timed { at, record, .. }) => Some((*at, record.clone())),
+        Item::Record(TimedRecord { at, record, .. }) => Some((*at, record.clone())),
         _ => None,
     };
     items.iter().filter_map(record).collect()
 }
 
 #[test]
-fn what_is_written_is_read_again() {
-    let (header, lives) = (header("n1", 1_700_000_000_000_000), lives(20_000));
-    let bytes = write(&header, &lives);
+fn reads_what_was_written() {
+    let (header, recorded) = (header("n1", 1_700_000_000_000_000), records_of(20_000));
+    let bytes = write(&header, &recorded);
     let mut reader = open(&bytes);
     assert_eq!(reader.header(), &header);
     assert!(reader.index().complete && reader.index().entries.len() > 5);
-    assert_eq!(records(&items(&mut reader)), lives);
-    assert!(bytes.len() < 12 * lives.len(), "{} bytes for {} records", bytes.len(), lives.len());
+    assert_eq!(records(&items(&mut reader)), recorded);
+    assert!(bytes.len() < 12 * recorded.len(), "{} bytes for {} records", bytes.len(), recorded.len());
 }
 
 /// Whatever the last byte is, all blocks before it are read.
 #[test]
-fn a_file_cut_off_anywhere_is_read_up_to_the_break() {
-    let lives = lives(3000);
-    let bytes = write(&header("n1", 0), &lives);
+fn reads_a_truncated_file_up_to_the_break() {
+    let recorded = records_of(3000);
+    let bytes = write(&header("n1", 0), &recorded);
     let ends: Vec<u64> = open(&bytes).index().entries.iter().map(|entry| entry.offset).collect();
     let counts: Vec<usize> = open(&bytes).index().entries.iter().map(|entry| entry.count as usize).collect();
     for cut in (ends[0] as usize..bytes.len()).step_by(1499).chain(ends.iter().map(|end| *end as usize)) {
@@ -95,55 +107,55 @@
         let whole = ends.iter().skip(1).filter(|end| **end as usize <= cut).count();
         let got = records(&items(&mut reader));
         let least: usize = counts[..whole].iter().sum();
-        assert!(got.len() >= least && got[..] == lives[..got.len()], "cut at {cut}");
+        assert!(got.len() >= least && got[..] == recorded[..got.len()], "cut at {cut}");
     }
 }
 
 #[test]
-fn a_damaged_block_costs_itself_and_no_other() {
-    let lives = lives(5000);
-    let bytes = write(&header("n1", 0), &lives);
+fn a_damaged_block_loses_only_its_own_records() {
+    let recorded = records_of(5000);
+    let bytes = write(&header("n1", 0), &recorded);
     let entries = open(&bytes).index().entries.clone();
     let mut damaged = bytes.clone();
     damaged[entries[1].offset as usize + 60] ^= 0x40;
     // By the index, it is known to be missing.
     let found = items(&mut open(&damaged));
     assert!(found.contains(&Item::Damaged(entries[1])));
-    assert_eq!(records(&found).len(), lives.len() - entries[1].count as usize);
+    assert_eq!(records(&found).len(), recorded.len() - entries[1].count as usize);
     // By a scan, it is passed over.
     let mut reader = open(&damaged[..damaged.len() - 1]);
     assert!(reader.index().damaged > 0);
-    assert_eq!(records(&items(&mut reader)).len(), lives.len() - entries[1].count as usize);
+    assert_eq!(records(&items(&mut reader)).len(), recorded.len() - entries[1].count as usize);
 }
 
 #[test]
-fn a_cut_by_time_reads_only_the_blocks_that_it_needs() {
-    let lives = lives(20_000);
-    let bytes = write(&header("n1", 0), &lives);
+fn a_time_range_reads_only_the_blocks_it_needs() {
+    let recorded = records_of(20_000);
+    let bytes = write(&header("n1", 0), &recorded);
     let mut reader = open(&bytes);
     let (from, to) = (50_000_000, 51_000_000);
     reader.between(from, to);
-    let wanted: Vec<_> = lives.iter().filter(|(at, _)| (from..to).contains(at)).cloned().collect();
+    let wanted: Vec<_> = recorded.iter().filter(|(at, _)| (from..to).contains(at)).cloned().collect();
     assert_eq!(records(&items(&mut reader)), wanted);
     assert!(reader.blocks_read() <= 2, "{} of {}", reader.blocks_read(), reader.index().entries.len());
 }
 
 #[test]
-fn other_files_and_versions_are_named() {
-    let bytes = write(&header("n1", 0), &lives(1));
+fn rejects_other_files_versions_and_damaged_headers() {
+    let bytes = write(&header("n1", 0), &records_of(1));
     let open = |bytes: &[u8]| Reader::open(Cursor::new(bytes.to_vec())).err();
-    assert!(matches!(open(b"PK\x03\x04 and so on, for a while"), Some(TraceError::Magic)));
-    assert!(matches!(open(b""), Some(TraceError::Magic)));
+    assert!(matches!(open(b"PK\x03\x04 and so on, for a while"), Some(TraceError::NotATrace)));
+    assert!(matches!(open(b""), Some(TraceError::NotATrace)));
     let mut other = bytes.clone();
     other[8] = 2;
-    assert!(matches!(open(&other), Some(TraceError::Version(2))));
+    assert!(matches!(open(&other), Some(TraceError::UnsupportedVersion(2))));
     let mut other = bytes;
     other[20] ^= 1;
-    assert!(matches!(open(&other), Some(TraceError::Header)));
+    assert!(matches!(open(&other), Some(TraceError::DamagedHeader)));
 }
 
 #[test]
-fn gaps_are_told_where_they_are() {
+fn reports_gaps_where_they_are() {
     let mut writer = Writer::new(Vec::new(), &header("n1", 0)).unwrap();
     writer.push(10, &arrival(1, 0, 0, true)).unwrap();
     writer.gap(0, 77, 20, 30).unwrap();
@@ -157,12 +169,12 @@
     let (mut sums, mut reader) = (Summary::default(), open(bytes));
     let header = reader.header().clone();
     while let Some(item) = reader.next_item().unwrap() {
-        sums.take(&header, &item);
+        sums.add_item(&header, &item);
     }
     sums
 }
 
-fn rows(sums: &Summary) -> Vec<(String, String, chutesaddle_trace::Row)> {
+fn rows(sums: &Summary) -> Vec<(String, String, chutesaddle_trace::ServiceRow)> {
     sums.rows().map(|(class, tenant, row)| (class.to_owned(), tenant.to_owned(), row.clone())).collect()
 }
 
@@ -173,11 +185,12 @@
     other.classes.reverse();
     other.tenants.reverse();
     let parts = [
-        write(&header("n1", 1_700_000_000_000_000), &lives(700)),
-        write(&other, &lives(900)),
-        write(&header("n3", 1_699_999_999_000_000), &lives(5)),
+        write(&header("n1", 1_700_000_000_000_000), &records_of(700)),
+        write(&other, &records_of(900)),
+        write(&header("n3", 1_699_999_999_000_000), &records_of(5)),
     ];
-    let mut files: Vec<_> = parts.iter().map(|part| (open(part), 0)).collect();
+    let mut files: Vec<_> =
+        parts.iter().map(|part| MergeInput { reader: open(part), clock_correction_us: 0 }).collect();
     let mut merged = Vec::new();
     let count = merge(&mut files, &mut merged).unwrap();
     assert_eq!(count, 3 + 4 * (700 + 900 + 5));
@@ -188,28 +201,30 @@
     assert_eq!(whole.worst(), sum.worst());
     assert!(whole.total().asked == 1605 && whole.open() == 0);
     // And it is sound, as its parts are.
-    let (mut checker, mut faults) = (Checker::default(), Vec::new());
+    let (mut checker, mut violations) = (Checker::default(), Vec::new());
     let mut reader = open(&merged);
-    items(&mut reader).iter().for_each(|item| checker.look(item, &mut faults));
-    checker.finish(&mut faults);
-    assert_eq!(faults, []);
+    items(&mut reader).iter().for_each(|item| checker.check(item, &mut violations));
+    checker.finish(&mut violations);
+    assert_eq!(violations, []);
 }
 
 #[test]
-fn files_that_contradict_each_other_are_not_merged() {
+fn does_not_merge_files_with_different_objectives() {
     let mut other = header("n2", 0);
-    other.classes[0].worth = 3.0;
-    let parts = [write(&header("n1", 0), &lives(1)), write(&other, &lives(1))];
-    let mut files: Vec<_> = parts.iter().map(|part| (open(part), 0)).collect();
+    other.classes[0].weight = 3.0;
+    let parts = [write(&header("n1", 0), &records_of(1)), write(&other, &records_of(1))];
+    let mut files: Vec<_> =
+        parts.iter().map(|part| MergeInput { reader: open(part), clock_correction_us: 0 }).collect();
     let error = merge(&mut files, Vec::new()).unwrap_err().to_string();
     assert!(error.contains("\"draw-map\" has other terms"), "{error}");
 }
 
 #[test]
-fn the_checker_says_where_an_arrival_has_not_one_answer() {
-    let answer = |id| Record::Answer { id, how: Answered::Served, took_us: 1 };
-    let route = |attempt| Record::Route { id: 3, attempt, member: 1 };
-    let crossing = Record::Crossing { id: 9, way: Way::Out, crossing: 1, instance: 1 };
+fn checker_reports_each_arrival_without_exactly_one_answer() {
+    let answer = |id| Record::Answered { id, kind: AnswerKind::Served, latency_us: 1 };
+    let route = |attempt| Record::AttemptSent { id: 3, attempt, worker: 1 };
+    let crossing =
+        Record::Forwarding { id: 9, step: ForwardingStep::Forwarded, forwarded: 1, incarnation: 1 };
     let told = [
         (1, arrival(1, 0, 0, true)),
         (2, arrival(1, 0, 0, true)),
@@ -220,24 +235,38 @@
         (7, route(0)),
         (8, route(1)),
         (9, answer(3)),
-        (10, Record::Ended { id: 3, attempt: 1, end: 0, free: None, queue: None }),
+        (10, Record::AttemptEnded { id: 3, attempt: 1, outcome: 0, free_slots: None, queued: None }),
         (11, crossing),
     ];
-    let (mut checker, mut faults) = (Checker::default(), Vec::new());
-    items(&mut open(&write(&header("n1", 0), &told))).iter().for_each(|item| checker.look(item, &mut faults));
-    checker.finish(&mut faults);
-    let wanted =
-        [Fault::ArrivedTwice(0, 1), Fault::NotOpen(0, 1), Fault::TwoAttempts(0, 3), Fault::Unanswered(0, 2)];
-    assert_eq!(faults, wanted);
+    let (mut checker, mut violations) = (Checker::default(), Vec::new());
+    items(&mut open(&write(&header("n1", 0), &told)))
+        .iter()
+        .for_each(|item| checker.check(item, &mut violations));
+    checker.finish(&mut violations);
+    let violation = |kind, subject| Violation { source: 0, kind, subject };
+    let wanted = [
+        violation(ViolationKind::ArrivedTwice, 1),
+        violation(ViolationKind::NotOpen, 1),
+        violation(ViolationKind::TwoAttempts, 3),
+        violation(ViolationKind::Unanswered, 2),
+    ];
+    assert_eq!(violations, wanted);
 }
 
 #[test]
-fn service_counts_worth_in_time_and_little_beyond_a_share() {
-    let answer = |id, took_us| Record::Answer { id, how: Answered::Served, took_us };
+fn service_counts_weight_in_time_and_less_beyond_the_quota() {
+    let answer = |id, took_us| Record::Answered { id, kind: AnswerKind::Served, latency_us: took_us };
     let hinted = |id, inside| match arrival(id, 0, 0, inside) {
-        Record::Arrival { name, class, tenant, left_us, key, .. } => {
-            Record::Arrival { id, name, class, tenant, hint_us: Some(100_000), left_us, key, inside }
-        }
+        Record::Arrival { name_hash, class, tenant, time_left_us, key_hash, .. } => Record::Arrival {
+            id,
+            name_hash,
+            class,
+            tenant,
+            hint_us: Some(100_000),
+            time_left_us,
+            key_hash,
+            within_quota: inside,
+        },
         other => other,
     };
     // The aim is 0.25 s and twice 0.1 s. Worth: 0.2 each inside the share, 0.01 beyond it.
@@ -251,7 +280,7 @@
     ];
     let total = summary(&write(&header("n1", 0), &told)).total();
     assert_eq!((total.served, total.in_time), (3, 2));
-    assert_eq!(total.worth, (410_000, 210_000));
+    assert_eq!((total.weight_asked(), total.weight_in_time()), (410_000, 210_000));
 }
 
 proptest! {
@@ -259,7 +288,7 @@
 
     /// Times in any order and any values come back as they were.
     #[test]
-    fn any_records_come_back(told in prop::collection::vec((any::<u64>(), any::<u64>(), any::<u16>()), 0..300)) {
+    fn reads_any_records_back(told in prop::collection::vec((any::<u64>(), any::<u64>(), any::<u16>()), 0..300)) {
         let told: Vec<(u64, Record)> =
             told.into_iter().map(|(at, id, class)| (at, arrival(id / 2, class, class, true))).collect();
         let bytes = write(&header("n1", 0), &told);
@@ -268,9 +297,9 @@
 
     /// Bytes that were changed anywhere make an error or fewer records, never a panic or records that were not there.
     #[test]
-    fn damage_does_no_harm(places in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8), cut in any::<prop::sample::Index>()) {
-        let lives = lives(400);
-        let mut bytes = write(&header("n1", 0), &lives);
+    fn damage_never_panics_or_invents_records(places in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8), cut in any::<prop::sample::Index>()) {
+        let recorded = records_of(400);
+        let mut bytes = write(&header("n1", 0), &recorded);
         for (place, value) in places {
             let at = place.index(bytes.len());
             bytes[at] = value;
@@ -278,7 +307,7 @@
         bytes.truncate(cut.index(bytes.len()).max(bytes.len() / 2));
         if let Ok(mut reader) = Reader::open(Cursor::new(bytes)) {
             let found = records(&items(&mut reader));
-            prop_assert!(found.iter().all(|record| lives.contains(record)));
+            prop_assert!(found.iter().all(|record| recorded.contains(record)));
         }
     }
 }
--- a/crates/trace/tests/stored_data.rs
+++ b/crates/trace/tests/stored_data.rs
@@ -3,64 +3,73 @@
 use std::io::Cursor;
 use std::path::Path;
 
-use chutesaddle_trace::{Answered, Change, ClassTerms, Header, Item, Reader, Record, Stage, Timed, Way};
+use chutesaddle_trace::{
+    AnswerKind, AttemptStage, ClassObjective, ForwardingStep, Header, Item, LifecycleChange, Reader, Record,
+    TimedRecord,
+};
 
 fn header() -> Header {
     Header {
         scheduler: "n1".into(),
         site: "khi-1".into(),
         anchor: 1_700_000_000_000_000,
-        digest: 0x0123_4567_89ab_cdef,
-        classes: vec![ClassTerms {
+        settings_digest: 0x0123_4567_89ab_cdef,
+        classes: vec![ClassObjective {
             name: "draw-map".into(),
-            aim_us: 250_000,
+            latency_objective_us: 250_000,
             stretch: 2.0,
             deadline_us: 8_000_000,
-            worth: 1.5,
+            weight: 1.5,
         }],
         tenants: vec!["barfani-heights".into()],
-        over_share: 0.05,
-        follows: Some("n1-before.trace".into()),
-        secret: Some(77),
+        over_quota_weight: 0.05,
+        continues: Some("n1-before.trace".into()),
+        secret_mark: Some(77),
     }
 }
 
 /// A record of each kind, and each value of the enums in them.
 fn records() -> Vec<Record> {
     let mut records = vec![
-        Record::Member { member: 3, name: "s-3".into() },
-        Record::Pool { member: 3, state: 1 },
+        Record::Worker { worker: 3, name: "s-3".into() },
+        Record::EndpointState { worker: 3, state: 1 },
         Record::Arrival {
             id: 1,
-            name: 31,
+            name_hash: 31,
             class: 0,
             tenant: 0,
             hint_us: Some(100_000),
-            left_us: 8_000_000,
-            key: Some(5),
-            inside: true,
+            time_left_us: 8_000_000,
+            key_hash: Some(5),
+            within_quota: true,
         },
-        Record::Route { id: 1, attempt: 0, member: 3 },
-        Record::News { id: 1, attempt: 0, stage: Stage::Started },
-        Record::News { id: 1, attempt: 0, stage: Stage::Progress(250) },
-        Record::Ended { id: 1, attempt: 0, end: 6, free: Some(2), queue: None },
-        Record::Refused { id: 1, hold_off_us: 1_000_000 },
+        Record::AttemptSent { id: 1, attempt: 0, worker: 3 },
+        Record::AttemptProgressed { id: 1, attempt: 0, stage: AttemptStage::Started },
+        Record::AttemptProgressed { id: 1, attempt: 0, stage: AttemptStage::Progress(250) },
+        Record::AttemptEnded { id: 1, attempt: 0, outcome: 6, free_slots: Some(2), queued: None },
+        Record::Rejected { id: 1, retry_after_us: 1_000_000 },
     ];
-    for way in [Way::Out, Way::Back, Way::In] {
-        records.push(Record::Crossing { id: 1, way, crossing: 9, instance: 11 });
+    for way in [ForwardingStep::Forwarded, ForwardingStep::Returned, ForwardingStep::Received] {
+        records.push(Record::Forwarding { id: 1, step: way, forwarded: 9, incarnation: 11 });
     }
-    for how in [Answered::Served, Answered::Rejected, Answered::Failed, Answered::Left, Answered::Moved] {
-        records.push(Record::Answer { id: 1, how, took_us: 300_000 });
+    for how in [
+        AnswerKind::Served,
+        AnswerKind::Rejected,
+        AnswerKind::Failed,
+        AnswerKind::ClientDisconnected,
+        AnswerKind::Migrated,
+    ] {
+        records.push(Record::Answered { id: 1, kind: how, latency_us: 300_000 });
     }
     for change in [
-        Change::Serving,
-        Change::Paused,
-        Change::Resumed,
-        Change::Reloaded,
-        Change::Replaced,
-        Change::Stopping,
+        LifecycleChange::Serving,
+        LifecycleChange::Paused,
+        LifecycleChange::Resumed,
+        LifecycleChange::Reloaded,
+        LifecycleChange::Replaced,
+        LifecycleChange::Stopping,
     ] {
-        records.push(Record::Life(change));
+        records.push(Record::Lifecycle(change));
     }
     records
 }
@@ -80,10 +89,11 @@
             _ => gaps += 1,
         }
     }
-    let own = records().into_iter().zip(1u64..).map(|(record, n)| Timed { at: 1000 * n, source: 0, record });
+    let own =
+        records().into_iter().zip(1u64..).map(|(record, n)| TimedRecord { at: 1000 * n, source: 0, record });
     let mut expected: Vec<_> = own.collect();
     let source = Record::Source { number: 2, scheduler: "n2".into(), site: "lhe-1".into() };
-    expected.push(Timed { at: 700_000, source: 2, record: source });
+    expected.push(TimedRecord { at: 700_000, source: 2, record: source });
     assert_eq!(read, expected);
     assert_eq!(gaps, 1);
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -6,7 +6,10 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chutesaddle_trace::{merge, Checker, Fault, Header, Item, Reader, Row, Summary, TraceError, Writer};
+use chutesaddle_trace::{
+    merge, Checker, Header, Item, MergeInput, Reader, RecordCounts, ServiceRow, Summary, TraceError,
+    WorstStretch, Writer,
+};
 use clap::{Subcommand, ValueEnum};
 use simd_json::prelude::Writable;
 
@@ -141,7 +144,7 @@
     }
     writeln!(out, "  {} records in {} blocks, {} dropped", count(false), index.entries.len(), count(true))?;
     writeln!(out, "  classes {}; tenants {}", classes.join(", "), header.tenants.join(", "))?;
-    if let Some(before) = &header.follows {
+    if let Some(before) = &header.continues {
         writeln!(out, "  goes on from {before}")?;
     }
     if !index.complete {
@@ -160,7 +163,7 @@
     let (mut shown, mut count) = (Vec::new(), 0);
     each(file, &mut reader, |item| {
         damaged += u64::from(matches!(item, Item::Damaged(_)));
-        checker.look(item, &mut faults);
+        checker.check(item, &mut faults);
         count += faults.len();
         shown.extend(faults.drain(..).take(SHOWN.saturating_sub(shown.len())));
     })?;
@@ -170,7 +173,7 @@
         count += faults.len();
         shown.extend(faults.drain(..).take(SHOWN.saturating_sub(shown.len())));
     }
-    let (records, missing) = checker.counts();
+    let RecordCounts { records, missing } = checker.counts();
     let mut out = io::stdout().lock();
     let whole = if complete { "complete" } else { "cut off" };
     writeln!(
@@ -179,14 +182,7 @@
         file.display()
     )?;
     for fault in shown {
-        let source = match fault {
-            Fault::ArrivedTwice(source, _)
-            | Fault::NotOpen(source, _)
-            | Fault::Unanswered(source, _)
-            | Fault::TwoAttempts(source, _)
-            | Fault::Backwards(source, _) => source,
-        };
-        let excuse = if checker.lacks(source) { " (records of it are missing)" } else { "" };
+        let excuse = if checker.has_gaps(fault.source) { " (records of it are missing)" } else { "" };
         writeln!(out, "  {fault}{excuse}")?;
     }
     Ok(complete && damaged == 0 && count == 0)
@@ -225,7 +221,10 @@
 }
 
 fn merged(files: &[PathBuf], output: &Path) -> Result<bool, ToolError> {
-    let mut readers = files.iter().map(|file| Ok((open(file)?, 0))).collect::<Result<Vec<_>, ToolError>>()?;
+    let mut readers = files
+        .iter()
+        .map(|file| Ok(MergeInput { reader: open(file)?, clock_correction_us: 0 }))
+        .collect::<Result<Vec<_>, ToolError>>()?;
     let read: Vec<&Path> = files.iter().map(PathBuf::as_path).collect();
     let count = merge(&mut readers, create(output, &read)?);
     let count = count.map_err(|error| ToolError::File(output.into(), error))?;
@@ -238,7 +237,7 @@
     for file in files {
         let mut reader = open(file)?;
         let (mut part, header) = (Summary::default(), reader.header().clone());
-        each(file, &mut reader, |item| part.take(&header, item))?;
+        each(file, &mut reader, |item| part.add_item(&header, item))?;
         sums.add(&part);
     }
     let mut out = io::stdout().lock();
@@ -270,8 +269,8 @@
         write_row(&mut out, form, class, tenant, row)?;
     }
     write_row(&mut out, form, "all", "all", &sums.total())?;
-    if let (Some((from, service)), Form::Table) = (sums.worst(), form) {
-        let (records, missing) = sums.counts();
+    if let (Some(WorstStretch { from, service }), Form::Table) = (sums.worst(), form) {
+        let RecordCounts { records, missing } = sums.counts();
         writeln!(
             out,
             "worst 10 s: service {service:.3}, from {from} (Unix time); {records} records, {missing} missing"
@@ -280,8 +279,15 @@
     Ok(true)
 }
 
-fn write_row(out: &mut impl Write, form: Form, class: &str, tenant: &str, row: &Row) -> io::Result<()> {
-    let Row { asked, served, in_time, rejected, failed, left, attempts, crossed, .. } = row;
+fn write_row(
+    out: &mut impl Write,
+    form: Form,
+    class: &str,
+    tenant: &str,
+    row: &ServiceRow,
+) -> io::Result<()> {
+    let ServiceRow { asked, served, in_time, rejected, failed, attempts, .. } = row;
+    let (left, crossed) = (row.client_disconnected, row.forwarded);
     let [p50, p95] = [0.5, 0.95].map(|q| row.latency.value_at_quantile(q) / 1000);
     let service = row.service();
     match form {
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -88,12 +88,12 @@
 
 /// A file with two served jobs, ten seconds apart, under this scheduler's name.
 fn trace(scheduler: &str, complete: bool) -> String {
-    use chutesaddle_trace::{Answered, ClassTerms, Header, Record, Writer};
-    let class = ClassTerms {
+    use chutesaddle_trace::{AnswerKind, ClassObjective, Header, Record, Writer};
+    let class = ClassObjective {
         name: "draw-map".into(),
-        aim_us: 250_000,
+        latency_objective_us: 250_000,
         deadline_us: 8_000_000,
-        worth: 2.0,
+        weight: 2.0,
         ..Default::default()
     };
     let header = Header {
@@ -107,9 +107,18 @@
     for id in 0..2 {
         let at = 10_000_000 * id;
         let (class, tenant, hint_us, left_us, key) = (0, 0, Some(100_000), 8_000_000, None);
-        let arrival = Record::Arrival { id, name: id, class, tenant, hint_us, left_us, key, inside: true };
+        let arrival = Record::Arrival {
+            id,
+            name_hash: id,
+            class,
+            tenant,
+            hint_us,
+            time_left_us: left_us,
+            key_hash: key,
+            within_quota: true,
+        };
         writer.push(at, &arrival).unwrap();
-        writer.push(at + 1, &Record::Answer { id, how: Answered::Served, took_us: 200_000 }).unwrap();
+        writer.push(at + 1, &Record::Answered { id, kind: AnswerKind::Served, latency_us: 200_000 }).unwrap();
         writer.flush().unwrap();
     }
     let mut bytes = writer.finish().unwrap();
