--- a/crates/benchmarks/src/gateway.rs
+++ b/crates/benchmarks/src/gateway.rs
@@ -5,13 +5,14 @@
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::rig::capacity;
-use chutesaddle_test_doubles::wire::State;
-use chutesaddle_test_doubles::{client, Journal, Site, Wire};
+use chutesaddle_test_doubles::site::capacity;
+use chutesaddle_test_doubles::ProxyState;
+use chutesaddle_test_doubles::{client, FaultyProxy, Journal, TestSite};
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -19,11 +20,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use chutesaddle_test_doubles::load::{draw, play, Outcome};
-use chutesaddle_test_doubles::program::{scheduler, Folder};
+use chutesaddle_test_doubles::program::{build_scheduler, TempDirectory};
+use chutesaddle_test_doubles::traffic::{draw, play, TrafficResult};
 
 /// One way between the sites.
-const DELAY: (Duration, Duration) = (Duration::from_micros(5600), Duration::from_millis(10));
+const DELAY: RangeInclusive<Duration> = Duration::from_micros(5600)..=Duration::from_millis(10);
 /// Load of the two sites, in capacities.
 const LOADS: [f64; 2] = [1.5, 0.3];
 /// Bursts before the traffic, which count for nothing: jobs in each, how many, and the gap between them.
@@ -96,7 +97,7 @@
 
 struct Played {
     avoided: Avoided,
-    sites: [Outcome; 2],
+    sites: [TrafficResult; 2],
     troubles: Troubles,
     journal: Journal,
     metrics: HashMap<String, u64>,
@@ -104,8 +105,8 @@
 }
 
 pub(crate) async fn run(arguments: &Arguments) -> io::Result<bool> {
-    let program = scheduler()?;
-    let folder = Folder::new("gateway")?;
+    let program = build_scheduler()?;
+    let folder = TempDirectory::new("gateway")?;
     let alone = match arguments.no_alone {
         true => None,
         false => Some(one(&program, &folder.0.join("alone"), arguments, false).await?),
@@ -121,7 +122,7 @@
 }
 
 fn figures(arguments: &Arguments, alone: Option<&Played>, with: &Played) -> Figures {
-    let sum = |what: fn(&Outcome) -> usize| with.sites.iter().map(what).sum::<usize>();
+    let sum = |what: fn(&TrafficResult) -> usize| with.sites.iter().map(what).sum::<usize>();
     let metric = |name: &str| with.metrics.get(name).copied().unwrap_or_default();
     let (asked, lost) = (sum(|o| o.asked), sum(|o| o.lost));
     let crossings = metric("svc.gateway.crossed");
@@ -172,13 +173,13 @@
     let (mut while_room, mut while_avoided) = (0, 0);
     let (mut at_home, mut away) = (BTreeSet::new(), BTreeSet::new());
     for run in &runs {
-        if run.site == home(&run.id) {
-            at_home.insert(run.id.as_str());
+        if run.site == home(&run.request_id) {
+            at_home.insert(run.request_id.as_str());
         } else {
-            away.insert(run.id.as_str());
-            let had_room = journal.had_room(home(&run.id), run.began - DELAY.1, ROOM);
-            if had_room && !held_up(run.began) {
-                match avoids(home(&run.id), run.began) {
+            away.insert(run.request_id.as_str());
+            let had_room = journal.had_free_slot(home(&run.request_id), run.started_at - *DELAY.end(), ROOM);
+            if had_room && !held_up(run.started_at) {
+                match avoids(home(&run.request_id), run.started_at) {
                     true => while_avoided += 1,
                     false => while_room += 1,
                 }
@@ -226,16 +227,16 @@
     let secret = folder.join("secret");
     std::fs::write(&secret, "a secret for two sites on loopback\n")?;
     let (journal, seed) = (Journal::default(), arguments.seed);
-    let wires = [Wire::start(DELAY, seed).await?, Wire::start(DELAY, seed + 1000).await?];
+    let wires = [FaultyProxy::start(DELAY, seed).await?, FaultyProxy::start(DELAY, seed + 1000).await?];
     let mut sites = Vec::new();
     for (n, names) in [["a", "b"], ["b", "a"]].into_iter().enumerate() {
         let file = operator(names[0], names[1], wires[n].address, &secret);
         let file = gateway.then_some(file);
-        sites.push(Site::start(program, folder, n, file.as_deref(), &journal).await?);
+        sites.push(TestSite::start(program, folder, n, file.as_deref(), &journal).await?);
     }
     if gateway {
-        wires[0].lead(sites[1].scheduler.address("peers call at ").await?);
-        wires[1].lead(sites[0].scheduler.address("peers call at ").await?);
+        wires[0].set_target(sites[1].scheduler.address("peers call at ").await?);
+        wires[1].set_target(sites[0].scheduler.address("peers call at ").await?);
         for site in &sites {
             metric_is(site, "svc.gateway.out.up", 1).await?;
         }
@@ -245,7 +246,7 @@
     let quiet: Vec<_> = (0..2)
         .map(|n| {
             let mut arrivals = draw(["aq", "bq"][n], seed + 50, capacity(), Duration::from_secs(30));
-            arrivals.retain(|arrival| arrival.job.class == "draw-map");
+            arrivals.retain(|arrival| arrival.request.class == "draw-map");
             arrivals.truncate(QUIET.0 * QUIET.1);
             for (at, arrival) in arrivals.iter_mut().enumerate() {
                 arrival.at = QUIET.2 * (at / QUIET.0) as u32;
@@ -272,7 +273,7 @@
         }
     }
     let avoided = Avoided::default();
-    let watch = spawn_local(watch_avoided([0, 1].map(|n| sites[n].door), Rc::clone(&avoided)));
+    let watch = spawn_local(watch_avoided([0, 1].map(|n| sites[n].operator_address), Rc::clone(&avoided)));
     let bar = progress(if gateway { "with the gateway" } else { "alone" }, arguments.seconds);
     let mut outcomes = Vec::new();
     let ticker = spawn_local({
@@ -301,13 +302,13 @@
     Ok(Played { avoided, sites, troubles, journal, metrics, logs })
 }
 
-async fn figures_of(site: &Site) -> io::Result<Vec<(String, u64)>> {
-    let text = client::ask(site.door, "METRICS").await?;
+async fn figures_of(site: &TestSite) -> io::Result<Vec<(String, u64)>> {
+    let text = client::operator_command(site.operator_address, "METRICS").await?;
     let pairs = text.lines().filter_map(|line| line.split_once('='));
     Ok(pairs.filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?))).collect())
 }
 
-pub(crate) async fn metric_is(site: &Site, name: &str, wanted: u64) -> io::Result<()> {
+pub(crate) async fn metric_is(site: &TestSite, name: &str, wanted: u64) -> io::Result<()> {
     let until = Instant::now() + Duration::from_secs(10);
     while Instant::now() < until {
         if figures_of(site).await?.iter().any(|(known, value)| known.starts_with(name) && *value == wanted) {
@@ -322,7 +323,7 @@
 async fn watch_avoided(doors: [SocketAddr; 2], avoided: Avoided) {
     loop {
         for (n, door) in doors.into_iter().enumerate() {
-            let text = client::ask(door, "METRICS").await.unwrap_or_default();
+            let text = client::operator_command(door, "METRICS").await.unwrap_or_default();
             let figure = text.lines().find_map(|line| line.strip_prefix("svc.pool_ejected="));
             if let Some(boxes) = figure.and_then(|figure| figure.parse().ok()) {
                 avoided.borrow_mut()[n].push((Instant::now(), boxes));
@@ -333,7 +334,14 @@
 }
 
 /// Lets a wire fail a few times, over the middle of the traffic.
-async fn fail(wire: Rc<Wire>, seed: u64, times: u64, start: Instant, length: Duration, troubles: Troubles) {
+async fn fail(
+    wire: Rc<FaultyProxy>,
+    seed: u64,
+    times: u64,
+    start: Instant,
+    length: Duration,
+    troubles: Troubles,
+) {
     let mut draws = StdRng::seed_from_u64(seed);
     let mut at: Vec<f64> = (0..times).map(|_| draws.random_range(0.1..0.9)).collect();
     at.sort_by(f64::total_cmp);
@@ -342,12 +350,12 @@
         let lasts = Duration::from_secs_f64(draws.random_range(0.1..2.0));
         let began = Instant::now();
         match draws.random_range(0..3) {
-            0 => wire.set(State::Cut),
-            1 => wire.set(State::CutBack),
+            0 => wire.set_state(ProxyState::Partitioned),
+            1 => wire.set_state(ProxyState::PartitionedReturn),
             _ => wire.reset(),
         }
         sleep(lasts).await;
-        wire.set(State::Sound);
+        wire.set_state(ProxyState::Healthy);
         troubles.borrow_mut().push((began, Instant::now()));
     }
 }
--- a/crates/benchmarks/src/price.rs
+++ b/crates/benchmarks/src/price.rs
@@ -2,10 +2,11 @@
 //! and with it on and idle, side by side on the same traffic.
 
 use std::io;
+use std::ops::RangeInclusive;
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::{Job, Journal, Site, Told, Wire};
+use chutesaddle_test_doubles::{ClientRequest, ClientResult, FaultyProxy, Journal, TestSite};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -13,11 +14,11 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::gateway::{metric_is, operator};
-use chutesaddle_test_doubles::program::{scheduler, Folder};
+use chutesaddle_test_doubles::program::{build_scheduler, TempDirectory};
 
 /// Work of each job: so short that a site of a few boxes is never full.
 const WORK: Duration = Duration::from_millis(4);
-const DELAY: (Duration, Duration) = (Duration::from_micros(5600), Duration::from_millis(10));
+const DELAY: RangeInclusive<Duration> = Duration::from_micros(5600)..=Duration::from_millis(10);
 /// What is promised: so much more of its core at the most, and so much more time at the median.
 const MOST: f64 = 0.02;
 
@@ -52,23 +53,25 @@
 }
 
 pub(crate) async fn run(arguments: &Arguments) -> io::Result<bool> {
-    let program = scheduler()?;
-    let folder = Folder::new("price")?;
+    let program = build_scheduler()?;
+    let folder = TempDirectory::new("price")?;
     let secret = folder.0.join("secret");
     std::fs::write(&secret, "a secret for two sites on loopback\n")?;
     let journal = Journal::default();
-    let wires = [Wire::start(DELAY, 1).await?, Wire::start(DELAY, 2).await?];
+    let wires = [FaultyProxy::start(DELAY, 1).await?, FaultyProxy::start(DELAY, 2).await?];
     let files =
         [operator("a", "b", wires[0].address, &secret), operator("b", "a", wires[1].address, &secret)];
-    let off = Site::start(&program, &folder.0, 0, None, &journal).await?;
-    let idle = Site::start(&program, &folder.0, 1, Some(&files[0]), &journal).await?;
-    let peer = Site::start(&program, &folder.0, 2, Some(&files[1]), &journal).await?;
-    wires[0].lead(peer.scheduler.address("peers call at ").await?);
-    wires[1].lead(idle.scheduler.address("peers call at ").await?);
+    let off = TestSite::start(&program, &folder.0, 0, None, &journal).await?;
+    let idle = TestSite::start(&program, &folder.0, 1, Some(&files[0]), &journal).await?;
+    let peer = TestSite::start(&program, &folder.0, 2, Some(&files[1]), &journal).await?;
+    wires[0].set_target(peer.scheduler.address("peers call at ").await?);
+    wires[1].set_target(idle.scheduler.address("peers call at ").await?);
     metric_is(&idle, "svc.gateway.out.up", 1).await?;
     // One round to warm up, which counts for nothing.
     round(&off, &idle, arguments, Duration::from_secs(2), "w").await?;
-    let used = |site: &Site| site.scheduler.cpu().ok_or_else(|| io::Error::other("no CPU time is told here"));
+    let used = |site: &TestSite| {
+        site.scheduler.cpu_time().ok_or_else(|| io::Error::other("no CPU time is told here"))
+    };
     let before = [used(&off)?, used(&idle)?];
     let length = Duration::from_secs(arguments.seconds);
     let [mut at_off, mut at_idle] = round(&off, &idle, arguments, length, "m").await?;
@@ -103,16 +106,16 @@
     Ok(figures.ok)
 }
 
-async fn crossings(site: &Site) -> io::Result<u64> {
-    let text = chutesaddle_test_doubles::client::ask(site.door, "METRICS").await?;
+async fn crossings(site: &TestSite) -> io::Result<u64> {
+    let text = chutesaddle_test_doubles::client::operator_command(site.operator_address, "METRICS").await?;
     let line = text.lines().find_map(|line| line.strip_prefix("svc.gateway.crossed="));
     Ok(line.and_then(|n| n.parse().ok()).unwrap_or_default())
 }
 
 /// The same jobs at the same moments for both; how long those took that both served.
 async fn round(
-    off: &Site,
-    idle: &Site,
+    off: &TestSite,
+    idle: &TestSite,
     arguments: &Arguments,
     length: Duration,
     name: &str,
@@ -124,14 +127,14 @@
     while at < length {
         at += Duration::from_secs_f64(draws.random_range(0.0..2.0) / arguments.rate as f64);
         let id = format!("{name}-{}", tasks.len());
-        let job = Job {
+        let job = ClientRequest {
             id,
             class: "draw-map",
             tenant: "barfani-heights",
             work: WORK,
             hint: WORK,
             key: None,
-            patience: Duration::from_secs(7),
+            timeout: Duration::from_secs(7),
         };
         let clients = [Rc::clone(&off.client), Rc::clone(&idle.client)];
         tasks.push(spawn_local(async move {
@@ -141,7 +144,9 @@
     }
     let mut times = [Vec::new(), Vec::new()];
     for task in tasks {
-        if let (Told::Served(off), Told::Served(idle)) = task.await.map_err(io::Error::other)? {
+        if let (ClientResult::Served(off), ClientResult::Served(idle)) =
+            task.await.map_err(io::Error::other)?
+        {
             times[0].push(off);
             times[1].push(idle);
         }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -6,10 +6,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::discovery::Line;
-use chutesaddle_test_doubles::render::Door;
-use chutesaddle_test_doubles::rig::BOXES;
-use chutesaddle_test_doubles::{config, Client, Discovery, Journal, RenderBox, Scheduler, Spec};
+use chutesaddle_test_doubles::discovery::Endpoint;
+use chutesaddle_test_doubles::site::{WorkerShape, WORKERS};
+use chutesaddle_test_doubles::worker::WorkerListener;
+use chutesaddle_test_doubles::{
+    config, Client, Discovery, Journal, SchedulerProcess, TestWorker, WorkerSpec,
+};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use tokio::time::{sleep_until, Instant};
@@ -22,10 +24,10 @@
 
 /// One scheduler, whatever process it is at the time.
 pub struct Node {
-    process: RefCell<Option<Scheduler>>,
+    process: RefCell<Option<SchedulerProcess>>,
     file: PathBuf,
     dir: PathBuf,
-    doors: Vec<Door>,
+    doors: Vec<WorkerListener>,
     /// It may tell the others something, and has a socket for that.
     tells: bool,
     client: RefCell<Option<Rc<Client>>>,
@@ -53,7 +55,7 @@
     /// Its schedulers.
     pub nodes: Vec<Node>,
     /// Its boxes. Each is a site of its own in the journal.
-    pub boxes: Vec<Rc<RenderBox>>,
+    pub boxes: Vec<Rc<TestWorker>>,
     /// What processes that were killed had logged.
     past: RefCell<Vec<String>>,
     /// What happened at the boxes.
@@ -76,19 +78,27 @@
     ) -> io::Result<Rc<Self>> {
         let (journal, wires) = (Journal::default(), Wires::start(nodes, seed).await?);
         let mut boxes = Vec::new();
-        for (site, (slots, speed, _)) in BOXES.into_iter().enumerate() {
+        for (site, WorkerShape { slots, speed, .. }) in WORKERS.into_iter().enumerate() {
             let name = format!("s-{site}");
-            let spec = Spec { name, site, slots, queue: slots, speed, window: WINDOW, cold: None };
-            boxes.push(RenderBox::start(spec, journal.clone()).await?);
+            let spec = WorkerSpec {
+                name,
+                site,
+                slots,
+                queue: slots,
+                speed,
+                deduplication_window: WINDOW,
+                warm_up: None,
+            };
+            boxes.push(TestWorker::start(spec, journal.clone()).await?);
         }
         let mut all = Vec::new();
         for number in 0..nodes {
             let discovery = Discovery::start().await?;
             let mut doors = Vec::new();
-            for (render, (_, _, kind)) in boxes.iter().zip(BOXES) {
-                let door = render.door().await?;
-                let (name, address) = (render.name().to_owned(), door.address);
-                discovery.list(Line { name, address, kind, state: "active", started_ms: 0 });
+            for (worker, WorkerShape { kind, .. }) in boxes.iter().zip(WORKERS) {
+                let door = worker.add_listener().await?;
+                let (name, address) = (worker.name().to_owned(), door.address);
+                discovery.publish(Endpoint { name, address, kind, state: "active", started_ms: 0 });
                 doors.push(door);
             }
             let text = config(&format!("n{number}"), discovery.address, seed + number as u64);
@@ -132,12 +142,12 @@
     /// Starts a scheduler's process.
     async fn begin(&self, number: usize) -> io::Result<()> {
         let node = &self.nodes[number];
-        let process = Scheduler::start(&self.program, &node.file, None, &node.dir)?;
+        let process = SchedulerProcess::start(&self.program, &node.file, None, &node.dir)?;
         let address = process.address("serves on ").await?;
         if node.tells {
             self.wires.listens(number, Some(process.address("notes of other schedulers arrive at ").await?));
         }
-        node.doors.iter().for_each(|door| door.calls(address));
+        node.doors.iter().for_each(|door| door.send_callbacks_to(address));
         *node.process.borrow_mut() = Some(process);
         *node.client.borrow_mut() = Some(Rc::new(Client::new(address)));
         if let Some(gap) = node.gaps.borrow_mut().last_mut() {
@@ -179,7 +189,7 @@
             What::Kill(number) => self.begin(*number).await?,
             What::Stop(number) => {
                 let node = &self.nodes[*number];
-                let id = node.process.borrow().as_ref().map(Scheduler::id);
+                let id = node.process.borrow().as_ref().map(SchedulerProcess::id);
                 let pid = id.and_then(|id| Pid::from_raw(id.try_into().ok()?));
                 let pid = pid.ok_or_else(|| io::Error::other("no process to halt"))?;
                 kill_process(pid, if begins { Signal::STOP } else { Signal::CONT })?;
@@ -210,7 +220,7 @@
 
     /// What the logs of all processes say of wrong things.
     pub fn complaints(&self) -> Vec<String> {
-        let of = |node: &Node| node.process.borrow().as_ref().map(Scheduler::log).unwrap_or_default();
+        let of = |node: &Node| node.process.borrow().as_ref().map(SchedulerProcess::log).unwrap_or_default();
         let lines = self.nodes.iter().flat_map(of).chain(self.past.borrow().clone());
         lines.filter(|line| line.contains("panicked") || line.contains("has stopped")).collect()
     }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -8,7 +8,7 @@
 
 use chutesaddle_fault_injection::notes::{self, Report, Terms};
 use chutesaddle_fault_injection::plan::Plan;
-use chutesaddle_test_doubles::program::{scheduler, Folder};
+use chutesaddle_test_doubles::program::{build_scheduler, TempDirectory};
 use clap::{Parser, Subcommand};
 use serde::Serialize;
 use tokio::task::LocalSet;
@@ -118,7 +118,7 @@
 async fn notes(arguments: &Common) -> io::Result<bool> {
     let nodes = arguments.nodes as usize;
     let plan = plan(arguments, nodes)?;
-    let (program, folder) = (scheduler()?, Folder::new("trial")?);
+    let (program, folder) = (build_scheduler()?, TempDirectory::new("trial")?);
     let load = arguments.load as f64 / 100.0;
     let terms = Terms { seed: arguments.seed, nodes, seconds: arguments.seconds, load, notes: true };
     eprint!("{} faults:\n{plan}", plan.0.len());
--- a/crates/fault-injection/src/notes.rs
+++ b/crates/fault-injection/src/notes.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::load::{draw, Arrival};
-use chutesaddle_test_doubles::rig::capacity;
-use chutesaddle_test_doubles::Told;
+use chutesaddle_test_doubles::site::capacity;
+use chutesaddle_test_doubles::traffic::{draw, Arrival};
+use chutesaddle_test_doubles::ClientResult;
 use serde::Serialize;
 use serde_json::json;
 use tokio::task::spawn_local;
@@ -89,7 +89,7 @@
     node: usize,
     from: Instant,
     to: Instant,
-    told: Told,
+    told: ClientResult,
 }
 
 /// Plays the traffic of the terms while `plan` happens, with files in `dir`.
@@ -128,25 +128,25 @@
     let there = |step: usize| Some(((n + step) % nodes, fleet.nodes[(n + step) % nodes].client()?));
     let (node, client) = (0..nodes).find_map(there)?;
     let from = Instant::now();
-    let told = client.submit(&arrival.job).await;
+    let told = client.submit(&arrival.request).await;
     Some(Asked { node, from, to: Instant::now(), told })
 }
 
 fn judge(fleet: &Fleet, asked: &[Asked], nobody: usize, plan: &Plan) -> Report {
-    let count = |told: fn(&Told) -> bool| asked.iter().filter(|a| told(&a.told)).count();
-    let unanswered = asked.iter().filter(|a| a.told == Told::Nothing);
+    let count = |told: fn(&ClientResult) -> bool| asked.iter().filter(|a| told(&a.told)).count();
+    let unanswered = asked.iter().filter(|a| a.told == ClientResult::NoAnswer);
     let (theirs, lost): (Vec<_>, Vec<_>) =
         unanswered.partition(|a| fleet.nodes[a.node].was_away(a.from, a.to));
     let runs = fleet.journal.runs();
     let misplaced = runs.iter().filter(|run| {
         let elsewhere = (0..fleet.boxes.len()).filter(|site| *site != run.site);
-        let waited = run.began.duration_since(run.came) > WAITED;
-        waited && elsewhere.into_iter().any(|site| fleet.journal.had_room(site, run.came, FREE))
+        let waited = run.started_at.duration_since(run.received_at) > WAITED;
+        waited && elsewhere.into_iter().any(|site| fleet.journal.had_free_slot(site, run.received_at, FREE))
     });
     let mut times: Vec<u64> = asked
         .iter()
         .filter_map(|a| match a.told {
-            Told::Served(after) => Some(after.as_millis() as u64),
+            ClientResult::Served(after) => Some(after.as_millis() as u64),
             _ => None,
         })
         .collect();
@@ -156,9 +156,9 @@
     plan.0.iter().for_each(|fault| *faults.entry(fault.what.name()).or_default() += 1);
     Report {
         jobs: asked.len() + nobody,
-        served: count(|told| matches!(told, Told::Served(_))),
-        rejected: count(|told| *told == Told::Rejected),
-        failed: count(|told| *told == Told::Failed),
+        served: count(|told| matches!(told, ClientResult::Served(_))),
+        rejected: count(|told| *told == ClientResult::Rejected),
+        failed: count(|told| *told == ClientResult::Failed),
         lost_with_theirs: theirs.len() + nobody,
         lost: lost.len(),
         doubled: fleet.journal.duplicates(WINDOW),
--- a/crates/test-doubles/src/client.rs
+++ b/crates/test-doubles/src/client.rs
@@ -1,102 +1,111 @@
-//! Clients: each submits one job and waits for its answer.
+//! Clients: each submits one request and waits for its answer.
 
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
 use crate::http;
 
-/// A job that a client wants done.
+/// An answer that is this much later than the client's timeout still counts: it was on its way.
+const TIMEOUT_SLACK: Duration = Duration::from_millis(100);
+
+/// A request of a client.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct ClientRequest {
     /// `X-Request-Id`.
     pub id: String,
     /// The class.
     pub class: &'static str,
     /// The tenant.
     pub tenant: &'static str,
-    /// What it truly needs, at speed 1.
+    /// The work that it truly needs, at speed 1.
     pub work: Duration,
-    /// What the client thinks that it needs.
+    /// The work that the client estimates.
     pub hint: Duration,
     /// `Idempotency-Key`.
     pub key: Option<String>,
     /// How long the client waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
-/// What a client was told.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// 200, after so long.
+pub enum ClientResult {
+    /// 200, after this time.
     Served(Duration),
     /// 429 or 503.
     Rejected,
     /// Any other answer.
     Failed,
     /// No answer before the client gave up, or a connection that broke.
-    Nothing,
+    NoAnswer,
 }
 
-/// Clients of one scheduler; they keep their connections.
+/// The clients of one scheduler; they reuse their connections.
 pub struct Client {
     scheduler: SocketAddr,
     idle: RefCell<Vec<TcpStream>>,
 }
 
 impl Client {
-    /// Clients of the scheduler there.
+    /// Clients of the scheduler at this address.
     pub fn new(scheduler: SocketAddr) -> Self {
         Client { scheduler, idle: RefCell::default() }
     }
 
-    /// Submits a job. The answer counts if it comes within the client's patience and a little.
-    pub async fn submit(&self, job: &Job) -> Told {
+    /// Submits a request and waits for its answer, as long as its client does.
+    pub async fn submit(&self, request: &ClientRequest) -> ClientResult {
         let began = Instant::now();
-        let slack = Duration::from_millis(100);
-        match timeout(job.patience + slack, self.exchange(job)).await {
-            Ok(Ok(200)) => Told::Served(began.elapsed()),
-            Ok(Ok(429 | 503)) => Told::Rejected,
-            Ok(Ok(_)) => Told::Failed,
-            Ok(Err(_)) | Err(_) => Told::Nothing,
+        match timeout(request.timeout + TIMEOUT_SLACK, self.exchange(request)).await {
+            Ok(Ok(200)) => ClientResult::Served(began.elapsed()),
+            Ok(Ok(429 | 503)) => ClientResult::Rejected,
+            Ok(Ok(_)) => ClientResult::Failed,
+            Ok(Err(_)) | Err(_) => ClientResult::NoAnswer,
         }
     }
 
-    async fn exchange(&self, job: &Job) -> io::Result<u16> {
-        let kept = self.idle.borrow_mut().pop();
-        let mut stream = match kept {
+    async fn exchange(&self, request: &ClientRequest) -> io::Result<u16> {
+        let idle = self.idle.borrow_mut().pop();
+        let mut stream = match idle {
             Some(stream) => stream,
             None => TcpStream::connect(self.scheduler).await?,
         };
+        // Without it, the exchange is only slower.
         let _ = stream.set_nodelay(true);
-        let key = job.key.as_ref().map(|key| format!("\r\nIdempotency-Key: {key}")).unwrap_or_default();
-        let first = format!(
-            "POST /{}/{} HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: {}\r\nX-Tenant: {}\r\nX-Deadline-Ms: {}\r\nX-Cost-Hint: {}{key}",
-            job.class, job.id, job.id, job.tenant, job.patience.as_millis(), job.hint.as_micros(),
-        );
-        http::write(&mut stream, &first, job.work.as_micros().to_string().as_bytes()).await?;
-        let answer = http::read(&mut stream, &mut Vec::new(), false).await?;
-        let answer = answer.ok_or(io::ErrorKind::UnexpectedEof)?;
-        if answer.header("connection") != Some("close") {
+        let body = request.work.as_micros().to_string();
+        http::write(&mut stream, &request_head(request), body.as_bytes()).await?;
+        let response = http::read_response(&mut stream, &mut Vec::new()).await?;
+        let response = response.ok_or(io::ErrorKind::UnexpectedEof)?;
+        if response.header("connection") != Some("close") {
             self.idle.borrow_mut().push(stream);
         }
-        answer.first.0.parse().map_err(|_| io::ErrorKind::InvalidData.into())
+        response.status()
     }
 }
 
-/// Asks an operators' door.
+fn request_head(request: &ClientRequest) -> String {
+    let ClientRequest { id, class, tenant, hint, key, timeout, .. } = request;
+    let key = key.as_ref().map(|key| format!("\r\nIdempotency-Key: {key}")).unwrap_or_default();
+    let (timeout_ms, hint_us) = (timeout.as_millis(), hint.as_micros());
+    format!(
+        "POST /{class}/{id} HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: {id}\r\nX-Tenant: {tenant}\r\n\
+         X-Deadline-Ms: {timeout_ms}\r\nX-Cost-Hint: {hint_us}{key}"
+    )
+}
+
+/// Sends a command to an operators' port and gives the answer.
 ///
 /// # Errors
 /// If it does not answer.
-pub async fn ask(door: SocketAddr, call: &str) -> io::Result<String> {
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let mut stream = TcpStream::connect(door).await?;
-    stream.write_all(format!("{call}\n").as_bytes()).await?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text).await?;
-    Ok(text)
+pub async fn operator_command(address: SocketAddr, command: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(format!("{command}\n").as_bytes()).await?;
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await?;
+    Ok(answer)
 }
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that lists the boxes of one site.
+//! A discovery service that publishes the workers of one site as a watched endpoint list.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,13 +14,13 @@
 
 use crate::http;
 
-/// An empty line comes this often while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+/// Gap between two empty lines while nothing changes.
+const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// A line of the list.
+/// A worker on the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// The box.
+pub struct Endpoint {
+    /// The name of the worker.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
@@ -32,11 +32,11 @@
     pub started_ms: u64,
 }
 
-/// The list and its listener.
+/// The endpoint list and its listener.
 pub struct Discovery {
     /// Where it answers.
     pub address: SocketAddr,
-    lines: RefCell<Vec<Line>>,
+    endpoints: RefCell<Vec<Endpoint>>,
     version: watch::Sender<u64>,
 }
 
@@ -48,49 +48,51 @@
     pub async fn start() -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let this = Rc::new(Discovery { address, lines: RefCell::default(), version: watch::Sender::new(1) });
-        let server = Rc::clone(&this);
+        let discovery =
+            Rc::new(Discovery { address, endpoints: RefCell::default(), version: watch::Sender::new(1) });
+        let server = Rc::clone(&discovery);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let server = Rc::clone(&server);
-                spawn_local(async move { server.follow(stream).await });
+                spawn_local(async move { server.serve_watch(stream).await });
             }
         });
-        Ok(this)
+        Ok(discovery)
     }
 
-    /// Lists a box, or changes how it is listed.
-    pub fn list(&self, line: Line) {
-        let mut lines = self.lines.borrow_mut();
-        lines.retain(|known| known.name != line.name);
-        lines.push(line);
+    /// Publishes a worker, or a change of it.
+    pub fn publish(&self, endpoint: Endpoint) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.retain(|known| known.name != endpoint.name);
+        endpoints.push(endpoint);
         self.version.send_modify(|version| *version += 1);
     }
 
-    fn text(&self, version: u64) -> String {
-        let entry = |line: &Line| {
-            let Line { name, address, kind, state, started_ms } = line;
+    /// The complete snapshot of this version, as one line of JSON.
+    fn snapshot(&self, version: u64) -> String {
+        let entry = |endpoint: &Endpoint| {
+            let Endpoint { name, address, kind, state, started_ms } = endpoint;
             format!(
                 r#"{{"id":"{name}","addr":"{address}","zone":"here","kind":"{kind}","cell":0,"state":"{state}","weight":1.0,"started_ms":{started_ms}}}"#
             )
         };
-        let lines: Vec<String> = self.lines.borrow().iter().map(entry).collect();
-        format!(r#"{{"version":{version},"full":true,"servers":[{}]}}"#, lines.join(","))
+        let entries: Vec<String> = self.endpoints.borrow().iter().map(entry).collect();
+        format!(r#"{{"version":{version},"full":true,"servers":[{}]}}"#, entries.join(","))
     }
 
-    /// Answers every call with the list and its changes, in whole lists.
-    async fn follow(&self, mut stream: TcpStream) -> io::Result<()> {
+    /// Answers every request with the list, and again with each change, always as a complete snapshot.
+    async fn serve_watch(&self, mut stream: TcpStream) -> io::Result<()> {
         let mut version = self.version.subscribe();
-        if http::read(&mut stream, &mut Vec::new(), true).await?.is_none() {
+        if http::read_request(&mut stream, &mut Vec::new()).await?.is_none() {
             return Ok(());
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         loop {
-            let number = *version.borrow_and_update();
-            let text = self.text(number);
-            let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
+            let current = *version.borrow_and_update();
+            let snapshot = self.snapshot(current);
+            let chunk = format!("{:x}\r\n{snapshot}\n\r\n", snapshot.len() + 1);
             stream.write_all(chunk.as_bytes()).await?;
-            while timeout(BEAT, version.changed()).await.is_err() {
+            while timeout(HEARTBEAT, version.changed()).await.is_err() {
                 stream.write_all(b"1\r\n\n\r\n").await?;
             }
         }
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -1,14 +1,29 @@
-//! Just enough HTTP/1.1 for the stand-ins.
+//! Just enough HTTP/1.1 for the test doubles: messages with a `Content-Length`, of bounded size.
 
 use std::io::{self, ErrorKind};
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A message: the first line's parts, headers in lower case, and the body.
+const MOST_HEADERS: usize = 32;
+const MOST_MESSAGE_BYTES: usize = 256 * 1024;
+
+/// The first line of a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum FirstLine {
+    Request { method: String, target: String },
+    Response { status: String },
+}
+
+#[derive(Clone, Copy)]
+enum Kind {
+    Request,
+    Response,
+}
+
+/// A message; the names of its headers are in lower case.
 pub(crate) struct Message {
-    /// Method and target, or status.
-    pub(crate) first: (String, String),
+    first_line: FirstLine,
     headers: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
 }
@@ -17,55 +32,92 @@
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
-}
 
-const HEADERS: usize = 32;
-/// A message is at most this long.
-const LONGEST: usize = 256 * 1024;
+    /// The method of a request; empty for a response.
+    pub(crate) fn method(&self) -> &str {
+        match &self.first_line {
+            FirstLine::Request { method, .. } => method,
+            FirstLine::Response { .. } => "",
+        }
+    }
+
+    /// The target of a request; empty for a response.
+    pub(crate) fn target(&self) -> &str {
+        match &self.first_line {
+            FirstLine::Request { target, .. } => target,
+            FirstLine::Response { .. } => "",
+        }
+    }
+
+    /// The status of a response.
+    ///
+    /// # Errors
+    /// If it is no number, or this is a request.
+    pub(crate) fn status(&self) -> io::Result<u16> {
+        match &self.first_line {
+            FirstLine::Response { status } => status.parse().map_err(|_| ErrorKind::InvalidData.into()),
+            FirstLine::Request { .. } => Err(ErrorKind::InvalidData.into()),
+        }
+    }
+}
 
-fn bad(what: &str) -> io::Error {
+fn invalid(what: &str) -> io::Error {
     io::Error::new(ErrorKind::InvalidData, what.to_owned())
 }
 
-fn head(bytes: &[u8], request: bool) -> io::Result<Option<(usize, Message)>> {
-    let mut space = [httparse::EMPTY_HEADER; HEADERS];
-    let (end, first, headers) = if request {
-        let mut head = httparse::Request::new(&mut space);
-        let status = head.parse(bytes).map_err(|e| bad(&e.to_string()))?;
-        let first = (head.method.unwrap_or_default().to_owned(), head.path.unwrap_or_default().to_owned());
-        (status, first, head.headers)
-    } else {
-        let mut head = httparse::Response::new(&mut space);
-        let status = head.parse(bytes).map_err(|e| bad(&e.to_string()))?;
-        (status, (head.code.unwrap_or_default().to_string(), String::new()), head.headers)
+/// A message without its body, and the length of its head.
+struct Head {
+    length: usize,
+    message: Message,
+}
+
+/// Parses the head of a message; `None` while it is not there whole.
+fn parse_head(bytes: &[u8], kind: Kind) -> io::Result<Option<Head>> {
+    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let (status, first_line, headers) = match kind {
+        Kind::Request => {
+            let mut head = httparse::Request::new(&mut space);
+            let status = head.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
+            let method = head.method.unwrap_or_default().to_owned();
+            let target = head.path.unwrap_or_default().to_owned();
+            (status, FirstLine::Request { method, target }, head.headers)
+        }
+        Kind::Response => {
+            let mut head = httparse::Response::new(&mut space);
+            let status = head.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
+            let code = head.code.unwrap_or_default().to_string();
+            (status, FirstLine::Response { status: code }, head.headers)
+        }
     };
-    let httparse::Status::Complete(end) = end else { return Ok(None) };
+    let httparse::Status::Complete(length) = status else { return Ok(None) };
     let pair = |h: &httparse::Header| (h.name.to_lowercase(), String::from_utf8_lossy(h.value).into_owned());
     let headers = headers.iter().map(pair).collect();
-    Ok(Some((end, Message { first, headers, body: Vec::new() })))
+    Ok(Some(Head { length, message: Message { first_line, headers, body: Vec::new() } }))
 }
 
-/// Reads one message; `None` at the end of the connection.
-pub(crate) async fn read(
+/// Reads one request; `None` at the end of the connection.
+pub(crate) async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    request: bool,
 ) -> io::Result<Option<Message>> {
+    read(stream, buffer, Kind::Request).await
+}
+
+/// Reads one response; `None` at the end of the connection.
+pub(crate) async fn read_response(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> io::Result<Option<Message>> {
+    read(stream, buffer, Kind::Response).await
+}
+
+async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, kind: Kind) -> io::Result<Option<Message>> {
     loop {
-        if let Some((end, mut message)) = head(buffer, request)? {
-            let length = message.header("content-length").map_or(Ok(0), str::parse::<usize>);
-            let length = length.map_err(|_| bad("a length that is none"))?;
-            while buffer.len() < end + length {
-                if buffer.len() > LONGEST || stream.read_buf(buffer).await? == 0 {
-                    return Err(ErrorKind::UnexpectedEof.into());
-                }
-            }
-            message.body = buffer[end..end + length].to_vec();
-            buffer.drain(..end + length);
-            return Ok(Some(message));
+        if let Some(head) = parse_head(buffer, kind)? {
+            return read_body(stream, buffer, head).await.map(Some);
         }
-        if buffer.len() > LONGEST {
-            return Err(bad("a head without end"));
+        if buffer.len() > MOST_MESSAGE_BYTES {
+            return Err(invalid("a head without end"));
         }
         if stream.read_buf(buffer).await? == 0 {
             return if buffer.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
@@ -73,9 +125,23 @@
     }
 }
 
+async fn read_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, head: Head) -> io::Result<Message> {
+    let Head { length: head_length, mut message } = head;
+    let body_length = message.header("content-length").map_or(Ok(0), str::parse::<usize>);
+    let end = head_length + body_length.map_err(|_| invalid("a length that is none"))?;
+    while buffer.len() < end {
+        if buffer.len() > MOST_MESSAGE_BYTES || stream.read_buf(buffer).await? == 0 {
+            return Err(ErrorKind::UnexpectedEof.into());
+        }
+    }
+    message.body = buffer[head_length..end].to_vec();
+    buffer.drain(..end);
+    Ok(message)
+}
+
 /// Writes one message.
-pub(crate) async fn write(stream: &mut TcpStream, first: &str, body: &[u8]) -> io::Result<()> {
-    let mut message = format!("{first}\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
+pub(crate) async fn write(stream: &mut TcpStream, first_line: &str, body: &[u8]) -> io::Result<()> {
+    let mut message = format!("{first_line}\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
     message.extend_from_slice(body);
     stream.write_all(&message).await
 }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,27 +1,38 @@
-//! Stand-ins on loopback for what a scheduler meets: render boxes, a discovery, clients, and a wire that delays,
-//! cuts, stalls and resets. They speak the platform's protocol and keep a [`Journal`] of what happened, against
+//! Test doubles on loopback for what a scheduler meets: workers, a discovery service, clients, and a proxy between
+//! sites that delays and fails. They speak the platform's protocol and keep a [`Journal`] of what happened, against
 //! which promises are checked. Everything runs on one thread, in tasks of a `LocalSet`.
+//!
+//! | file | what |
+//! | --- | --- |
+//! | `worker`, `discovery`, `client` | the test doubles |
+//! | `faulty_proxy` | a connection between sites that delays, stalls and resets |
+//! | `traffic` | requests drawn from a seed, and what became of them |
+//! | `scheduler_process`, `site`, `program` | the scheduler under test, alone and as a whole site |
+//! | `journal` | the runs at the workers |
+//!
+//! Who uses them: `crates/benchmarks`, `crates/fault-injection` and `chutesaddle demo`.
 #![warn(missing_docs)]
 
 pub mod client;
 pub mod discovery;
+pub mod faulty_proxy;
 mod http;
 pub mod journal;
-pub mod load;
 pub mod program;
-pub mod render;
-pub mod rig;
-pub mod wire;
+pub mod scheduler_process;
+pub mod site;
+pub mod traffic;
+pub mod worker;
 
-pub use client::{Client, Job, Told};
+pub use client::{Client, ClientRequest, ClientResult};
 pub use discovery::Discovery;
+pub use faulty_proxy::{FaultyProxy, ProxyState};
 pub use journal::{Journal, Run};
-pub use render::{RenderBox, Spec};
-pub use rig::{Scheduler, Site};
-pub use wire::Wire;
+pub use scheduler_process::SchedulerProcess;
+pub use site::TestSite;
+pub use worker::{TestWorker, WorkerSpec};
 
-/// The classes, tenants and terms of a small deployment, as the platform's JSON writes them. `{}` in the text
-/// are for: name, discovery, seed.
+/// The configuration of a scheduler in a small deployment, as the platform's JSON writes it.
 pub fn config(name: &str, discovery: std::net::SocketAddr, seed: u64) -> String {
     format!(
         r#"{{"name":"{name}","listen":"127.0.0.1:0","ops":"127.0.0.1:0","discovery":"{discovery}",
--- a/crates/test-doubles/src/program.rs
+++ b/crates/test-doubles/src/program.rs
@@ -1,4 +1,4 @@
-//! The program that is measured: the release build of this very tree.
+//! The program under test: the release build of this very tree, and a directory for its files.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// If it does not build, or is not there.
-pub fn scheduler() -> io::Result<PathBuf> {
+pub fn build_scheduler() -> io::Result<PathBuf> {
     if let Some(cargo) = std::env::var_os("CARGO") {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
         let build = ["build", "--quiet", "--release", "--package", "chutesaddle", "--bin", "chutesaddle"];
@@ -24,10 +24,10 @@
     }
 }
 
-/// A folder for one measurement, removed with the value.
-pub struct Folder(pub PathBuf);
+/// A directory for one run, removed with the value.
+pub struct TempDirectory(pub PathBuf);
 
-impl Folder {
+impl TempDirectory {
     /// A new one, named after `name` and this process.
     ///
     /// # Errors
@@ -35,12 +35,13 @@
     pub fn new(name: &str) -> io::Result<Self> {
         let path = std::env::temp_dir().join(format!("chutesaddle-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempDirectory(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
+        // What stays behind is the next cleaner's of the temporary directory.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- /dev/null
+++ b/crates/test-doubles/src/worker.rs
@@ -0,0 +1,323 @@
+//! A test worker: takes requests into slots and a bounded queue, runs them for as long as they need at its speed,
+//! reports start, progress and end by callbacks, and drops repeats of an idempotency key within a window.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{spawn_local, AbortHandle};
+use tokio::time::{sleep, sleep_until, timeout, Instant};
+
+use crate::journal::RunId;
+use crate::{http, Journal};
+
+/// A callback is tried this often, with this pause in between.
+const CALLBACK_TRIES: usize = 10;
+const CALLBACK_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Gap between two reports of progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What a worker is like.
+#[derive(Clone, Debug)]
+pub struct WorkerSpec {
+    /// Its name in the endpoint list.
+    pub name: String,
+    /// The number of its site.
+    pub site: usize,
+    /// Requests that run at a time.
+    pub slots: usize,
+    /// Requests that may wait.
+    pub queue: usize,
+    /// Work done in a second of running.
+    pub speed: f64,
+    /// Repeats of a key are dropped for this long.
+    pub deduplication_window: Duration,
+    /// How it warms up; `None` if it is warm from the start.
+    pub warm_up: Option<WarmUp>,
+}
+
+/// A worker that begins slowly.
+#[derive(Clone, Copy, Debug)]
+pub struct WarmUp {
+    /// The fraction of its speed at the start.
+    pub initial_fraction: f64,
+    /// It has its full speed after this time.
+    pub duration: Duration,
+}
+
+impl WarmUp {
+    /// The fraction of its speed at this age.
+    fn fraction(self, age: Duration) -> f64 {
+        let gained = (1.0 - self.initial_fraction) * age.as_secs_f64() / self.duration.as_secs_f64();
+        (self.initial_fraction + gained).min(1.0)
+    }
+}
+
+/// Where callbacks go, once that is known.
+type CallbackTarget = Rc<Cell<Option<SocketAddr>>>;
+
+/// A listener of a worker. Callbacks about what comes in here go to one scheduler.
+pub struct WorkerListener {
+    /// Where it listens.
+    pub address: SocketAddr,
+    callback_target: CallbackTarget,
+}
+
+impl WorkerListener {
+    /// Callbacks go there from now on.
+    pub fn send_callbacks_to(&self, scheduler: SocketAddr) {
+        self.callback_target.set(Some(scheduler));
+    }
+}
+
+struct QueuedRequest {
+    received_at: Instant,
+    callback_target: CallbackTarget,
+    id: String,
+    key: Option<String>,
+    work: Duration,
+}
+
+struct RunningRequest {
+    task: AbortHandle,
+    run: RunId,
+}
+
+/// A worker that runs.
+pub struct TestWorker {
+    /// Where it listens.
+    pub address: SocketAddr,
+    spec: WorkerSpec,
+    journal: Journal,
+    started_at: Instant,
+    /// Of the listener at `address`.
+    callback_target: CallbackTarget,
+    waiting: RefCell<VecDeque<QueuedRequest>>,
+    running: RefCell<HashMap<String, RunningRequest>>,
+    /// When each key last began to run.
+    keys: RefCell<HashMap<String, Instant>>,
+    silent: Cell<bool>,
+}
+
+impl TestWorker {
+    /// Starts one.
+    ///
+    /// # Errors
+    /// If it cannot listen.
+    pub async fn start(spec: WorkerSpec, journal: Journal) -> io::Result<Rc<Self>> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        journal.free_slots_changed(spec.site, spec.slots as i64);
+        let worker = Rc::new(TestWorker {
+            address: listener.local_addr()?,
+            spec,
+            journal,
+            started_at: Instant::now(),
+            callback_target: CallbackTarget::default(),
+            waiting: RefCell::default(),
+            running: RefCell::default(),
+            keys: RefCell::default(),
+            silent: Cell::new(false),
+        });
+        worker.listen(listener, &worker.callback_target);
+        Ok(worker)
+    }
+
+    /// Opens another listener, for another scheduler.
+    ///
+    /// # Errors
+    /// If it cannot listen.
+    pub async fn add_listener(self: &Rc<Self>) -> io::Result<WorkerListener> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let address = listener.local_addr()?;
+        let callback_target = CallbackTarget::default();
+        self.listen(listener, &callback_target);
+        Ok(WorkerListener { address, callback_target })
+    }
+
+    fn listen(self: &Rc<Self>, listener: TcpListener, callback_target: &CallbackTarget) {
+        let (worker, callback_target) = (Rc::clone(self), Rc::clone(callback_target));
+        spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let (worker, callback_target) = (Rc::clone(&worker), Rc::clone(&callback_target));
+                spawn_local(async move { worker.serve(stream, callback_target).await });
+            }
+        });
+    }
+
+    /// Its name in the endpoint list.
+    pub fn name(&self) -> &str {
+        &self.spec.name
+    }
+
+    /// Callbacks about what comes in at its address go there from now on.
+    pub fn send_callbacks_to(&self, scheduler: SocketAddr) {
+        self.callback_target.set(Some(scheduler));
+    }
+
+    /// From now on it answers nothing and calls nobody, though it works on; or it speaks again.
+    pub fn set_silent(&self, silent: bool) {
+        self.silent.set(silent);
+    }
+
+    fn load_report(&self) -> String {
+        let (queue, running) = (self.waiting.borrow().len(), self.running.borrow().len());
+        format!("eps=0,latency_ms=0,queue={queue},x0={}", self.spec.slots.saturating_sub(running))
+    }
+
+    async fn serve(self: Rc<Self>, mut stream: TcpStream, callback_target: CallbackTarget) -> io::Result<()> {
+        // Without it, answers are only slower.
+        let _ = stream.set_nodelay(true);
+        let mut buffer = Vec::new();
+        while let Some(message) = http::read_request(&mut stream, &mut buffer).await? {
+            if self.silent.get() {
+                std::future::pending::<()>().await;
+            }
+            let answer = self.answer(&message, &callback_target);
+            http::write(&mut stream, &answer, b"").await?;
+            self.start_waiting();
+        }
+        Ok(())
+    }
+
+    fn answer(self: &Rc<Self>, message: &http::Message, callback_target: &CallbackTarget) -> String {
+        if message.method() == "DELETE" {
+            let id = message.target().rsplit('/').next().unwrap_or_default();
+            self.cancel(id);
+            return "HTTP/1.1 200 OK".to_owned();
+        }
+        let Some(id) = message.header("x-request-id") else { return "HTTP/1.1 404 Not Found".to_owned() };
+        // The body says what the request truly needs, in microseconds.
+        let work_us = std::str::from_utf8(&message.body).ok().and_then(|text| text.trim().parse().ok());
+        self.enqueue(QueuedRequest {
+            received_at: Instant::now(),
+            callback_target: Rc::clone(callback_target),
+            id: id.to_owned(),
+            key: message.header("idempotency-key").map(str::to_owned),
+            work: Duration::from_micros(work_us.unwrap_or(1)),
+        })
+    }
+
+    fn enqueue(&self, request: QueuedRequest) -> String {
+        let slots_full = self.running.borrow().len() >= self.spec.slots;
+        let queue_full = self.waiting.borrow().len() >= self.spec.queue;
+        if slots_full && queue_full {
+            return format!("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Load: {}", self.load_report());
+        }
+        self.waiting.borrow_mut().push_back(request);
+        "HTTP/1.1 202 Accepted".to_owned()
+    }
+
+    /// Starts the waiting requests that fit, in order.
+    fn start_waiting(self: &Rc<Self>) {
+        while self.running.borrow().len() < self.spec.slots {
+            let Some(request) = self.waiting.borrow_mut().pop_front() else { return };
+            if self.is_repeat(&request) {
+                // A repeat takes no effect, and its sender is told that it is done.
+                let worker = Rc::clone(self);
+                spawn_local(async move {
+                    worker.callback(&request, "done", "\"result\":\"repeat\"").await;
+                });
+                continue;
+            }
+            if let Some(key) = &request.key {
+                self.keys.borrow_mut().insert(key.clone(), Instant::now());
+            }
+            let run = self.journal.run_started(
+                self.spec.site,
+                &request.id,
+                request.key.as_deref(),
+                request.received_at,
+            );
+            self.journal.free_slots_changed(self.spec.site, -1);
+            let (worker, id) = (Rc::clone(self), request.id.clone());
+            let task = spawn_local(async move { worker.run(request, run).await }).abort_handle();
+            self.running.borrow_mut().insert(id, RunningRequest { task, run });
+        }
+    }
+
+    fn is_repeat(&self, request: &QueuedRequest) -> bool {
+        let Some(key) = &request.key else { return false };
+        let last_run = self.keys.borrow().get(key).copied();
+        last_run.is_some_and(|at| at.elapsed() < self.spec.deduplication_window)
+    }
+
+    async fn run(self: Rc<Self>, request: QueuedRequest, run: RunId) {
+        let age = self.started_at.elapsed();
+        let speed_fraction = self.spec.warm_up.map_or(1.0, |warm_up| warm_up.fraction(age));
+        let duration = request.work.div_f64(self.spec.speed * speed_fraction);
+        let (began, end) = (Instant::now(), Instant::now() + duration);
+        let request = Rc::new(request);
+        self.callback_in_background(&request, "started", String::new());
+        while Instant::now() + PROGRESS_INTERVAL < end {
+            sleep(PROGRESS_INTERVAL).await;
+            let done = began.elapsed().as_secs_f64() / duration.as_secs_f64();
+            self.callback_in_background(&request, "running", format!("\"share\":{done:.3}"));
+        }
+        sleep_until(end).await;
+        self.running.borrow_mut().remove(&request.id);
+        self.slot_freed(run);
+        let result = format!("\"result\":\"map of {}\"", request.id);
+        self.start_waiting();
+        self.callback(&request, "done", &result).await;
+    }
+
+    fn slot_freed(&self, run: RunId) {
+        self.journal.run_ended(run);
+        self.journal.free_slots_changed(self.spec.site, 1);
+    }
+
+    fn cancel(self: &Rc<Self>, id: &str) {
+        self.waiting.borrow_mut().retain(|request| request.id != id);
+        let running = self.running.borrow_mut().remove(id);
+        if let Some(RunningRequest { task, run }) = running {
+            task.abort();
+            self.slot_freed(run);
+        }
+        self.start_waiting();
+    }
+
+    fn callback_in_background(
+        self: &Rc<Self>,
+        request: &Rc<QueuedRequest>,
+        state: &'static str,
+        detail: String,
+    ) {
+        let (worker, request) = (Rc::clone(self), Rc::clone(request));
+        spawn_local(async move { worker.callback(&request, state, &detail).await });
+    }
+
+    /// Tells the scheduler about a request, with a bounded number of tries.
+    async fn callback(&self, request: &QueuedRequest, state: &str, detail: &str) {
+        let load = self.load_report().replace('=', "\":").replace(',', ",\"");
+        let separator = if detail.is_empty() { "" } else { "," };
+        let (id, from) = (&request.id, &self.spec.name);
+        let body = format!(
+            r#"{{"id":"{id}","from":"{from}","state":"{state}"{separator}{detail},"load":{{"{load}}}}}"#
+        );
+        for _ in 0..CALLBACK_TRIES {
+            let target = request.callback_target.get().filter(|_| !self.silent.get());
+            let Some(address) = target else {
+                sleep(CALLBACK_RETRY_PAUSE).await;
+                continue;
+            };
+            if matches!(timeout(CALLBACK_TIMEOUT, post_callback(address, &body)).await, Ok(Ok(()))) {
+                return;
+            }
+            sleep(CALLBACK_RETRY_PAUSE).await;
+        }
+    }
+}
+
+async fn post_callback(address: SocketAddr, body: &str) -> io::Result<()> {
+    let mut stream = TcpStream::connect(address).await?;
+    // Without it, the callback is only slower.
+    let _ = stream.set_nodelay(true);
+    http::write(&mut stream, "POST /callback HTTP/1.1\r\nConnection: close", body.as_bytes()).await?;
+    http::read_response(&mut stream, &mut Vec::new()).await?;
+    Ok(())
+}
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::{client, Job, Journal, Site, Told};
+use chutesaddle_test_doubles::{client, ClientRequest, ClientResult, Journal, TestSite};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
@@ -51,9 +51,9 @@
 async fn play(folder: &Path) -> io::Result<()> {
     eprintln!("one site on loopback: four boxes of three kinds, a discovery, and the scheduler");
     let journal = Journal::default();
-    let site = Site::start(&std::env::current_exe()?, folder, 0, None, &journal).await?;
-    let slots: usize = chutesaddle_test_doubles::rig::BOXES.iter().map(|(slots, ..)| slots).sum();
-    eprintln!("{JOBS} jobs of two classes for {slots} slots; operators call at {}", site.door);
+    let site = TestSite::start(&std::env::current_exe()?, folder, 0, None, &journal).await?;
+    let slots: usize = chutesaddle_test_doubles::site::WORKERS.iter().map(|worker| worker.slots).sum();
+    eprintln!("{JOBS} jobs of two classes for {slots} slots; operators call at {}", site.operator_address);
     let mut tasks = Vec::new();
     let (began, done) = (Instant::now(), Rc::new(std::cell::Cell::new(0)));
     for n in 0..JOBS {
@@ -61,7 +61,7 @@
         let id = format!("demo-{n}");
         let tenant = ["barfani-heights", "chinar-slopes"][n % 2];
         let key = (class == "publish-map").then(|| format!("key-{n}"));
-        let job = Job { id, class, tenant, work, hint: work, key, patience };
+        let job = ClientRequest { id, class, tenant, work, hint: work, key, timeout: patience };
         let (client, counted) = (Rc::clone(&site.client), Rc::clone(&done));
         tasks.push(spawn_local(async move {
             let told = client.submit(&job).await;
@@ -84,13 +84,13 @@
         let (class, told) = task.await.map_err(io::Error::other)?;
         let row = rows.entry(class).or_default();
         match told {
-            Told::Served(after) => {
+            ClientResult::Served(after) => {
                 row.served += 1;
                 row.took += after;
                 row.longest = row.longest.max(after);
             }
-            Told::Rejected => row.rejected += 1,
-            Told::Failed | Told::Nothing => row.failed += 1,
+            ClientResult::Rejected => row.rejected += 1,
+            ClientResult::Failed | ClientResult::NoAnswer => row.failed += 1,
         }
     }
     println!(
@@ -102,7 +102,7 @@
         let longest = row.longest.as_millis();
         println!("{class:<14}{:>8}{:>10}{:>8}{mean:>10}{longest:>13}", row.served, row.rejected, row.failed);
     }
-    let metrics = client::ask(site.door, "METRICS").await?;
+    let metrics = client::operator_command(site.operator_address, "METRICS").await?;
     let tries = metrics.lines().filter(|line| line.starts_with("svc.tries")).collect::<Vec<_>>().join(", ");
     println!("{} runs on the boxes in {:.1} s; {tries}", journal.runs().len(), began.elapsed().as_secs_f64());
     Ok(())
