--- a/src/server/engine/attempt_state.rs
+++ b/src/server/engine/attempt_state.rs
@@ -113,3 +113,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -18,12 +18,14 @@
 use tokio::time::Instant;
 
 use super::attempt_state::{Attempt, AttemptChange};
-use super::request_table::{RequestFacts, TrackedRequest, WaitEnd};
+use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
 use crate::scheduling::{Event, RequestId, RequestNeeds, WorkerId};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
-use crate::server::messages::{FinalAnswer, MigratedAttempt, MigratedRequest, PeerProcessId, ProcessRole};
+use crate::server::messages::{
+    ClientRequest, FinalAnswer, MigratedAttempt, MigratedRequest, PeerProcessId, ProcessRole,
+};
 use crate::server::metrics::Gauge;
 use crate::server::workers::attempt::AttemptTask;
 use crate::server::workers::endpoint::WorkerEndpoint;
@@ -144,8 +146,18 @@
             attempts.iter().map(|attempt| self.worker_id(&attempt.worker_name)).collect();
         self.counters.transactions_adopted.add();
         let RequestNeeds { tenant, slots, memory } = record.needs();
-        let facts = RequestFacts { class, tenant, deadline, slots, memory, estimated_work_s, payload };
-        let mut request = TrackedRequest::new(facts, reply, Gauge::hold(&self.counters.active));
+        let submitted = ClientRequest {
+            class,
+            tenant,
+            deadline,
+            slots,
+            memory,
+            estimated_work_s,
+            affinity_key: None, // the dispatcher's record has it
+            payload,
+            origin: None, // requests of other sites do not migrate
+        };
+        let mut request = TrackedRequest::new(submitted, reply, Gauge::hold(&self.counters.active));
         // The other process knows whether it ran. Here it counts as run, so that it is not forwarded.
         request.may_have_run = true;
         for (attempt, &worker) in attempts.into_iter().zip(&workers) {
@@ -216,3 +228,6 @@
         && request.attempts.iter().all(Attempt::can_migrate)
         && !request.forwarding.ends_with_this_process()
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -18,7 +18,7 @@
 use super::attempt_state::Attempt;
 use super::site_forwarding::ForwardingState;
 use crate::scheduling::RequestId;
-use crate::server::messages::{FinalAnswer, RequestPayload};
+use crate::server::messages::{ClientRequest, FinalAnswer, RequestPayload};
 use crate::server::metrics::Gauged;
 
 /// Whether the client of a request still waits for its answer.
@@ -73,33 +73,25 @@
     pub(super) priority: f64,
 }
 
-/// The parts of a [`TrackedRequest`] that are known when it begins.
-pub(super) struct RequestFacts {
-    pub(super) class: usize,
-    pub(super) tenant: usize,
-    pub(super) deadline: Instant,
-    pub(super) slots: f64,
-    pub(super) memory: f64,
-    pub(super) estimated_work_s: Option<f64>,
-    pub(super) payload: RequestPayload,
-}
-
 impl TrackedRequest {
     /// A request without attempts, whose answer goes to `reply`.
-    pub(super) fn new(facts: RequestFacts, reply: oneshot::Sender<FinalAnswer>, active: Gauged) -> Self {
-        let RequestFacts { class, tenant, deadline, slots, memory, estimated_work_s, payload } = facts;
+    pub(super) fn new(request: ClientRequest, reply: oneshot::Sender<FinalAnswer>, active: Gauged) -> Self {
         TrackedRequest {
-            class,
-            tenant,
-            deadline,
-            slots,
-            memory,
-            estimated_work_s,
-            payload: Rc::new(payload),
+            class: request.class,
+            tenant: request.tenant,
+            deadline: request.deadline,
+            slots: request.slots,
+            memory: request.memory,
+            estimated_work_s: request.estimated_work_s,
+            payload: Rc::new(request.payload),
             client: ClientState::Waiting { reply, active },
             attempts: Vec::new(),
             may_have_run: false,
-            forwarding: ForwardingState::Local,
+            forwarding: if request.origin.is_some() {
+                ForwardingState::Inbound
+            } else {
+                ForwardingState::Local
+            },
             priority: -1.0,
         }
     }
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -7,8 +7,7 @@
 
 use super::attempt_state::AttemptChange;
 use super::attempts::Ending;
-use super::request_table::{RequestFacts, TrackedRequest, WaitEnd};
-use super::site_forwarding::ForwardingState;
+use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
 use crate::scheduling::{Event, LoadReport, Request, RequestId};
@@ -51,7 +50,8 @@
             estimated_work_s: submitted.estimated_work_s,
             affinity_key: submitted.affinity_key,
         });
-        self.track(id, submitted, reply);
+        let active = Gauge::hold(&self.counters.active);
+        self.requests.insert(id, TrackedRequest::new(submitted, reply, active));
         self.timers.set(deadline, Timer::Deadline(id));
         if self.bind_to_other_site(id) {
             return; // one with its key may have run at another site: the dispatcher here must not run it too
@@ -71,23 +71,6 @@
         let _ = reply.send(FinalAnswer::DuplicateId);
     }
 
-    fn track(&mut self, id: RequestId, submitted: ClientRequest, reply: oneshot::Sender<FinalAnswer>) {
-        let facts = RequestFacts {
-            class: submitted.class,
-            tenant: submitted.tenant,
-            deadline: submitted.deadline,
-            slots: submitted.slots,
-            memory: submitted.memory,
-            estimated_work_s: submitted.estimated_work_s,
-            payload: submitted.payload,
-        };
-        let mut request = TrackedRequest::new(facts, reply, Gauge::hold(&self.counters.active));
-        if submitted.origin.is_some() {
-            request.forwarding = ForwardingState::Inbound;
-        }
-        self.requests.insert(id, request);
-    }
-
     /// Remembers what the dispatcher makes of a request: the gateway forwards by it.
     fn record_priority(&mut self, id: RequestId) {
         if self.forwarding.is_none() {
--- a/src/server/engine/site_forwarding/state.rs
+++ b/src/server/engine/site_forwarding/state.rs
@@ -113,3 +113,6 @@
         self.is_inbound() || self.is_outbound()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/server/engine/timers.rs
+++ b/src/server/engine/timers.rs
@@ -54,3 +54,6 @@
         self.entries.pop().map(|Reverse(entry)| entry.timer)
     }
 }
+
+#[cfg(test)]
+mod tests;
