--- a/src/server/engine/attempt_state.rs
+++ b/src/server/engine/attempt_state.rs
@@ -20,7 +20,7 @@
         /// Ends the task.
         command: oneshot::Sender<AttemptCommand>,
     },
-    /// Its task was told to cancel, and its end is on its way.
+    /// Its task was commanded to cancel, and its end is on its way.
     Cancelling,
     /// The dispatcher was notified of its end, or it was never sent.
     Ended,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether its task runs and was not told to cancel.
+    /// Whether its task runs and was not commanded to cancel.
     pub(super) fn is_running(&self) -> bool {
         match self.state {
             AttemptState::Running { .. } => true,
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -19,26 +19,30 @@
 /// left. Workers of odd numbers are one cell, so 3 deduplicates together with 1, and 2 does not. `migrated`: the
 /// request migrates to another process right after the end.
 fn follows(end: AttemptEnd, class: usize, other: u64, migrated: bool) -> &'static str {
-    let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
-    b.send(Event::RequestReceived(request(1, class, b.now)));
-    assert_eq!(routes(&b.run(0.2)), [(1, 1)], "the first attempt");
+    let mut bench = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
+    bench.send(Event::RequestReceived(request(1, class, bench.now)));
+    assert_eq!(routes(&bench.run(0.2)), [(1, 1)], "the first attempt");
     // From now on another worker takes work, and the first one none.
     let entries = vec![WorkerInfo { state: WorkerState::Draining, ..worker(1) }, worker(other)];
-    b.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: entries.clone() });
-    let mut actions = b.end(1, 0, end.outcome());
+    bench.send(Event::WorkersListed {
+        complete_snapshot: false,
+        from_cache: false,
+        entries: entries.clone(),
+    });
+    let mut actions = bench.end(1, 0, end.outcome());
     if end == AttemptEnd::Completed {
-        assert!(routes(&b.run(30.0)).is_empty(), "it is over");
+        assert!(routes(&bench.run(30.0)).is_empty(), "it is over");
         return "served";
     }
     if migrated && !failed(&actions, 1) {
         assert!(routes(&actions).is_empty(), "nothing is sent before the next round");
-        let record = b.d.hand_over(RequestId(1)).expect("it is not over");
-        let now = b.now;
-        b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, entries);
-        b.now = now;
-        actions = b.send(Event::RequestTakenOver(Box::new(record)));
+        let record = bench.d.hand_over(RequestId(1)).expect("it is not over");
+        let now = bench.now;
+        bench = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, entries);
+        bench.now = now;
+        actions = bench.send(Event::RequestTakenOver(Box::new(record)));
     }
-    actions.extend(b.run(30.0));
+    actions.extend(bench.run(30.0));
     match (routes(&actions).as_slice(), failed(&actions, 1), refused(&actions, 1)) {
         ([_, ..], ..) => "again",
         ([], true, false) => "failed",
@@ -72,36 +76,37 @@
 fn earlier_attempt_that_may_have_run_bars_a_retry() {
     // The first attempt may have run; that the second certainly did not changes nothing for the request.
     for (class, again) in [(0, true), (1, false), (2, false)] {
-        let mut b = Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
-        b.send(Event::RequestReceived(request(1, class, b.now)));
-        assert_eq!(routes(&b.run(0.2)).len(), 1);
+        let mut bench =
+            Bench::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
+        bench.send(Event::RequestReceived(request(1, class, bench.now)));
+        assert_eq!(routes(&bench.run(0.2)).len(), 1);
         let draining = WorkerInfo { state: WorkerState::Draining, ..worker(1) };
-        b.send(Event::WorkersListed {
+        bench.send(Event::WorkersListed {
             complete_snapshot: false,
             from_cache: false,
             entries: vec![worker(3)],
         });
-        let mut second = b.end(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
-        second.extend(b.run(0.3));
+        let mut second = bench.end(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
+        second.extend(bench.run(0.3));
         if class != 1 {
             let to = routes(&second)[0].1;
             let other = if to == 1 { 3 } else { 1 };
             let gone =
                 [worker(other), draining.clone(), WorkerInfo { state: WorkerState::Draining, ..worker(3) }];
-            b.send(Event::WorkersListed {
+            bench.send(Event::WorkersListed {
                 complete_snapshot: false,
                 from_cache: false,
                 entries: gone[1..].to_vec(),
             });
-            b.send(Event::WorkersListed {
+            bench.send(Event::WorkersListed {
                 complete_snapshot: false,
                 from_cache: false,
                 entries: vec![worker(2)],
             });
-            b.end(1, 1, AttemptEnd::ConnectRefused.outcome());
-            assert_eq!(!routes(&b.run(30.0)).is_empty(), again, "class {class}");
+            bench.end(1, 1, AttemptEnd::ConnectRefused.outcome());
+            assert_eq!(!routes(&bench.run(30.0)).is_empty(), again, "class {class}");
         } else {
-            assert!(routes(&second).is_empty() && routes(&b.run(30.0)).is_empty());
+            assert!(routes(&second).is_empty() && routes(&bench.run(30.0)).is_empty());
         }
     }
 }
@@ -116,13 +121,13 @@
     #[case] fails: bool,
 ) {
     // Waiting for a worker would only delay the same answer, up to the deadline where late answers have a weight.
-    let mut s = Settings { capacity_probes_allowed: false, ..settings() };
-    s.classes[class].weight_after_objective = 0.5;
-    let mut b = Bench::new(s, (1..=6).map(worker).collect());
-    b.send(Event::RequestReceived(request(1, class, b.now)));
+    let mut settings = Settings { capacity_probes_allowed: false, ..settings() };
+    settings.classes[class].weight_after_objective = 0.5;
+    let mut bench = Bench::new(settings, (1..=6).map(worker).collect());
+    bench.send(Event::RequestReceived(request(1, class, bench.now)));
     for attempt in 0..attempts {
-        assert_eq!(routes(&b.run(1.0)).len(), 1, "attempt {attempt}");
-        let actions = b.end(1, attempt, end.outcome());
+        assert_eq!(routes(&bench.run(1.0)).len(), 1, "attempt {attempt}");
+        let actions = bench.end(1, attempt, end.outcome());
         let last = attempt + 1 == attempts;
         assert_eq!((failed(&actions, 1), refused(&actions, 1)), (last && fails, last && !fails));
     }
