--- a/src/server/discovery/poll_backoff.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::scheduling::random::chance;
+use crate::scheduling::random::uniform_draw;
 
 #[cfg(test)]
 mod tests;
@@ -82,6 +82,6 @@
     /// A random delay of up to `bound`.
     fn jittered(&mut self, bound: Duration) -> Duration {
         self.draws += 1;
-        bound.mul_f64(chance(self.seed ^ self.draws.wrapping_mul(0x9E37_79B9_7F4A_7C15)))
+        bound.mul_f64(uniform_draw(self.seed ^ self.draws.wrapping_mul(0x9E37_79B9_7F4A_7C15)))
     }
 }
--- a/src/server/discovery/watch_supervisor.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::discovery::deadlines::{
     KEEP_ALIVE_INTERVAL, NOTIFIED_AFTER, NOTIFIED_AFTER_RELOAD, POLL_TIMEOUT,
 };
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -21,11 +21,9 @@
 use site_forwarding::{Crossings, Travel};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{
-    Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId,
-};
-use crate::scheduling::state::NOTE;
+use crate::scheduling::Dispatcher;
+use crate::scheduling::Timer;
+use crate::scheduling::{Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
@@ -286,7 +284,7 @@
                 self.dispatcher.configure((*settings).clone());
                 self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
                 self.settings = *settings;
-                self.tell(Event::TimerExpired(NOTE)); // they may have come to allow notes
+                self.tell(Event::TimerExpired(Timer::Gossip.tag())); // they may have come to allow notes
             }
         }
     }
@@ -308,7 +306,7 @@
             payload,
             origin,
         } = transaction;
-        let elsewhere = self.peers.holds(&payload.name);
+        let elsewhere = self.peers.has_open_request(&payload.name);
         if elsewhere || self.names.contains_key(&payload.name) || self.live.contains_key(&id) {
             // Call-backs could not tell the two apart.
             if self.counters.duplicate_ids.add().is_power_of_two() {
@@ -320,7 +318,7 @@
         }
         self.counters.transactions_taken.add();
         self.names.insert(payload.name.clone(), id);
-        self.peers.pass(None, &HandoverFrame::RequestOpened(payload.name.clone()));
+        self.peers.broadcast(None, &HandoverFrame::RequestOpened(payload.name.clone()));
         tracing::debug!(name = %payload.name.escape_ascii(), class, tenant, hint, slots, "taken");
         let live = Live {
             class,
@@ -407,7 +405,7 @@
                 self.tell(Event::AttemptStarted { request, attempt });
             }
             (Some((request, attempt, true)), CallbackEvent::Progress(share)) => {
-                self.tell(Event::AttemptProgressed { request, attempt, share });
+                self.tell(Event::AttemptProgressed { request, attempt, fraction: share });
             }
             (Some((request, attempt, true)), CallbackEvent::Ended(end)) => {
                 self.ended(request, attempt, end, load)
@@ -435,14 +433,14 @@
         if side == ProcessRole::Successor {
             let learnt = self.dispatcher.learned_state();
             let names = learnt.workers().map(|worker| (worker, self.name(worker))).collect();
-            self.peers.tell(peer, HandoverFrame::LearnedState(Box::new(learnt), names));
+            self.peers.send(peer, HandoverFrame::LearnedState(Box::new(learnt), names));
         }
         for name in self.names.keys() {
-            self.peers.tell(peer, HandoverFrame::RequestOpened(name.clone()));
+            self.peers.send(peer, HandoverFrame::RequestOpened(name.clone()));
         }
         self.forget_sends();
         for (_, name, class, work) in &self.sends {
-            self.peers.tell(peer, HandoverFrame::WorkSent(name.clone(), *class, *work));
+            self.peers.send(peer, HandoverFrame::WorkSent(name.clone(), *class, *work));
         }
     }
 
@@ -513,7 +511,7 @@
         if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.attempts.iter().all(|a| !a.open)) {
             if let Some(live) = self.live.remove(&id) {
                 self.names.remove(&live.payload.name);
-                self.peers.pass(None, &HandoverFrame::RequestClosed(live.payload.name.clone()));
+                self.peers.broadcast(None, &HandoverFrame::RequestClosed(live.payload.name.clone()));
             }
         }
     }
@@ -534,7 +532,7 @@
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch { request, worker } => return self.route(request, worker),
-            Action::Reject { request, hold_off_s } => {
+            Action::Reject { request, retry_after_s: hold_off_s } => {
                 if !self.crosses_instead(request, hold_off_s) {
                     self.answer(request, self.rejection(request, hold_off_s));
                     self.forget(request);
@@ -610,7 +608,7 @@
         };
         self.spawn(request, attempt, flow.run());
         self.forget_sends();
-        self.peers.pass(None, &HandoverFrame::WorkSent(name.clone(), class, work));
+        self.peers.broadcast(None, &HandoverFrame::WorkSent(name.clone(), class, work));
         self.sends.push_back((Instant::now(), name, class, work));
         None
     }
