--- a/crates/benchmarks/src/gateway.rs
+++ b/crates/benchmarks/src/gateway.rs
@@ -234,8 +234,8 @@
         sites.push(Site::start(program, folder, n, file.as_deref(), &journal).await?);
     }
     if gateway {
-        wires[0].lead(sites[1].scheduler.address("peers call at ").await?);
-        wires[1].lead(sites[0].scheduler.address("peers call at ").await?);
+        wires[0].lead(sites[1].scheduler.address("listening for site links address=").await?);
+        wires[1].lead(sites[0].scheduler.address("listening for site links address=").await?);
         for site in &sites {
             metric_is(site, "svc.gateway.out.up", 1).await?;
         }
--- a/crates/benchmarks/src/price.rs
+++ b/crates/benchmarks/src/price.rs
@@ -63,8 +63,8 @@
     let off = Site::start(&program, &folder.0, 0, None, &journal).await?;
     let idle = Site::start(&program, &folder.0, 1, Some(&files[0]), &journal).await?;
     let peer = Site::start(&program, &folder.0, 2, Some(&files[1]), &journal).await?;
-    wires[0].lead(peer.scheduler.address("peers call at ").await?);
-    wires[1].lead(idle.scheduler.address("peers call at ").await?);
+    wires[0].lead(peer.scheduler.address("listening for site links address=").await?);
+    wires[1].lead(idle.scheduler.address("listening for site links address=").await?);
     metric_is(&idle, "svc.gateway.out.up", 1).await?;
     // One round to warm up, which counts for nothing.
     round(&off, &idle, arguments, Duration::from_secs(2), "w").await?;
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -135,7 +135,7 @@
         let process = Scheduler::start(&self.program, &node.file, None, &node.dir)?;
         let address = process.address("serves on ").await?;
         if node.tells {
-            self.wires.listens(number, Some(process.address("notes of other schedulers arrive at ").await?));
+            self.wires.listens(number, Some(process.address("listening for gossip address=").await?));
         }
         node.doors.iter().for_each(|door| door.calls(address));
         *node.process.borrow_mut() = Some(process);
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -17,7 +17,7 @@
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
-use chutesaddle::server::peers::site_links::{new_instance, SiteLinks};
+use chutesaddle::server::peers::site_links::{new_incarnation, SiteLinks};
 use chutesaddle::server::workers::endpoint::WorkerConnector;
 use chutesaddle_gateway::Gateway;
 use tokio::net::TcpListener;
@@ -102,11 +102,11 @@
         Rc::new(WorkerConnector::new(shares.members(), connect_timeout_s, conn_idle_s, Rc::clone(&counters)));
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&dialer), Rc::clone(&counters), peers.clone());
-    let (outbox, notes) = gossip_transport::outbox();
+    let (outbox, notes) = gossip_transport::channel();
     let engine = engine.with_notes(outbox);
     let (engine, sites) = match said {
         Some(said) => {
-            let (instance, origin) = (new_instance(), Instant::now());
+            let (instance, origin) = (new_incarnation(), Instant::now());
             let decisions = Gateway::new(said.file.decisions.clone(), instance);
             let sites = SiteLinks::new(said, instance, origin, queue.clone(), Rc::clone(&lifecycle));
             (engine.with_gateway(decisions, origin), Some(sites))
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -28,7 +28,7 @@
 pub mod operator {
     use std::path::{Path, PathBuf};
 
-    use crate::server::peers::site_links::{read_secret, GatewayError, SiteLinkSettings};
+    use crate::server::peers::site_links::{read_secret, SecretError, SiteLinkSettings};
 
     /// Why it cannot be used.
     #[derive(Debug, thiserror::Error)]
@@ -41,7 +41,7 @@
         Mistakes(#[from] chutesaddle_operator_config::Mistakes),
         /// What it names cannot be used.
         #[error(transparent)]
-        Gateway(#[from] GatewayError),
+        Gateway(#[from] SecretError),
     }
 
     /// Reads it, with the secret that it names; `None` if it switches nothing on.
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -1,8 +1,15 @@
-//! Notes between the schedulers of one deployment, as UDP datagrams: one socket that sends what the engine
-//! tells to all others, and hands in what they tell. Nothing here is owed: a datagram that is lost, late or
-//! doubled costs no more than what it would have told.
+//! Gossip between the schedulers of one deployment, as UDP datagrams: one socket that broadcasts the engine's messages
+//! and hands received ones to the engine.
+//!
+//! Delivery is not needed: a datagram that is lost, late or duplicated costs no more than the load that it would have
+//! reported. So a message that cannot be sent is counted and dropped, and the next one follows soon. During an upgrade
+//! only the process that serves has the socket.
+//!
+//! Counters: `notes_sent`, `notes_unsent`, `notes_heard` (received) and `notes_ignored` (of a stranger, or no gossip
+//! message).
 
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -16,116 +23,137 @@
 use crate::server::lifecycle::Phase;
 use crate::server::metrics::Counters;
 
-/// Wait before the socket is tried again: the process that this one replaces may still have it.
-const TRY_AGAIN: Duration = Duration::from_millis(100);
+/// Wait before the socket is opened again: during an upgrade the old process may still have the address.
+const REOPEN_DELAY: Duration = Duration::from_millis(100);
+/// One byte more than any message has: a datagram that fills the buffer is too long.
+const BUFFER_BYTES: usize = MAX_MESSAGE_BYTES + 1;
 
-/// Where the engine puts its notes. The newest one tells all, so that it takes the place of one that still waits.
+/// Where the engine puts its messages. Each is complete, so it replaces one that has not been sent yet.
 pub type GossipSender = watch::Sender<Vec<u8>>;
 
-/// The way that notes take.
+/// A channel for the engine's messages.
+pub fn channel() -> (GossipSender, watch::Receiver<Vec<u8>>) {
+    watch::channel(Vec::new())
+}
+
+/// Sends and receives gossip.
 pub struct GossipTransport {
-    notes: watch::Receiver<Vec<u8>>,
+    outgoing: watch::Receiver<Vec<u8>>,
     queue: EngineQueue,
     counters: Rc<Counters>,
     phase: watch::Receiver<Phase>,
     addresses: watch::Receiver<Option<GossipAddresses>>,
 }
 
-/// A place for the engine's notes, and where they come out of it.
-pub fn outbox() -> (GossipSender, watch::Receiver<Vec<u8>>) {
-    watch::channel(Vec::new())
-}
-
 impl GossipTransport {
-    /// Carries `notes` out and what comes in to the queue, by the addresses that hold at the time.
+    /// Sends `outgoing` messages and queues received ones for the engine, at the latest of `addresses`.
     pub fn new(
-        notes: watch::Receiver<Vec<u8>>,
+        outgoing: watch::Receiver<Vec<u8>>,
         queue: EngineQueue,
         counters: Rc<Counters>,
         phase: watch::Receiver<Phase>,
         addresses: watch::Receiver<Option<GossipAddresses>>,
     ) -> Self {
-        GossipTransport { notes, queue, counters, phase, addresses }
+        GossipTransport { outgoing, queue, counters, phase, addresses }
     }
 
-    /// Runs for good. Only one of the processes of an upgrade has the socket: the one that serves.
+    /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut warned = false;
+        let mut failure_logged = false;
         loop {
-            let serves = !matches!(*self.phase.borrow_and_update(), Phase::Starting | Phase::Replaced);
-            let addresses = self.addresses.borrow_and_update().clone().filter(|_| serves);
-            let Some(addresses) = addresses else {
+            let Some(addresses) = self.current_addresses() else {
                 if !self.changed().await {
                     return;
                 }
                 continue;
             };
-            match UdpSocket::bind(addresses.listen).await {
-                Ok(socket) => {
-                    warned = false;
-                    let at = socket.local_addr().unwrap_or(addresses.listen);
-                    tracing::info!("notes of other schedulers arrive at {at}");
-                    self.notes.mark_unchanged(); // told before anybody could hear it
-                    let (mut phase, mut addressed) = (self.phase.clone(), self.addresses.clone());
-                    tokio::select! {
-                        more = phase.changed() => if more.is_err() { return },
-                        more = addressed.changed() => if more.is_err() { return },
-                        error = carry(&socket, &addresses, &mut self.notes, &self.queue, &self.counters) => {
-                            tracing::warn!("the socket for notes is opened anew: {error}");
-                            sleep(TRY_AGAIN).await;
-                        }
-                    }
-                }
+            let socket = match UdpSocket::bind(addresses.listen).await {
+                Ok(socket) => socket,
                 Err(error) => {
-                    if !std::mem::replace(&mut warned, true) {
-                        tracing::warn!("no notes to other schedulers yet, {}: {error}", addresses.listen);
+                    if !failure_logged {
+                        failure_logged = true;
+                        tracing::warn!(address = %addresses.listen, %error, "cannot listen for gossip");
                     }
-                    sleep(TRY_AGAIN).await;
+                    sleep(REOPEN_DELAY).await;
+                    continue;
                 }
+            };
+            failure_logged = false;
+            let address = socket.local_addr().unwrap_or(addresses.listen);
+            tracing::info!(%address, "listening for gossip");
+            if !self.serve(&socket, &addresses).await {
+                return;
             }
         }
     }
 
-    /// Waits for another phase or other addresses; whether there can be any.
+    /// The addresses to use; `None` where there are none, or another process serves.
+    fn current_addresses(&mut self) -> Option<GossipAddresses> {
+        let phase = *self.phase.borrow_and_update();
+        let addresses = self.addresses.borrow_and_update().clone();
+        match phase {
+            Phase::Starting | Phase::Replaced => None,
+            Phase::Serving | Phase::Draining | Phase::Drained | Phase::Stopping => addresses,
+        }
+    }
+
+    /// Waits for another phase or other addresses; false once there can be none.
     async fn changed(&mut self) -> bool {
         tokio::select! {
-            more = self.phase.changed() => more.is_ok(),
-            more = self.addresses.changed() => more.is_ok(),
+            changed = self.phase.changed() => changed.is_ok(),
+            changed = self.addresses.changed() => changed.is_ok(),
         }
     }
-}
 
-/// Sends and receives until receiving fails.
-async fn carry(
-    socket: &UdpSocket,
-    addresses: &GossipAddresses,
-    notes: &mut watch::Receiver<Vec<u8>>,
-    queue: &EngineQueue,
-    counters: &Counters,
-) -> io::Error {
-    let mut bytes = [0; MAX_MESSAGE_BYTES + 1]; // one more than any: what is cut off there is too long
-    loop {
+    /// Sends and receives until the phase, the addresses or the socket call for another socket; false once there can
+    /// be none.
+    async fn serve(&mut self, socket: &UdpSocket, addresses: &GossipAddresses) -> bool {
+        self.outgoing.mark_unchanged(); // a message from before the socket was open is out of date
+        let (mut phase, mut new_addresses) = (self.phase.clone(), self.addresses.clone());
         tokio::select! {
-            Ok(()) = notes.changed() => {
-                let note = notes.borrow_and_update().clone();
-                match socket.send_to(&note, addresses.all).await {
-                    Ok(_) => counters.notes_sent.add(),
-                    Err(_) => counters.notes_unsent.add(), // a full buffer, or no way there: the next one may go
-                };
+            changed = phase.changed() => changed.is_ok(),
+            changed = new_addresses.changed() => changed.is_ok(),
+            error = self.send_and_receive(socket, addresses) => {
+                tracing::warn!(%error, "gossip socket failed, reopening");
+                sleep(REOPEN_DELAY).await;
+                true
             }
-            came = socket.recv_from(&mut bytes) => match came {
-                Err(error) => return error,
-                Ok((length, source)) => {
-                    let from = addresses.peers.iter().position(|peer| *peer == source);
-                    let note = &bytes[..length];
-                    let Some(from) = from.filter(|_| is_message(note)) else {
-                        counters.notes_ignored.add();
-                        continue;
-                    };
-                    counters.notes_heard.add();
-                    queue.send(EngineMessage::GossipReceived(from, note.to_vec()));
+        }
+    }
+
+    /// Sends and receives until receiving fails.
+    async fn send_and_receive(&mut self, socket: &UdpSocket, addresses: &GossipAddresses) -> io::Error {
+        let mut buffer = [0; BUFFER_BYTES];
+        loop {
+            tokio::select! {
+                Ok(()) = self.outgoing.changed() => {
+                    let message = self.outgoing.borrow_and_update().clone();
+                    self.send(socket, addresses.all, &message).await;
                 }
-            },
+                received = socket.recv_from(&mut buffer) => match received {
+                    Err(error) => return error,
+                    Ok((length, source)) => self.received(addresses, source, &buffer[..length]),
+                },
+            }
         }
     }
+
+    async fn send(&self, socket: &UdpSocket, to: SocketAddr, message: &[u8]) {
+        match socket.send_to(message, to).await {
+            Ok(_) => self.counters.notes_sent.add(),
+            // A full buffer, or no route: the next message may get through.
+            Err(_) => self.counters.notes_unsent.add(),
+        };
+    }
+
+    /// Queues a message for the engine, unless it is no gossip message or its source is not one of the schedulers.
+    fn received(&self, addresses: &GossipAddresses, source: SocketAddr, message: &[u8]) {
+        let sender = addresses.peers.iter().position(|peer| *peer == source);
+        let Some(sender) = sender.filter(|_| is_message(message)) else {
+            self.counters.notes_ignored.add();
+            return;
+        };
+        self.counters.notes_heard.add();
+        self.queue.send(EngineMessage::GossipReceived(sender, message.to_vec()));
+    }
 }
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -49,7 +49,7 @@
 #[case::cut_after_it_was_taken(
     "
     w send cut
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send call r3 m2 done
@@ -58,7 +58,7 @@
 #[case::done_during_the_cut(
     "
     w send cut
-    s expect log no link to the site b
+    s expect log site link down site=b
     f1 send call r3 m2 done
     f1 expect 200
     r1 wait METRICS => svc.ok.publish-map=1
@@ -71,7 +71,7 @@
     w send back
     f1 send call r3 m2 done
     f1 expect 200
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     c3 expect 200 & drawn"
 )]
@@ -85,7 +85,7 @@
 #[case::the_other_process_dies(
     "
     t send KILL
-    s expect log no link to the site b
+    s expect log site link down site=b
     o9 wait METRICS => svc.tries.publish-map=0
     o3 wait METRICS => svc.gateway.out.up.b=0
     c4 send call r1 m1 done
@@ -156,7 +156,7 @@
     w send cut
     c3 send job r3 publish-map 8000 3
     o2 wait METRICS => svc.gateway.crossed=1
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.returned=1
     c4 send call r1 m1 done
@@ -173,7 +173,7 @@
     m2 expect r3
     m2 send 202
     f9 send call r3 m2 started
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send call r3 m2 done
@@ -206,7 +206,7 @@
 #[case::a_peer_that_fell_silent_gets_nothing(
     "
     t send STOP
-    s expect log no link to the site b
+    s expect log site link down site=b
     c3 send job r3 publish-map 8000 3
     c4 send call r1 m1 done
     m1 expect r3
@@ -250,7 +250,7 @@
         &SITES,
         &format!(
             "{call}
-            t expect log is turned down: {why}
+            t expect log site link rejected error={why}
             {FULL}{TAKEN}
             f1 send call r3 m2 done
             c3 expect 200 & drawn"
@@ -285,7 +285,7 @@
             s send HUP
             s expect log the configuration is taken up
             w send reset
-            t expect log is turned down
+            t expect log site link rejected
             o2 wait METRICS => svc.gateway.out.up.b=0
             c3 send job r3 publish-map 8000 3
             c4 send call r1 m1 done
@@ -354,7 +354,7 @@
             f1 send call r3 m2 done
             c3 expect 200 & drawn
             t expect exit 0
-            t2 expect log peers call at"
+            t2 expect log listening for site links"
         ),
     );
 }
--- a/tests/server/scenario.rs
+++ b/tests/server/scenario.rs
@@ -173,7 +173,7 @@
         let mut processes = HashMap::new();
         if let Some(between) = &between {
             let other = Scheduler::start(&format!("{name}.b.json"), world.descriptors);
-            between.lead(other.logged("peers call at "));
+            between.lead(other.logged("listening for site links address="));
             other.logged("serves on ");
             processes.insert("t".to_owned(), other);
         }
@@ -233,7 +233,7 @@
             }
             ("n1" | "x", "send") => {
                 let length = text.strip_prefix("datagram ").and_then(|n| n.parse().ok()).ok_or("a length")?;
-                let to = self.process("s")?.logged("notes of other schedulers arrive at ");
+                let to = self.process("s")?.logged("listening for gossip address=");
                 let sent = self.datagrams[actor].send_to(&vec![0; length], to);
                 sent.map(|_| ()).map_err(|e| e.to_string())
             }
@@ -352,7 +352,7 @@
             let address = match actor.as_bytes()[0] {
                 _ if actor.starts_with(OPERATORS) => self.door(actor)?,
                 b'f' => self.process("t")?.logged("serves on "),
-                b'g' => self.process("t")?.logged("peers call at "),
+                b'g' => self.process("t")?.logged("listening for site links address="),
                 _ => self.address.clone(),
             };
             let stream = match self.doors.get(actor) {
