--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -145,7 +145,7 @@
         let process = SchedulerProcess::start(&self.program, &node.file, None, &node.dir)?;
         let address = process.address("serves on ").await?;
         if node.tells {
-            self.wires.listens(number, Some(process.address("notes of other schedulers arrive at ").await?));
+            self.wires.listens(number, Some(process.address("listening for gossip address=").await?));
         }
         node.doors.iter().for_each(|door| door.send_callbacks_to(address));
         *node.process.borrow_mut() = Some(process);
