--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -239,7 +239,7 @@
             };
             let _waiting = Waiting::new(&self.waiting); // until the answer is written
             let settings = self.settings();
-            let arrived = connection.taken_at();
+            let arrived = connection.message_received_at();
             let answer = match request_parser::read(&head, &body, arrived, &settings) {
                 Ok(Asked::Submit(transaction)) => match self.job(&mut connection, transaction, began).await {
                     JobEnd::Answer(answer) => {
@@ -282,7 +282,7 @@
             let spare = self.spares.list(worth);
             tokio::select! {
                 biased;
-                read = timeout_at(until, connection.fill()) => {
+                read = timeout_at(until, connection.receive()) => {
                     return match read {
                         Ok(Ok(0) | Err(_)) => Next::Gone,
                         Ok(Ok(_)) => Next::EngineMessage,
@@ -293,7 +293,7 @@
             }
         }
         // A request that has arrived, but has not been seen yet, is not to be lost to the close.
-        match connection.arrived() {
+        match connection.receive_available() {
             true => Next::EngineMessage,
             false if self.has_successor() => Next::PassOn,
             false => Next::Close,
@@ -306,11 +306,11 @@
         connection: &mut Connection,
         due: Instant,
     ) -> Option<Result<(Head, Bytes), HttpError>> {
-        let spare = self.spares.arriving(connection.heard());
+        let spare = self.spares.arriving(connection.last_received());
         tokio::select! {
             biased;
             message = timeout_at(due, message(connection)) => {
-                Some(message.unwrap_or(Err(HttpError::TooSlow)))
+                Some(message.unwrap_or(Err(HttpError::TimedOut)))
             }
             () = spare.closes() => None,
         }
@@ -324,7 +324,7 @@
             HttpError::Malformed(_) => "400 Bad Request",
             HttpError::HeadTooLong => "431 Request Header Fields Too Large",
             HttpError::BodyTooLong => "413 Content Too Large",
-            HttpError::TooSlow => "408 Request Timeout",
+            HttpError::TimedOut => "408 Request Timeout",
         };
         self.counters.messages_rejected.add();
         let answer = Answer::new(status, format!("{error}\n"));
@@ -343,7 +343,7 @@
         let pass_over = async {
             while connection.readable().await.is_ok() {
                 let mut scratch = self.scratch.lock().await;
-                if !connection.pass_over(&mut scratch) {
+                if !connection.discard_received(&mut scratch) {
                     return;
                 }
                 sleep(PASS_OVER).await;
@@ -398,7 +398,7 @@
                 reply => JobEnd::Answer(reply.into()),
             },
             () = sleep_until(last) => JobEnd::Answer(FinalAnswer::Failed.into()),
-            () = connection.closed() => JobEnd::ClientDisconnected, // dropping what is pending tells the engine
+            () = connection.wait_for_close() => JobEnd::ClientDisconnected, // dropping what is pending tells the engine
         }
     }
 
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -40,20 +40,20 @@
         // One that could not read of it takes none: the client finds its connection closed between two requests.
         let successor = self.successor.borrow().clone().filter(FrameSender::is_alike);
         // A socket that cannot be passed has broken.
-        if let (Some(successor), Ok((socket, _))) = (successor, connection.into_parts()) {
+        if let (Some(successor), Ok(parts)) = (successor, connection.into_parts()) {
             self.counters.connections_passed_on.add();
-            successor.send(HandoverFrame::IdleConnection { worth, spoke }, Some(socket));
+            successor.send(HandoverFrame::IdleConnection { worth, spoke }, Some(parts.socket));
         }
     }
 
     /// Passes a connection on with the transaction whose answer its client awaits.
     pub(super) fn move_on(&self, connection: Connection, moved: Box<MigratedRequest>, keep: bool) {
         let successor = self.successor.borrow().clone();
-        if let (Some(successor), Ok((socket, ahead))) = (successor, connection.into_parts()) {
+        if let (Some(successor), Ok(parts)) = (successor, connection.into_parts()) {
             self.counters.connections_passed_on.add();
             successor.send(
-                HandoverFrame::Request { request: moved, read_ahead: ahead, keep_alive: keep },
-                Some(socket),
+                HandoverFrame::Request { request: moved, read_ahead: parts.read_ahead, keep_alive: keep },
+                Some(parts.socket),
             );
         }
     }
@@ -71,7 +71,7 @@
         let last = Instant::now() + left + Duration::from_secs_f64(self.settings().answer_slack_s);
         let _share = self.room().await;
         self.counters.connections_adopted.add();
-        let mut connection = Connection::resume(stream, &ahead);
+        let mut connection = Connection::with_read_ahead(stream, &ahead);
         let written = match self.reply(&mut connection, pending, last).await {
             JobEnd::Answer(answer) => self.write(&mut connection, answer, keep).await,
             JobEnd::Migrated(moved) => return self.move_on(connection, moved, keep),
--- /dev/null
+++ b/src/server/http/head_reader.rs
@@ -0,0 +1,54 @@
+//! Reads the heads of requests and responses from a connection.
+
+use super::head::{Head, HeadSpans};
+use super::{Connection, HttpError, MAX_HEAD_BYTES};
+
+impl Connection {
+    /// Reads the head of a request.
+    ///
+    /// # Errors
+    /// [`HttpError::Closed`] if the other side ended before the first byte of it.
+    pub async fn request_head(&mut self) -> Result<Head, HttpError> {
+        self.head(HeadSpans::parse_request).await
+    }
+
+    /// Reads the head of a response, skipping interim ones (RFC 9110, 15.2).
+    ///
+    /// # Errors
+    /// [`HttpError::Closed`] if the other side ended before the first byte of it.
+    pub async fn response_head(&mut self) -> Result<Head, HttpError> {
+        loop {
+            let head = self.head(HeadSpans::parse_response).await?;
+            let is_interim = (100..200).contains(&head.status);
+            if !is_interim {
+                return Ok(head);
+            }
+        }
+    }
+
+    async fn head(
+        &mut self,
+        parse: impl Fn(&[u8]) -> Result<Option<HeadSpans>, HttpError>,
+    ) -> Result<Head, HttpError> {
+        let mut parsed_bytes = 0;
+        loop {
+            // Only a line that has ended can complete a head: one that comes byte by byte is not parsed as often as it
+            // has bytes.
+            let never_parsed = parsed_bytes == 0 && !self.buffer.is_empty();
+            if never_parsed || self.buffer[parsed_bytes..].contains(&b'\n') {
+                parsed_bytes = self.buffer.len();
+                self.head_parses += 1;
+                if let Some(spans) = parse(&self.buffer)? {
+                    return spans.take_from(&mut self.buffer);
+                }
+            }
+            if self.buffer.len() >= MAX_HEAD_BYTES {
+                return Err(HttpError::HeadTooLong);
+            }
+            if self.receive().await? == 0 {
+                let nothing_arrived = self.buffer.is_empty();
+                return Err(if nothing_arrived { HttpError::Closed } else { HttpError::Truncated });
+            }
+        }
+    }
+}
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -60,7 +60,7 @@
     };
     let read = async {
         let head = near.request_head().await.unwrap();
-        (near.body(&head).await.unwrap(), near.parses())
+        (near.body(&head).await.unwrap(), near.head_parses())
     };
     let ((), (body, parses)) = tokio::join!(write, read);
     assert_eq!(body.as_ref(), b"map of");
