--- a/src/config/flatten.rs
+++ b/src/config/flatten.rs
@@ -7,7 +7,7 @@
 use simd_json::tape::Value;
 
 use super::settings::SettingsError;
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 
 /// Reads nested settings.
 pub(super) fn read_settings(value: &Value) -> Result<Settings, SettingsError> {
--- a/src/config/platform_file.rs
+++ b/src/config/platform_file.rs
@@ -9,7 +9,7 @@
 use super::endpoint_list::EndpointListUpdate;
 use super::flatten::read_settings;
 use super::settings::SettingsError;
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 
 /// The file's field names, each under our term for it.
 mod fields {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -15,9 +15,7 @@
 
 use std::str::FromStr;
 
-use crate::scheduling::interface::{
-    DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant,
-};
+use crate::scheduling::{DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant};
 
 pub use key_values::SettingsError;
 pub use reconfigure::Reconfigured;
--- a/src/config/settings/reconfigure.rs
+++ b/src/config/settings/reconfigure.rs
@@ -1,7 +1,7 @@
 //! What follows when a deployment's settings change while the process runs.
 
 use super::keys;
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 
 /// The settings in force after a change.
 #[derive(Debug)]
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -9,7 +9,7 @@
 
 use crate::config::settings::Reconfigured;
 use crate::config::{Config, ConfigError, GossipAddresses};
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -2,7 +2,7 @@
 //!
 //! The simulator runs many schedulers in one process. It writes frames of binary records to standard input and reads
 //! one reply for each frame from standard output. This module turns records into the events of
-//! [`crate::scheduling::interface`] and actions into records; it decides nothing, has no clock and no random source.
+//! [`crate::scheduling`] and actions into records; it decides nothing, has no clock and no random source.
 //! The program is `src/bin/chutesaddle-simulator.rs`.
 //!
 //! - [`host`]: the schedulers of the process, and which of them an event is for. Start here.
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -7,8 +7,8 @@
 use super::frame::{read_frame, FrameFault, FrameReader};
 use super::records::incoming::{self, ListNotice};
 use super::records::{outgoing, IncomingRecord};
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{Action, Event, LoadReportField, Settings, WorkerInfo};
+use crate::scheduling::Dispatcher;
+use crate::scheduling::{Action, Event, LoadReportField, Settings, WorkerInfo};
 
 /// One scheduler.
 struct Instance {
@@ -154,7 +154,11 @@
                 ListNotice::DiscoveryFailed => Ok(Some(Event::DiscoveryFailed)),
                 ListNotice::Update { list, complete, cached } => {
                     let entries = self.worker_lists.get(&list).ok_or(RecordError::UndefinedList(list))?;
-                    Ok(Some(Event::WorkersListed { whole: complete, cached, entries: entries.clone() }))
+                    Ok(Some(Event::WorkersListed {
+                        complete_snapshot: complete,
+                        from_cache: cached,
+                        entries: entries.clone(),
+                    }))
                 }
             };
         }
--- a/src/simulator/records/incoming.rs
+++ b/src/simulator/records/incoming.rs
@@ -3,7 +3,7 @@
 use bytes::Buf;
 
 use super::IncomingRecord;
-use crate::scheduling::interface::{
+use crate::scheduling::{
     AttemptEnded, AttemptOutcome, Event, LoadReport, LoadReportField, Request, RequestId, WorkerId,
     WorkerInfo, WorkerState,
 };
@@ -111,7 +111,7 @@
     let _worker = worker_id(fields)?;
     match fields.try_get_u8()? {
         1 => Ok(Some(Event::AttemptStarted { request, attempt })),
-        2 => Ok(Some(Event::AttemptProgressed { request, attempt, share })),
+        2 => Ok(Some(Event::AttemptProgressed { request, attempt, fraction: share })),
         _ => Ok(None),
     }
 }
--- a/src/simulator/records/outgoing.rs
+++ b/src/simulator/records/outgoing.rs
@@ -3,7 +3,7 @@
 use bytes::BufMut;
 
 use super::OutgoingRecord;
-use crate::scheduling::interface::{Action, WorkerId};
+use crate::scheduling::{Action, WorkerId};
 
 /// Bytes of a length field.
 const LENGTH_BYTES: usize = 4;
@@ -23,10 +23,12 @@
             put_worker(fields, worker);
             fields.put_f64_le(0.0); // no time-out of its own: the request's deadline holds
         }),
-        Action::Reject { request, hold_off_s } => put_record(reply, OutgoingRecord::Reject, |fields| {
-            fields.put_u32_le(request.0);
-            fields.put_f64_le(hold_off_s);
-        }),
+        Action::Reject { request, retry_after_s: hold_off_s } => {
+            put_record(reply, OutgoingRecord::Reject, |fields| {
+                fields.put_u32_le(request.0);
+                fields.put_f64_le(hold_off_s);
+            })
+        }
         Action::Fail(request) => {
             put_record(reply, OutgoingRecord::Fail, |fields| fields.put_u32_le(request.0));
         }
--- a/src/simulator/records/tests.rs
+++ b/src/simulator/records/tests.rs
@@ -2,7 +2,7 @@
 
 use super::incoming::{self, ListNotice};
 use super::{outgoing, record_name, IncomingRecord};
-use crate::scheduling::interface::*;
+use crate::scheduling::*;
 use crate::simulator::error::RecordError;
 
 const WORKER: WorkerId = WorkerId(0x0a12_4a07_1f43);
@@ -68,7 +68,7 @@
     let started = Event::AttemptStarted { request: REQUEST, attempt: 0 };
     let notice = "c4913a5d 00 0000003f 0a124a07 431f";
     assert_eq!(event(IncomingRecord::AttemptNotice, &format!("{notice} 01")), Some(started));
-    let progressed = Event::AttemptProgressed { request: REQUEST, attempt: 0, share: 0.5 };
+    let progressed = Event::AttemptProgressed { request: REQUEST, attempt: 0, fraction: 0.5 };
     assert_eq!(event(IncomingRecord::AttemptNotice, &format!("{notice} 02")), Some(progressed));
     assert_eq!(event(IncomingRecord::AttemptNotice, &format!("{notice} 03")), None);
     let head = event(IncomingRecord::ResponseStarted, "c4913a5d 8b6ce7fba9f1823f 0a124a07 431f 02");
@@ -185,7 +185,7 @@
             Action::Dispatch { request: REQUEST, worker: WORKER },
             "01 12000000 c4913a5d 0a124a07 431f 0000000000000000",
         ),
-        (Action::Reject { request: REQUEST, hold_off_s: 0.5 }, "02 0c000000 c4913a5d 000000000000e03f"),
+        (Action::Reject { request: REQUEST, retry_after_s: 0.5 }, "02 0c000000 c4913a5d 000000000000e03f"),
         (Action::Fail(REQUEST), "03 04000000 c4913a5d"),
         (Action::Cancel { request: REQUEST, attempt: 1 }, "04 05000000 c4913a5d 01"),
         (Action::SetTimer { after_s: 0.5, tag: 0x4d }, "05 10000000 000000000000e03f 4d00000000000000"),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Lines of `path=value` to settings.
 
-use chutesaddle::scheduling::interface::*;
+use chutesaddle::scheduling::*;
 
 #[test]
 fn reads_the_settings_of_a_deployment() {
