--- a/src/server/workers/attempt/exchange.rs
+++ b/src/server/workers/attempt/exchange.rs
@@ -86,7 +86,7 @@
                 }
                 AttemptEnd::ResetWhileWaiting
             }
-            HttpError::Truncated | HttpError::TooSlow => AttemptEnd::ResetWhileWaiting,
+            HttpError::Truncated | HttpError::TimedOut => AttemptEnd::ResetWhileWaiting,
         }
     }
 
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -66,7 +66,7 @@
         HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong => {
             AttemptEnd::MalformedResponse
         }
-        HttpError::Closed | HttpError::Io(_) | HttpError::Truncated | HttpError::TooSlow => {
+        HttpError::Closed | HttpError::Io(_) | HttpError::Truncated | HttpError::TimedOut => {
             if worker.record_if_stale(connection) {
                 return AttemptEnd::StaleConnection;
             }
