--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -49,7 +49,7 @@
 #[case::survives_a_cut_after_it_was_accepted(
     "
     w send cut
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send call r3 m2 done
@@ -58,7 +58,7 @@
 #[case::completed_during_the_cut(
     "
     w send cut
-    s expect log no link to the site b
+    s expect log site link down site=b
     f1 send call r3 m2 done
     f1 expect 200
     r1 wait METRICS => svc.ok.publish-map=1
@@ -71,7 +71,7 @@
     w send back
     f1 send call r3 m2 done
     f1 expect 200
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     c3 expect 200 & drawn"
 )]
@@ -85,7 +85,7 @@
 #[case::other_process_dies(
     "
     t send KILL
-    s expect log no link to the site b
+    s expect log site link down site=b
     o9 wait METRICS => svc.tries.publish-map=0
     o3 wait METRICS => svc.gateway.out.up.b=0
     c4 send call r1 m1 done
@@ -156,7 +156,7 @@
     w send cut
     c3 send job r3 publish-map 8000 3
     o2 wait METRICS => svc.gateway.crossed=1
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.returned=1
     c4 send call r1 m1 done
@@ -173,7 +173,7 @@
     m2 expect r3
     m2 send 202
     f9 send call r3 m2 started
-    s expect log no link to the site b
+    s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send call r3 m2 done
@@ -206,7 +206,7 @@
 #[case::silent_peer_gets_nothing(
     "
     t send STOP
-    s expect log no link to the site b
+    s expect log site link down site=b
     c3 send job r3 publish-map 8000 3
     c4 send call r1 m1 done
     m1 expect r3
@@ -250,7 +250,7 @@
         &SITES,
         &format!(
             "{call}
-            t expect log is turned down: {why}
+            t expect log site link rejected error={why}
             {FULL}{FORWARDED}
             f1 send call r3 m2 done
             c3 expect 200 & drawn"
@@ -285,7 +285,7 @@
             s send HUP
             s expect log the configuration is taken up
             w send reset
-            t expect log is turned down
+            t expect log site link rejected
             o2 wait METRICS => svc.gateway.out.up.b=0
             c3 send job r3 publish-map 8000 3
             c4 send call r1 m1 done
@@ -354,7 +354,7 @@
             f1 send call r3 m2 done
             c3 expect 200 & drawn
             t expect exit 0
-            t2 expect log peers call at"
+            t2 expect log listening for site links"
         ),
     );
 }
