--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -133,7 +133,7 @@
     async fn begin(&self, number: usize) -> io::Result<()> {
         let node = &self.nodes[number];
         let process = Scheduler::start(&self.program, &node.file, None, &node.dir)?;
-        let address = process.address("serves on ").await?;
+        let address = process.address("serving clients address=").await?;
         if node.tells {
             self.wires.listens(number, Some(process.address("notes of other schedulers arrive at ").await?));
         }
--- a/crates/test-doubles/src/rig.rs
+++ b/crates/test-doubles/src/rig.rs
@@ -67,7 +67,7 @@
         loop {
             let found = self.log().iter().rev().find_map(|line| {
                 let (_, rest) = line.split_once(words)?;
-                rest.trim().parse().ok()
+                rest.split_whitespace().next()?.parse().ok()
             });
             if let Some(address) = found {
                 return Ok(address);
@@ -158,8 +158,8 @@
             None => None,
         };
         let scheduler = Scheduler::start(program, &file, operator.as_deref(), &dir)?;
-        let door = scheduler.address("operators call at ").await?;
-        let address = scheduler.address("serves on ").await?;
+        let door = scheduler.address("listening for operators address=").await?;
+        let address = scheduler.address("serving clients address=").await?;
         boxes.iter().for_each(|render| render.calls(address));
         Ok(Site { boxes, discovery, scheduler, door, client: Rc::new(Client::new(address)) })
     }
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -1,8 +1,10 @@
-//! The operators' door: a listener of its own, on which each connection carries one line and gets one answer.
-//! It has its own few descriptors, so that no crowd at the front can keep an operator out.
+//! The operator interface: STATUS, METRICS, PAUSE and RESUME over a listener of its own.
+//!
+//! Each connection carries one command line and gets one answer, `+OK` or `-ERR`; `docs/operating.md` lists them. The
+//! interface has descriptors of its own, so that no crowd of clients can keep an operator out. It asks for changes; whether
+//! they are made is decided in [`super::Lifecycle`], and the metrics are written in [`crate::server::metrics`].
 
 use std::collections::VecDeque;
-use std::fmt::Write as _;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,64 +18,68 @@
 use crate::server::lifecycle::{Lifecycle, LifecycleEvent, TransitionRejected};
 use crate::server::metrics::Counters;
 
-/// Callers served at a time. One more takes the place of the one that has been there for longest: an
-/// honest call is over within milliseconds.
-const CALLERS: usize = 6;
-/// The time that a caller has in all.
-const CALL: Duration = Duration::from_secs(2);
-/// The longest line.
-const LINE_BYTES: usize = 256;
+/// Connections served at a time. One more ends the oldest: an honest command is over within milliseconds.
+const MAX_CONNECTIONS: usize = 6;
+/// The time from the accept of a connection to its end.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest command line.
+const MAX_LINE_BYTES: usize = 256;
 /// Wait after a failed accept.
-const RETRY: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The door of one scheduler.
+/// The operator interface of one scheduler.
 pub struct OperatorInterface {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
 }
 
 impl OperatorInterface {
-    /// A door to this scheduler.
+    /// An interface to this process.
     pub fn new(lifecycle: Rc<Lifecycle>, counters: Rc<Counters>) -> Self {
         OperatorInterface { lifecycle, counters }
     }
 
-    /// Takes callers for good.
+    /// Accepts connections for good.
     pub async fn run(self, listener: TcpListener) {
-        let this = Rc::new(self);
-        let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(CALLERS);
+        let interface = Rc::new(self);
+        let mut connections = VecDeque::with_capacity(MAX_CONNECTIONS);
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => {
-                    let _ = stream.set_nodelay(true); // a slower answer is still a good one
-                    callers.retain(|caller| !caller.is_finished());
-                    if callers.len() >= CALLERS {
-                        let _ = callers.pop_front().inspect(AbortHandle::abort);
-                    }
-                    let this = Rc::clone(&this);
-                    let call = async move {
-                        // A caller that breaks off or is slow has itself to blame.
-                        let _ = timeout(CALL, this.call(stream)).await;
-                    };
-                    callers.push_back(spawn_local(call).abort_handle());
-                }
+                Ok((stream, _)) => Rc::clone(&interface).spawn_connection(stream, &mut connections),
                 Err(error) => {
-                    if this.counters.accept_failures.add().is_power_of_two() {
-                        tracing::warn!("cannot accept an operator's call: {error}");
+                    if interface.counters.accept_failures.add().is_power_of_two() {
+                        tracing::warn!(%error, "cannot accept an operator's connection");
                     }
-                    sleep(RETRY).await;
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    async fn call(&self, mut stream: TcpStream) -> io::Result<()> {
-        let mut line = BytesMut::with_capacity(LINE_BYTES);
+    /// Serves a connection in a task of its own, ending the oldest one if there are too many.
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream, connections: &mut VecDeque<AbortHandle>) {
+        // Without it the answer is only slower.
+        let _ = stream.set_nodelay(true);
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            if let Some(oldest) = connections.pop_front() {
+                oldest.abort();
+            }
+        }
+        let connection = spawn_local(async move {
+            // An operator that breaks off or is too slow sees it; the scheduler has nothing to do about it.
+            let _ = timeout(CONNECTION_TIMEOUT, self.serve(stream)).await;
+        });
+        connections.push_back(connection.abort_handle());
+    }
+
+    async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        let mut line = BytesMut::with_capacity(MAX_LINE_BYTES);
         let answer = loop {
             if let Some(end) = line.iter().position(|&byte| byte == b'\n') {
                 break self.answer(line[..end].trim_ascii_end());
             }
-            if line.len() >= LINE_BYTES {
+            if line.len() >= MAX_LINE_BYTES {
                 break "-ERR the line is too long\n".to_owned();
             }
             if stream.read_buf(&mut line).await? == 0 {
@@ -82,33 +88,41 @@
         };
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        // A close with input unread would be a reset, and could take the answer with it.
-        while stream.read(&mut [0; LINE_BYTES]).await? > 0 {}
+        // Closing with unread input would send a reset, which could overtake the answer.
+        while stream.read(&mut [0; MAX_LINE_BYTES]).await? > 0 {}
         Ok(())
     }
 
+    /// Does what a command line asks for, and returns the answer.
     fn answer(&self, line: &[u8]) -> String {
-        let changed = |result: Result<(), TransitionRejected>| match result {
-            Ok(()) => format!("+OK {}\n", self.lifecycle.phase().name()),
-            Err(error) => format!("-ERR {error}\n"),
-        };
         match line {
-            b"STATUS" if self.lifecycle.is_serving() => "+OK serving\n".to_owned(),
-            b"STATUS" => format!("-ERR {}\n", self.lifecycle.phase().name()),
-            b"METRICS" => {
-                let mut text = String::from("+OK\n");
-                let _ = writeln!(text, "{}.", self.counters.figures());
-                text
-            }
+            b"STATUS" => self.status(),
+            b"METRICS" => format!("+OK\n{}.\n", self.counters.figures()),
             b"PAUSE" => {
-                tracing::info!("an operator says PAUSE");
-                changed(self.lifecycle.handle(LifecycleEvent::PauseRequested))
+                tracing::info!("an operator sent PAUSE");
+                self.change(LifecycleEvent::PauseRequested)
             }
             b"RESUME" => {
-                tracing::info!("an operator says RESUME");
-                changed(self.lifecycle.handle(LifecycleEvent::ResumeRequested))
+                tracing::info!("an operator sent RESUME");
+                self.change(LifecycleEvent::ResumeRequested)
             }
             _ => "-ERR no such call: STATUS, METRICS, PAUSE, RESUME\n".to_owned(),
         }
     }
+
+    fn status(&self) -> String {
+        let phase = self.lifecycle.phase().name();
+        if self.lifecycle.is_serving() {
+            format!("+OK {phase}\n")
+        } else {
+            format!("-ERR {phase}\n")
+        }
+    }
+
+    fn change(&self, event: LifecycleEvent) -> String {
+        match self.lifecycle.handle(event) {
+            Ok(()) => format!("+OK {}\n", self.lifecycle.phase().name()),
+            Err(rejected @ TransitionRejected(_)) => format!("-ERR {rejected}\n"),
+        }
+    }
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,7 +1,12 @@
-//! Takes up the configuration file anew on SIGHUP, without cutting anything that is under way.
+//! SIGHUP: the configuration is read again and applied, without cutting anything that is in flight.
+//!
+//! Both files, the platform's and the operator's, are applied together or not at all. What can change in flight is passed on
+//! to its owner (engine, frontend, connector, discovery, gossip, site links); what cannot is named in the log. This module
+//! owns no rule of the configuration: [`crate::config`] reads the platform's file, the crate `operator-config` the
+//! operator's.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 use tokio::signal::unix::Signal;
@@ -15,12 +20,15 @@
 use crate::server::peers::site_links::{SiteLinkSettings, SiteLinks};
 use crate::server::workers::endpoint::WorkerConnector;
 
+/// Why a reload changes nothing.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
     Operator(#[from] operator::OperatorError),
+    #[error("the task that reads the files has failed: {0}")]
+    Task(#[from] tokio::task::JoinError),
 }
 
 /// The operator's own file.
@@ -29,115 +37,160 @@
 
     use crate::server::peers::site_links::{read_secret, GatewayError, SiteLinkSettings};
 
-    /// Why it cannot be used.
+    /// Why the operator's file cannot be used.
     #[derive(Debug, thiserror::Error)]
     pub enum OperatorError {
-        /// It cannot be read.
+        /// The file cannot be read.
         #[error("cannot read {0}: {1}")]
-        File(PathBuf, std::io::Error),
-        /// What is wrong with it, a mistake to a line.
+        File(PathBuf, #[source] std::io::Error),
+        /// The file has mistakes, written one to a line.
         #[error("{0}")]
         Mistakes(#[from] chutesaddle_operator_config::Mistakes),
-        /// What it names cannot be used.
+        /// The secret that the file names cannot be used.
         #[error(transparent)]
         Gateway(#[from] GatewayError),
     }
 
-    /// Reads it, with the secret that it names; `None` if it switches nothing on.
+    /// Reads the operator's file and the secret that it names; `None` if it switches nothing on.
     ///
     /// # Errors
-    /// Names the file, and each mistake with its place.
+    /// Names the file, and each mistake with its line and column.
     pub fn load(path: &Path) -> Result<Option<SiteLinkSettings>, OperatorError> {
-        let text = std::fs::read_to_string(path);
-        let text = text.map_err(|error| OperatorError::File(path.into(), error))?;
+        let text = std::fs::read_to_string(path).map_err(|error| OperatorError::File(path.into(), error))?;
         let file = chutesaddle_operator_config::read(&path.display().to_string(), &text)?;
         let Some(file) = file.gateway else { return Ok(None) };
         let secret = read_secret(&file.secret)?;
         Ok(Some(SiteLinkSettings { file, secret }))
     }
+
+    /// The same if there is a file; without one nothing is switched on.
+    ///
+    /// # Errors
+    /// As [`load`].
+    pub fn load_if_named(path: Option<&Path>) -> Result<Option<SiteLinkSettings>, OperatorError> {
+        match path {
+            Some(path) => load(path),
+            None => Ok(None),
+        }
+    }
+}
+
+/// Both files, read and found to be in order.
+struct Files {
+    config: Config,
+    site_links: Option<SiteLinkSettings>,
 }
 
-/// What follows a changed configuration, and what the running one says.
+impl Files {
+    fn load(config: &Path, operator: Option<&Path>) -> Result<Self, ReloadError> {
+        let site_links = operator::load_if_named(operator)?;
+        Ok(Files { config: Config::load(config)?, site_links })
+    }
+}
+
+/// Applies a changed configuration.
 pub struct Reload {
-    /// The file.
-    pub path: PathBuf,
+    /// The platform's file.
+    pub config_path: PathBuf,
     /// The operator's file, if there is one.
-    pub operator: Option<PathBuf>,
-    /// The links to other sites, if there are any.
-    pub sites: Option<Rc<SiteLinks>>,
-    /// What was told at the start and holds until the end.
+    pub operator_path: Option<PathBuf>,
+    /// The scheduler's name, which changes with a restart only.
     pub name: String,
-    /// The same.
+    /// The address for clients, which changes with a restart only.
     pub listen: SocketAddr,
-    /// The same.
-    pub ops: Option<SocketAddr>,
-    /// The settings that are in force.
+    /// The address for operators, which changes with a restart only.
+    pub operator_listen: Option<SocketAddr>,
+    /// The settings in force.
     pub settings: Settings,
-    /// Where discovery is followed.
+    /// The address of discovery, which the watch follows.
     pub discovery: watch::Sender<SocketAddr>,
-    /// The ways between the schedulers.
-    pub notes: watch::Sender<Option<GossipAddresses>>,
-    /// The front, the way to the engine, and the bounds on connections to members.
-    pub front: Rc<Frontend>,
-    /// See `front`.
+    /// The addresses for gossip, which its transport follows.
+    pub gossip: watch::Sender<Option<GossipAddresses>>,
+    /// The links to other sites, if there are any.
+    pub site_links: Option<Rc<SiteLinks>>,
+    /// Takes clients' requests by the settings.
+    pub frontend: Rc<Frontend>,
+    /// The queue to the engine.
     pub queue: EngineQueue,
-    /// See `front`.
-    pub dialer: Rc<WorkerConnector>,
-    /// See `front`.
-    pub shares: Rc<DescriptorBudgets>,
+    /// Connects to the workers with the time-outs of the settings.
+    pub connector: Rc<WorkerConnector>,
+    /// Bounds the descriptors.
+    pub budgets: Rc<DescriptorBudgets>,
 }
 
 impl Reload {
-    /// Reads the file anew at each signal. Signals that come while it is read count as one more.
+    /// Reads the files again at each signal. Signals that come while they are read count as one more.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
-            let (path, file) = (self.path.clone(), self.operator.clone());
-            // Reading and parsing may take long for this one thread, which has transactions to carry.
-            let load = move || -> Result<_, ReloadError> {
-                let said = file.as_deref().map(operator::load).transpose()?.flatten();
-                Ok((Config::load(&path)?, said))
-            };
-            // Both files or neither: half of a change is nothing that anybody asked for.
-            match tokio::task::spawn_blocking(load).await {
-                Ok(Ok((config, said))) => self.take(config, said),
-                Ok(Err(error)) => tracing::warn!("the configuration stays as it is: {error}"),
-                Err(error) => tracing::warn!("the configuration stays as it is: {error}"),
+            match self.read_files().await {
+                Ok(files) => self.apply(files),
+                Err(error) => tracing::warn!(%error, "the configuration is not reloaded"),
             }
         }
     }
 
-    /// Takes up what can change in flight. The list that the file knows is older than what discovery has
-    /// told since, and the seed is spent: both are passed over.
-    fn take(&mut self, config: Config, said: Option<SiteLinkSettings>) {
-        let (settings, mut kept) = self.settings.reconfigured(config.settings);
-        kept.extend((config.name != self.name).then_some("name"));
-        kept.extend((config.listen != self.listen).then_some("listen"));
-        kept.extend((config.operator_listen != self.ops).then_some("ops"));
-        match (&self.sites, said) {
-            (Some(sites), Some(said)) => kept.extend(sites.configure(said)),
-            (None, None) => {}
-            _ => kept.push("gateway"),
-        }
-        self.shares.configure(config.descriptor_limit);
-        self.dialer.configure(settings.connect_timeout_s, settings.connection_idle_timeout_s);
-        // The engine takes these up before any transaction that the front numbers by them.
+    /// Reads and parses on another thread: this one has requests to carry, and it may take long.
+    async fn read_files(&self) -> Result<Files, ReloadError> {
+        let config_path = self.config_path.clone();
+        let operator_path = self.operator_path.clone();
+        tokio::task::spawn_blocking(move || Files::load(&config_path, operator_path.as_deref())).await?
+    }
+
+    /// Applies what can change in flight. The endpoint list in the file is older than what discovery has sent
+    /// since, and the seed has been used: both are passed over.
+    fn apply(&mut self, files: Files) {
+        let Files { config, site_links } = files;
+        let fixed_keys = self.fixed_keys(&config);
+        let (settings, mut unchanged) = self.settings.reconfigured(config.settings);
+        unchanged.extend(fixed_keys);
+        unchanged.extend(self.configure_site_links(site_links));
+        self.budgets.configure(config.descriptor_limit);
+        self.connector.configure(settings.connect_timeout_s, settings.connection_idle_timeout_s);
+        // The engine takes these before any request that the frontend numbers by them.
         self.queue.send(EngineMessage::SettingsChanged(Box::new(settings.clone())));
-        self.front.configure(settings.clone());
+        self.frontend.configure(settings.clone());
         self.settings = settings;
-        self.discovery
-            .send_if_modified(|address| std::mem::replace(address, config.discovery) != config.discovery);
-        self.notes.send_if_modified(|notes| {
-            *notes != config.gossip && {
-                *notes = config.gossip;
-                true
-            }
-        });
-        match kept.as_slice() {
-            [] => tracing::info!("the configuration is taken up"),
-            kept => tracing::info!(
-                "the configuration is taken up, but these change with a restart only: {}",
-                kept.join(", ")
-            ),
+        send_if_changed(&self.discovery, config.discovery);
+        send_if_changed(&self.gossip, config.gossip);
+        if unchanged.is_empty() {
+            tracing::info!("the configuration is reloaded");
+        } else {
+            let keys = unchanged.join(", ");
+            tracing::info!(%keys, "the configuration is reloaded, but some keys change with a restart only");
         }
     }
+
+    /// The keys of the process itself that differ from those it was started with.
+    fn fixed_keys(&self, config: &Config) -> Vec<&'static str> {
+        let mut keys = Vec::new();
+        if config.name != self.name {
+            keys.push("name");
+        }
+        if config.listen != self.listen {
+            keys.push("listen");
+        }
+        if config.operator_listen != self.operator_listen {
+            keys.push("ops");
+        }
+        keys
+    }
+
+    /// Passes the operator's file on to the site links, and returns the keys that change with a restart only. The
+    /// gateway as a whole is switched on or off with a restart.
+    fn configure_site_links(&self, settings: Option<SiteLinkSettings>) -> Vec<&'static str> {
+        match (&self.site_links, settings) {
+            (Some(site_links), Some(settings)) => site_links.configure(settings),
+            (None, None) => Vec::new(),
+            (Some(_), None) | (None, Some(_)) => vec!["gateway"],
+        }
+    }
+}
+
+/// Sends a value unless it is the current one: whoever follows it begins anew with each.
+fn send_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
+    sender.send_if_modified(|current| {
+        let changed = *current != value;
+        *current = value;
+        changed
+    });
 }
--- /dev/null
+++ b/src/server/metrics/gateway_metrics.rs
@@ -0,0 +1,90 @@
+//! The metrics of the gateway between sites. The engine sets them; operators see them if there is a gateway.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::fmt;
+use std::time::Duration;
+
+/// The state of a link to another site.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LinkFigures {
+    /// It is up.
+    pub up: bool,
+    /// The measured round-trip time.
+    pub round_trip: Duration,
+    /// Slots that it may carry in all, of a link on which requests are forwarded.
+    pub room: u64,
+}
+
+/// Names a link: which site, and who dialled.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LinkKey {
+    site: String,
+    /// This site dialled, and forwards requests on the link; else it receives them.
+    dialled: bool,
+}
+
+/// The metrics of the gateway.
+#[derive(Default)]
+pub struct GatewayFigures {
+    enabled: Cell<bool>,
+    /// The counters of the gateway's decisions.
+    pub all: Cell<chutesaddle_gateway::Figures>,
+    /// Whether this site grants capacity to others, or forwards requests to them.
+    pub stance: Cell<chutesaddle_gateway::Stance>,
+    links: RefCell<BTreeMap<LinkKey, LinkFigures>>,
+}
+
+impl GatewayFigures {
+    /// There is a gateway: its metrics are shown.
+    pub fn enable(&self) {
+        self.enabled.set(true);
+    }
+
+    pub(super) fn is_enabled(&self) -> bool {
+        self.enabled.get()
+    }
+
+    /// Whether no request of this site is at another one, and none of another one is here.
+    pub fn is_idle(&self) -> bool {
+        let totals = self.all.get();
+        totals.open_out == 0 && totals.open_in == 0
+    }
+
+    /// Changes the state of a link.
+    pub fn link(&self, site: &str, dialled: bool, change: impl FnOnce(&mut LinkFigures)) {
+        let key = LinkKey { site: site.to_owned(), dialled };
+        change(self.links.borrow_mut().entry(key).or_default());
+    }
+
+    /// Writes the lines of the gateway, but for those of the classes. The names are the operators'; the glossary has the
+    /// terms for them: crossed is forwarded, room is capacity, stance is mode.
+    pub(super) fn write_lines(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let totals = self.all.get();
+        writeln!(f, "svc.gateway.crossed={}", totals.crossed)?;
+        writeln!(f, "svc.gateway.returned={}", totals.returned)?;
+        writeln!(f, "svc.gateway.resumed={}", totals.resumed)?;
+        writeln!(f, "svc.gateway.unknown={}", totals.unknown)?;
+        writeln!(f, "svc.gateway.taken={}", totals.taken)?;
+        writeln!(f, "svc.gateway.given_back={}", totals.given_back)?;
+        writeln!(f, "svc.gateway.duplicates_dropped={}", totals.duplicates)?;
+        writeln!(f, "svc.gateway.open_out={}", totals.open_out)?;
+        writeln!(f, "svc.gateway.open_in={}", totals.open_in)?;
+        writeln!(f, "svc.gateway.room_granted={}", totals.room)?;
+        writeln!(f, "svc.gateway.stance={}", format!("{:?}", self.stance.get()).to_lowercase())?;
+        for (key, link) in self.links.borrow().iter() {
+            write_link(f, key, link)?;
+        }
+        Ok(())
+    }
+}
+
+fn write_link(f: &mut fmt::Formatter<'_>, key: &LinkKey, link: &LinkFigures) -> fmt::Result {
+    let LinkKey { site, dialled } = key;
+    if !dialled {
+        return writeln!(f, "svc.gateway.in.up.{site}={}", u8::from(link.up));
+    }
+    writeln!(f, "svc.gateway.out.up.{site}={}", u8::from(link.up))?;
+    writeln!(f, "svc.gateway.out.transit_us.{site}={}", link.round_trip.as_micros() / 2)?;
+    writeln!(f, "svc.gateway.out.limit.{site}={}", link.room)
+}
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -96,7 +96,7 @@
     "
     s send operator peer \"b\" { => peer \"c\"; /-peer \"b\" {
     s send HUP
-    s expect log the configuration is taken up
+    s expect log the configuration is reloaded
     f1 send call r3 m2 done
     c3 expect 200 & drawn
     o3 wait METRICS => svc.gateway.out.up.b=0
@@ -105,7 +105,7 @@
 #[case::its_own_process_is_stopped(
     "
     s send TERM
-    s expect log stopping, 3 requests
+    s expect log stopping waiting_requests=3
     f1 send call r3 m2 done
     c3 expect 200 & drawn
     c4 send call r1 m1 done
@@ -266,7 +266,7 @@
             "{FULL}
             s send operator secret-file \" => secret-file \"/nowhere
             s send HUP
-            s expect log the configuration stays as it is
+            s expect log the configuration is not reloaded
             {TAKEN}
             f1 send call r3 m2 done
             c3 expect 200 & drawn"
@@ -283,7 +283,7 @@
             "{FULL}
             s send operator .secret\" => .kdl\"
             s send HUP
-            s expect log the configuration is taken up
+            s expect log the configuration is reloaded
             w send reset
             t expect log is turned down
             o2 wait METRICS => svc.gateway.out.up.b=0
@@ -304,7 +304,7 @@
             "{FULL}{TAKEN}
             t send operator peer \"a\" => peer \"c\"
             t send HUP
-            t expect log the configuration is taken up
+            t expect log the configuration is reloaded
             o3 wait METRICS => svc.gateway.out.limit.b=1
             f1 send call r3 m2 done
             c3 expect 200 & drawn
--- a/tests/server/gossip.rs
+++ b/tests/server/gossip.rs
@@ -41,7 +41,7 @@
         s send config "peer_messages":true,"may_cancel" => "second_copies":false,"may_cancel"
         s send config "fields":["queue","x0"] => "fields":["eps"]
         s send HUP
-        s expect log is taken up
+        s expect log the configuration is reloaded
         c2 send call r1 m1 done
         c2 expect 200
         c1 expect 200 & drawn
--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -174,7 +174,7 @@
             c1 send job r1
             m1 expect r1
             {UPGRADE}
-            s2 expect log serves on
+            s2 expect log serving clients
             s3 send START
             s2 expect log a successor takes over
             d expect new GET /v1/endpoints
@@ -242,7 +242,7 @@
         "s send KILL
         s expect exit killed
         s2 send START
-        s2 expect log serves on
+        s2 expect log serving clients
         p1 wait STATUS => +OK serving",
     );
 }
--- a/tests/server/lifecycle.rs
+++ b/tests/server/lifecycle.rs
@@ -10,7 +10,7 @@
 #[case::with_nothing_to_do(
     "s send TERM
     s expect exit 0
-    s expect log stopped; the counters:
+    s expect log stopped counters=
     s expect log transactions_taken 0"
 )]
 #[case::what_was_taken_is_answered_first(
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -47,7 +47,7 @@
             m1 send 202
             {change}
             s send HUP
-            s expect log the configuration stays as it is
+            s expect log the configuration is not reloaded
             s expect log {why}
             c2 send call r1 m1 done
             c1 expect 200
@@ -61,7 +61,7 @@
 #[case::a_setting(
     "s send config \"max_retry_after_s\":2 => \"max_retry_after_s\":1
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     m1 close door
     c1 send job r1 draw-map 900
     c1 expect 503 & Retry-After: 1.000"
@@ -71,7 +71,7 @@
     m1 expect r1
     s send config \"grades\":[{ => \"grades\":[{\"name\":\"paint-map\",\"effect\":\"repeatable\"},{
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     c2 send job r2 paint-map
     m1 expect new r2
     c3 send call r2 m1 done
@@ -84,7 +84,7 @@
 #[case::fewer_descriptors(
     "s send config \"sockets\":1024 => \"sockets\":14
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     c1 send job r1
     c2 send job r2
     c3 send job r3
@@ -99,7 +99,7 @@
     "s send config \"draw-map\" => \"sketch\"
     s send config \"listen\":\"127.0.0.1:0\" => \"listen\":\"127.0.0.1:1\"
     s send HUP
-    s expect log these change with a restart only: grades, listen
+    s expect log some keys change with a restart only keys=grades, listen
     c1 send job r1
     m1 expect r1"
 )]
--- a/tests/server/scenario.rs
+++ b/tests/server/scenario.rs
@@ -174,11 +174,11 @@
         if let Some(between) = &between {
             let other = Scheduler::start(&format!("{name}.b.json"), world.descriptors);
             between.lead(other.logged("peers call at "));
-            other.logged("serves on ");
+            other.logged("serving clients address=");
             processes.insert("t".to_owned(), other);
         }
         let scheduler = Scheduler::start(&name, world.descriptors);
-        let address = scheduler.logged("serves on ");
+        let address = scheduler.logged("serving clients address=");
         let (wires, silent) = (HashMap::new(), Vec::new());
         processes.insert("s".to_owned(), scheduler);
         let descriptors = world.descriptors;
@@ -351,7 +351,7 @@
         if fresh || !self.wires.contains_key(actor) {
             let address = match actor.as_bytes()[0] {
                 _ if actor.starts_with(OPERATORS) => self.door(actor)?,
-                b'f' => self.process("t")?.logged("serves on "),
+                b'f' => self.process("t")?.logged("serving clients address="),
                 b'g' => self.process("t")?.logged("peers call at "),
                 _ => self.address.clone(),
             };
@@ -399,7 +399,7 @@
             b'u' => "t2",
             _ => "s3",
         };
-        Ok(self.process(process)?.logged("operators call at "))
+        Ok(self.process(process)?.logged("listening for operators address="))
     }
 
     fn addressed(&self, text: &str) -> String {
@@ -545,7 +545,11 @@
 
     /// The rest of the line that it has written, or writes, with these words.
     fn logged(&self, before: &str) -> String {
-        let told = || Some(self.log.lock().unwrap().split_once(before)?.1.split_once('\n')?.0.to_owned());
+        let told = || {
+            let log = self.log.lock().unwrap();
+            let (line, _) = log.split_once(before)?.1.split_once('\n')?;
+            line.split(' ').next().map(str::to_owned)
+        };
         until(told).expect("the scheduler starts")
     }
 }
