--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -21,11 +21,9 @@
 use site_forwarding::{Crossings, Travel};
 
 use crate::config::endpoint_list::EndpointListUpdate;
-use crate::scheduling::dispatcher::Dispatcher;
-use crate::scheduling::interface::{
-    Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId,
-};
-use crate::scheduling::state::NOTE;
+use crate::scheduling::Dispatcher;
+use crate::scheduling::Timer;
+use crate::scheduling::{Action, AttemptEnded, Event, LoadReport, Request, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::lifecycle::handover_frames::HandoverFrame;
@@ -37,8 +35,8 @@
 };
 use crate::server::metrics::{Counters, Gauge, Gauged};
 use crate::server::peers::gossip_transport::GossipSender;
-use crate::server::workers::attempt::AttemptTask;
-use crate::server::workers::capacity_probe::probe;
+use crate::server::workers::attempt::{AttemptResult, AttemptTask};
+use crate::server::workers::capacity_probe::{probe, ProbeResult};
 use crate::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
 
 /// Kept connections are looked over this often.
@@ -232,8 +230,8 @@
 
     /// Closes connections that stood idle and forgets the names of members that are gone for good.
     fn keep_house(&mut self) {
-        self.members.values().for_each(|member| member.prune());
-        self.dialer.relax();
+        self.members.values().for_each(|member| member.close_idle_connections());
+        self.dialer.recover_trusted_idle();
         if self.numbers.len() > self.members.len() {
             let attempts = self.live.values().flat_map(|live| &live.attempts);
             let used: HashSet<WorkerId> = attempts.map(|attempt| attempt.worker).collect();
@@ -286,7 +284,7 @@
                 self.dispatcher.configure((*settings).clone());
                 self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
                 self.settings = *settings;
-                self.tell(Event::TimerExpired(NOTE)); // they may have come to allow notes
+                self.tell(Event::TimerExpired(Timer::Gossip.tag())); // they may have come to allow notes
             }
         }
     }
@@ -407,7 +405,7 @@
                 self.tell(Event::AttemptStarted { request, attempt });
             }
             (Some((request, attempt, true)), CallbackEvent::Progress(share)) => {
-                self.tell(Event::AttemptProgressed { request, attempt, share });
+                self.tell(Event::AttemptProgressed { request, attempt, fraction: share });
             }
             (Some((request, attempt, true)), CallbackEvent::Ended(end)) => {
                 self.ended(request, attempt, end, load)
@@ -534,7 +532,7 @@
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch { request, worker } => return self.route(request, worker),
-            Action::Reject { request, hold_off_s } => {
+            Action::Reject { request, retry_after_s: hold_off_s } => {
                 if !self.crosses_instead(request, hold_off_s) {
                     self.answer(request, self.rejection(request, hold_off_s));
                     self.forget(request);
@@ -625,23 +623,18 @@
         let (member, queue) = (Rc::clone(member), self.queue.clone());
         let reports = !self.settings.load_report_names.is_empty();
         tokio::task::spawn_local(async move {
-            let (end, report) = probe(member, reports).await;
-            queue.send(EngineMessage::ProbeEnded(worker, end, report));
+            let ProbeResult { end, load_report } = probe(member, reports).await;
+            queue.send(EngineMessage::ProbeEnded(worker, end, load_report));
         });
         None
     }
 
     /// Runs a flow, and takes up its end.
-    fn spawn(
-        &self,
-        request: RequestId,
-        attempt: usize,
-        flow: impl Future<Output = (AttemptEnd, Option<String>)> + 'static,
-    ) {
+    fn spawn(&self, request: RequestId, attempt: usize, flow: impl Future<Output = AttemptResult> + 'static) {
         let queue = self.queue.clone();
         tokio::task::spawn_local(async move {
-            let (end, report) = flow.await;
-            queue.send(EngineMessage::AttemptEnded(request, attempt, end, report));
+            let AttemptResult { end, load_report } = flow.await;
+            queue.send(EngineMessage::AttemptEnded(request, attempt, end, load_report));
         });
     }
 
--- a/src/server/lifecycle/handover_frames/frame.rs
+++ b/src/server/lifecycle/handover_frames/frame.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::scheduling::interface::{LearnedState, WorkerId};
+use crate::scheduling::{LearnedState, WorkerId};
 use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::messages::{MigratedRequest, WorkerCallback};
 
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -12,8 +12,9 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
+use crate::config::settings::Reconfigured;
 use crate::config::{Config, ConfigError, GossipAddresses};
-use crate::scheduling::interface::Settings;
+use crate::scheduling::Settings;
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
@@ -141,7 +142,8 @@
     fn apply(&mut self, files: Files) {
         let Files { config, site_links } = files;
         let fixed_keys = self.fixed_keys(&config);
-        let (settings, mut unchanged) = self.settings.reconfigured(config.settings);
+        let Reconfigured { settings, lists_with_kept_names: mut unchanged } =
+            self.settings.reconfigured(config.settings);
         unchanged.extend(fixed_keys);
         unchanged.extend(self.configure_site_links(site_links));
         self.budgets.configure(config.descriptor_limit);
--- a/src/server/metrics/gateway_metrics.rs
+++ b/src/server/metrics/gateway_metrics.rs
@@ -5,6 +5,8 @@
 use std::fmt;
 use std::time::Duration;
 
+use chutesaddle_gateway::{LoadState, Statistics};
+
 /// The state of a link to another site.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFigures {
@@ -29,9 +31,9 @@
 pub struct GatewayFigures {
     enabled: Cell<bool>,
     /// The counters of the gateway's decisions.
-    pub all: Cell<chutesaddle_gateway::Figures>,
+    pub all: Cell<Statistics>,
     /// Whether this site grants capacity to others, or forwards requests to them.
-    pub stance: Cell<chutesaddle_gateway::Stance>,
+    pub stance: Cell<LoadState>,
     links: RefCell<BTreeMap<LinkKey, LinkFigures>>,
 }
 
@@ -48,7 +50,7 @@
     /// Whether no request of this site is at another one, and none of another one is here.
     pub fn is_idle(&self) -> bool {
         let totals = self.all.get();
-        totals.open_out == 0 && totals.open_in == 0
+        totals.outbound_open == 0 && totals.inbound_open == 0
     }
 
     /// Changes the state of a link.
@@ -61,17 +63,17 @@
     /// terms for them: crossed is forwarded, room is capacity, stance is mode.
     pub(super) fn write_lines(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let totals = self.all.get();
-        writeln!(f, "svc.gateway.crossed={}", totals.crossed)?;
+        writeln!(f, "svc.gateway.crossed={}", totals.forwarded)?;
         writeln!(f, "svc.gateway.returned={}", totals.returned)?;
         writeln!(f, "svc.gateway.resumed={}", totals.resumed)?;
         writeln!(f, "svc.gateway.unknown={}", totals.unknown)?;
-        writeln!(f, "svc.gateway.taken={}", totals.taken)?;
-        writeln!(f, "svc.gateway.given_back={}", totals.given_back)?;
+        writeln!(f, "svc.gateway.taken={}", totals.accepted)?;
+        writeln!(f, "svc.gateway.given_back={}", totals.returned_to_peers)?;
         writeln!(f, "svc.gateway.duplicates_dropped={}", totals.duplicates)?;
-        writeln!(f, "svc.gateway.open_out={}", totals.open_out)?;
-        writeln!(f, "svc.gateway.open_in={}", totals.open_in)?;
-        writeln!(f, "svc.gateway.room_granted={}", totals.room)?;
-        writeln!(f, "svc.gateway.stance={}", format!("{:?}", self.stance.get()).to_lowercase())?;
+        writeln!(f, "svc.gateway.open_out={}", totals.outbound_open)?;
+        writeln!(f, "svc.gateway.open_in={}", totals.inbound_open)?;
+        writeln!(f, "svc.gateway.room_granted={}", totals.unused_grants)?;
+        writeln!(f, "svc.gateway.stance={}", load_state_name(self.stance.get()))?;
         for (key, link) in self.links.borrow().iter() {
             write_link(f, key, link)?;
         }
@@ -79,6 +81,15 @@
     }
 }
 
+/// The load state in the operators' words.
+fn load_state_name(state: LoadState) -> &'static str {
+    match state {
+        LoadState::Neutral => "neutral",
+        LoadState::Open => "open",
+        LoadState::Shedding => "shedding",
+    }
+}
+
 fn write_link(f: &mut fmt::Formatter<'_>, key: &LinkKey, link: &LinkFigures) -> fmt::Result {
     let LinkKey { site, dialled } = key;
     if !dialled {
