--- /dev/null
+++ b/tests/server/scenario/operator.rs
@@ -0,0 +1,38 @@
+//! Operators: their commands, and the operator's file.
+
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+/// The first letters of actors that are operators: their answers reach to the end of the connection.
+pub(super) const OPERATORS: [char; 5] = ['o', 'p', 'q', 'r', 'u'];
+
+/// The process whose operators begin with this letter.
+pub(super) fn process_of(operator: &str) -> &'static str {
+    match operator.as_bytes()[0] {
+        b'o' => "s",
+        b'p' => "s2",
+        b'r' => "t",
+        b'u' => "t2",
+        _ => "s3",
+    }
+}
+
+/// Sends a command, and returns the answer.
+pub(super) fn command(address: &str, line: &str) -> Option<String> {
+    let mut stream = TcpStream::connect(address).ok()?;
+    stream.write_all(format!("{line}\n").as_bytes()).ok()?;
+    let mut text = String::new();
+    stream.read_to_string(&mut text).ok()?;
+    Some(text)
+}
+
+/// Writes an operator's file beside a configuration: requests are forwarded as soon as no slot is free.
+pub(super) fn write_file(config: &str, site: &str, peer: &str, connect: &str) {
+    let secret = format!("{config}.secret");
+    std::fs::write(&secret, "a secret for two sites\n").unwrap();
+    let text = format!(
+        "gateway {{\n site {site:?}\n listen \"127.0.0.1:0\"\n secret-file {secret:?}\n peer {peer:?} {{ connect \"{connect}\"; }}
+ room {{ settle \"20ms\"; reserve \"0%\"; }}\n crossing {{ lead \"10s\"; starve \"10ms\"; }}\n}}\n"
+    );
+    std::fs::write(format!("{config}.kdl"), text).unwrap();
+}
