--- a/src/bin/chutesaddle-simulator.rs
+++ b/src/bin/chutesaddle-simulator.rs
@@ -1,4 +1,5 @@
-//! Hosts many independent dispatchers on the simulator's wire: standard input to standard output.
+//! The program `chutesaddle-simulator`: many independent dispatchers, driven over standard input and output.
+//! The wire is in [`chutesaddle::simulator`].
 
 use std::io;
 use std::process::ExitCode;
--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -1,4 +1,6 @@
 //! The log on standard error: text for people, or one JSON object to a line.
+//!
+//! Each line has a fixed message and fields; `docs/on-call.md` lists them all. This file only decides how they look.
 
 use std::fmt;
 
@@ -10,16 +12,17 @@
 
 use super::Form;
 
-/// Lines as on-call staff know them: the program, what happened, and fields as `name=value`.
-struct Lines;
+/// The text form: the program, the message, and fields as `name=value`.
+struct TextFormat;
 
+/// A line as it is collected.
 #[derive(Default)]
-struct Parts {
+struct LineParts {
     message: String,
     fields: String,
 }
 
-impl Visit for Parts {
+impl Visit for LineParts {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
         // Writing to a string cannot fail.
@@ -30,15 +33,15 @@
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut parts = Parts::default();
+        let mut parts = LineParts::default();
         event.record(&mut parts);
-        // The usual two levels are told apart by what the lines say; the rest is for a closer look.
+        // Information and warnings are told apart by their messages; the other levels are marked.
         let level = match *event.metadata().level() {
             Level::ERROR => "error: ",
             Level::DEBUG => "debug: ",
@@ -49,11 +52,11 @@
     }
 }
 
-/// Starts the log.
+/// Starts the log, with lines of this level and above.
 pub(super) fn start(form: Form, level: Level) {
     let log = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false);
     match form {
-        Form::Text => log.event_format(Lines).init(),
+        Form::Text => log.event_format(TextFormat).init(),
         Form::Json => log.json().flatten_event(true).with_target(false).init(),
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,12 @@
-//! The command line: what can be asked for, and what follows. Each subcommand is a file.
+//! The command line: arguments, subcommands and exit codes. Each subcommand is a file.
+//!
+//! | module | subcommand |
+//! | --- | --- |
+//! | `serve` | serve clients: start-up, signals and exit |
+//! | `check` | look for mistakes in configuration files |
+//! | `demo` | run one site on loopback |
+//! | `trace` | read trace files |
+//! | `logs` | (none) the form of the log on standard error |
 
 mod check;
 mod demo;
@@ -6,6 +14,9 @@
 mod serve;
 mod trace;
 
+#[cfg(test)]
+mod tests;
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -47,9 +58,9 @@
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Play one site on loopback with stand-in boxes and clients, and show what became of their jobs
+    /// Run one site on loopback with test workers and clients, and show what became of their requests
     Demo,
-    /// Look into trace files: what schedulers took, decided, sent and answered
+    /// Read trace files: what schedulers received, decided, sent and answered
     #[command(subcommand)]
     Trace(trace::Tool),
     /// Write a completion script for a shell to standard output
@@ -59,7 +70,7 @@
     },
 }
 
-/// How to serve. What the platform says in the environment counts where no option is given.
+/// How to serve. The platform's environment variables count where no option is given.
 #[derive(clap::Args, Clone)]
 struct Serve {
     /// The platform's configuration, in JSON
@@ -68,7 +79,7 @@
     /// The operator's own settings, in KDL; without it all that they switch on is off
     #[arg(long, env = "NODE_OPERATOR", value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Where operators call; the configuration's `ops` goes before it
+    /// The address of the operator interface; the configuration's `ops` goes before it
     #[arg(long, env = "NODE_OPS", value_name = "ADDRESS", value_parser = address)]
     ops: Option<SocketAddr>,
     /// The form of the log on standard error
@@ -91,7 +102,7 @@
     text.parse().map_err(|error| format!("no address: {error}"))
 }
 
-/// Does what the command line asks for.
+/// Runs the subcommand that the command line names; without one it serves.
 pub(crate) fn run() -> ExitCode {
     let arguments = Arguments::parse();
     match arguments.command {
@@ -106,13 +117,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_command_line_is_sound() {
-        Arguments::command().debug_assert();
-    }
-}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler on real sockets, and what else its command line offers.
+//! The program `chutesaddle`: the scheduler on sockets, and the other subcommands. See `src/cli/`.
 
 mod cli;
 
