--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn check_looks_at_every_file_and_tells_each_mistake_with_its_place() {
+fn check_reads_every_file_and_reports_each_mistake_with_its_place() {
     let good = file("good.kdl", "gateway { site \"a\"; secret-file \"s\"; peer \"b\"; }\n");
     let bad = file("bad.kdl", "gateway {\n  sight \"a\"\n  secret-file \"s\"\n  peer 7\n}\n");
     let output = chutesaddle(&["check", &bad, "/nowhere.kdl", &good]);
--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -1,10 +1,10 @@
-//! The upgrade: a second process takes over from the one that serves.
+//! The upgrade: a successor takes over from the process that serves.
 
 use rstest::rstest;
 
 use crate::scenario::{play, PLAIN};
 
-/// Discovery has spoken.
+/// An endpoint list has come.
 const KNOWN: &str = "
     d expect GET /v1/endpoints
     d send 200 Transfer-Encoding: chunked
@@ -12,7 +12,7 @@
     s wait pool_updates 1
 ";
 
-/// Starts the second process and waits for its yes, which it gives when its own discovery has spoken.
+/// Starts the successor and waits until it serves, which it does once its own endpoint list has come.
 const UPGRADE: &str = "
     s2 send START
     s expect log a successor takes over
@@ -26,7 +26,7 @@
 ";
 
 #[rstest]
-#[case::idle_connections_go_on(
+#[case::idle_connections_are_handed_on(
     "
     c1 send job r1
     m1 expect r1
@@ -45,7 +45,7 @@
     c1 expect 200 & drawn
     p9 wait METRICS => svc.ok.draw-map=1"
 )]
-#[case::jobs_outlive_the_process_that_took_them(
+#[case::requests_are_migrated_with_their_clients(
     "
     c1 send job r1
     m1 expect r1
@@ -68,7 +68,7 @@
     c4 send call r2 m1 done
     c2 expect 200 & drawn"
 )]
-#[case::the_client_of_a_moved_job_may_leave(
+#[case::the_client_of_a_migrated_request_may_leave(
     "
     c1 send job r1
     m1 expect r1
@@ -79,7 +79,7 @@
     c1 close
     m1 expect new DELETE /jobs/r1"
 )]
-#[case::a_job_in_the_act_of_being_sent_is_moved_once_it_is_taken(
+#[case::a_request_being_sent_is_migrated_once_the_worker_has_accepted_it(
     "
     c1 send job r1
     m1 expect r1",
@@ -91,7 +91,7 @@
     c3 send call r1 m1 done
     c1 expect drawn"
 )]
-#[case::attempts_of_a_moved_job_stay_counted(
+#[case::attempts_of_a_migrated_request_stay_counted(
     "
     c1 send job r1
     m1 expect r1
@@ -108,7 +108,7 @@
     c1 expect HTTP/1.1 503
     p3 wait METRICS => svc.tries.draw-map=1"
 )]
-#[case::an_id_open_in_the_old_one_is_in_use(
+#[case::an_id_open_at_the_predecessor_is_in_use(
     "
     c1 send job r1
     m1 expect r1
@@ -122,7 +122,7 @@
     c4 send job r1
     m1 expect new r1"
 )]
-#[case::silent_connections_are_served_by_the_new_one(
+#[case::silent_connections_are_served_by_the_successor(
     "
     c1 send raw ",
     "
@@ -131,7 +131,7 @@
     c1 send GET /ready HTTP/1.1||
     c1 expect HTTP/1.1 200"
 )]
-#[case::the_old_one_goes_on_if_the_new_one_dies(
+#[case::the_predecessor_serves_again_if_the_successor_dies(
     "",
     "
     s2 send KILL
@@ -146,7 +146,7 @@
     d expect new GET /v1/endpoints
     p3 wait STATUS => +OK serving"
 )]
-#[case::what_holds_for_the_old_one_is_not_the_operators_to_change(
+#[case::operators_cannot_change_a_replaced_process(
     "",
     "
     o2 send raw PAUSE\\n
@@ -160,8 +160,8 @@
     play(&PLAIN, &format!("{KNOWN}{before}{UPGRADE}{after}"));
 }
 
-/// The second upgrade begins while the process before is still finishing: a job that cannot be moved yet, as
-/// its member has not answered, goes from the first process to the third.
+/// The second upgrade begins while the first predecessor is still finishing: a request that cannot be migrated yet, as
+/// its worker has not answered, goes from the first process to the third.
 #[test]
 fn a_second_upgrade_goes_like_the_first() {
     play(
@@ -199,10 +199,10 @@
     );
 }
 
-/// It knows no more of this one's frames than those that last: idle connections are closed, and jobs are finished
-/// here, also by call-backs that come in there.
+/// It knows only the stable frames: idle connections are closed, and requests are finished here, also by callbacks
+/// that come in there.
 #[test]
-fn a_process_of_another_build_takes_over_and_no_job_is_lost() {
+fn a_process_of_another_build_takes_over_and_no_request_is_lost() {
     play(
         &PLAIN,
         &format!(
--- a/tests/server/lifecycle.rs
+++ b/tests/server/lifecycle.rs
@@ -13,7 +13,7 @@
     s expect log stopped counters=
     s expect log transactions_taken 0"
 )]
-#[case::what_was_taken_is_answered_first(
+#[case::requests_in_flight_are_answered_first(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -25,7 +25,7 @@
     s expect exit 0
     s expect log answered_served 1"
 )]
-#[case::idle_connections_are_closed_and_call_backs_still_taken(
+#[case::idle_connections_are_closed_and_callbacks_still_accepted(
     "c1 send job r1
     m1 expect r1
     c2 send GET /ready HTTP/1.1||
@@ -42,7 +42,7 @@
     s expect exit 0
     s expect log rejected_at_door 1"
 )]
-#[case::a_message_that_began_in_time_is_taken_though_it_ends_late(
+#[case::a_message_that_began_in_time_is_admitted_though_it_ends_late(
     "c1 send raw POST /draw-map/a HTTP/1.1\\r\\nX-Request-Id: r1\\r\\nX-Tenant: acme\\r\\n
     c2 send GET /ready HTTP/1.1||
     c2 expect 200
@@ -71,14 +71,14 @@
     c1 expect 200 & drawn
     s expect exit 0"
 )]
-fn it_stops_in_order(#[case] scenario: &str) {
+fn stops_gracefully(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
 
 #[rstest]
 #[case::no_file("/nonexistent", "cannot read /nonexistent")]
 #[case::no_json("Cargo.toml", "not JSON")]
-fn it_says_why_it_cannot_start(#[case] path: &str, #[case] why: &str) {
+fn logs_why_it_cannot_start(#[case] path: &str, #[case] why: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_chutesaddle")).env("NODE_CONFIG", path).output().unwrap();
     assert!(!output.status.success());
     let log = String::from_utf8_lossy(&output.stderr);
--- a/tests/server/operator_interface.rs
+++ b/tests/server/operator_interface.rs
@@ -1,4 +1,4 @@
-//! The operators' door: its calls, its figures, and the drain.
+//! The operator interface: its commands, the metrics, and the drain.
 
 use rstest::rstest;
 
@@ -11,12 +11,12 @@
 #[case::resume_of_one_that_serves("raw RESUME\\n", "+OK serving")]
 #[case::unknown("raw REBOOT\\n", "-ERR")]
 #[case::nothing("raw \\n", "-ERR")]
-fn a_call_gets_one_answer_and_a_close(#[case] call: &str, #[case] answer: &str) {
+fn a_command_gets_one_answer_and_a_close(#[case] call: &str, #[case] answer: &str) {
     play(&PLAIN, &format!("o1 send {call}\no1 expect {answer}"));
 }
 
 #[test]
-fn a_call_may_come_in_pieces_and_has_a_bound() {
+fn a_command_may_come_in_pieces_and_has_a_bound() {
     let long = "x".repeat(300);
     play(
         &PLAIN,
@@ -31,9 +31,9 @@
     );
 }
 
-/// More callers than the door holds say nothing, and a crowd has taken every place at the front.
+/// More operators than the interface serves send nothing, and a crowd of clients has taken every connection.
 #[test]
-fn stalled_callers_and_a_crowd_keep_nobody_out() {
+fn stalled_operators_and_a_crowd_of_clients_keep_no_operator_out() {
     let mut scenario: String =
         (1..=9).map(|n| format!("c{n} send job r{n}\ns wait transactions_taken {n}\n")).collect();
     scenario += &(10..40).map(|n| format!("c{n} send raw POST /dr\n")).collect::<String>();
@@ -75,7 +75,7 @@
     o1 wait METRICS => svc.errors.draw-map=1
     o1 wait METRICS => svc.active=1"
 )]
-#[case::rejected_at_the_door(
+#[case::rejected_on_arrival(
     "c9 send job r9
     m1 expect r9
     m1 send 202
@@ -87,7 +87,7 @@
     c2 expect HTTP/1.1 503 & Retry-After
     o1 wait METRICS => svc.shed.publish-map=1"
 )]
-#[case::nothing_is_a_try_before_its_last_byte_is_written(
+#[case::nothing_is_an_attempt_before_its_last_byte_is_written(
     "m1 close door
     c1 send job r1 draw-map 600
     c1 expect 503
@@ -96,7 +96,7 @@
     o1 wait METRICS => svc.shed.draw-map=1
     o1 wait METRICS => svc.pool_ejected=1"
 )]
-#[case::the_pool(
+#[case::the_endpoint_list(
     "o1 wait METRICS => svc.pool_size=1
     d expect GET /v1/endpoints
     d send 200 Transfer-Encoding: chunked
@@ -106,12 +106,12 @@
     o1 wait METRICS => svc.pool_size=1
     o1 wait METRICS => svc.pool_ejected=0"
 )]
-fn figures_tell_what_happened(#[case] scenario: &str) {
+fn metrics_count_what_happened(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
 
 #[rstest]
-#[case::what_was_taken_is_finished(
+#[case::requests_in_flight_are_finished(
     "c1 send job r1
     m1 expect r1
     m1 send 202
@@ -176,6 +176,6 @@
     c1 expect drawn
     s expect exit 0"
 )]
-fn an_operator_empties_the_scheduler(#[case] scenario: &str) {
+fn an_operator_drains_the_scheduler(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,13 +1,13 @@
-//! SIGHUP: the configuration is taken up anew while the scheduler serves.
+//! SIGHUP: the configuration is reloaded while the scheduler serves.
 
 use rstest::rstest;
 
 use crate::scenario::{play, PLAIN};
 
-/// The new address numbers its lists in its own way; what the old one still says is old news.
+/// The new address numbers its lists in its own way; what still comes from the old address is ignored.
 #[rstest]
-#[case::by_changes("false")]
-#[case::by_the_whole_list("true")]
+#[case::by_increments("false")]
+#[case::by_a_complete_snapshot("true")]
 fn discovery_is_followed_to_its_new_address(#[case] full: &str) {
     play(
         &PLAIN,
@@ -38,7 +38,7 @@
 #[case::no_json("s send config {\"name\" => {{\"name\"", "not JSON")]
 #[case::no_address("s send config {d} => nowhere", "no usable \"discovery\"")]
 #[case::no_number("s send config \"slo_s\":3 => \"slo_s\":\"soon\"", "cannot read value \"soon\"")]
-fn a_file_that_makes_no_sense_changes_nothing(#[case] change: &str, #[case] why: &str) {
+fn an_invalid_file_changes_nothing(#[case] change: &str, #[case] why: &str) {
     play(
         &PLAIN,
         &format!(
@@ -117,6 +117,6 @@
     c1 expect 200
     s expect exit 0"
 )]
-fn what_the_file_says_now_holds(#[case] scenario: &str) {
+fn a_reload_applies_the_file(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,11 +1,11 @@
-//! Two processes of one dispatcher: what the decision module passes from the old one to the new one.
+//! Two processes of one dispatcher: what the decisions hand over from the predecessor to the successor.
 
 mod common;
 
 use chutesaddle::scheduling::*;
 use common::*;
 
-/// The old process and a new one that lists the same two workers under numbers 10 higher.
+/// The predecessor and a successor that lists the same two workers under numbers 10 higher.
 fn pair(since: f64) -> (Bench, Bench) {
     let listed =
         |first: u64| (first..first + 2).map(|n| WorkerInfo { started_at_s: since, ..worker(n) }).collect();
@@ -17,70 +17,70 @@
 }
 
 #[test]
-fn suspects_stay_suspect() {
-    let (mut old, mut new) = pair(0.0);
-    old.send(Event::RequestReceived(request(1, 0, 100.0)));
-    let bad = routes(&old.run(0.1))[0].1;
-    old.end(1, 0, AttemptOutcome::ConnectFailed);
-    assert_eq!((old.d.ejected_count(), new.d.ejected_count()), (1, 0));
-    let learnt = old.d.learned_state().renumbered(|id| Some(renumbered(id)));
-    new.now = old.now;
-    new.send(Event::StateLearned(Box::new(learnt)));
-    assert_eq!(new.d.ejected_count(), 1);
+fn ejected_workers_stay_ejected() {
+    let (mut predecessor, mut successor) = pair(0.0);
+    predecessor.send(Event::RequestReceived(request(1, 0, 100.0)));
+    let bad = routes(&predecessor.run(0.1))[0].1;
+    predecessor.end(1, 0, AttemptOutcome::ConnectFailed);
+    assert_eq!((predecessor.d.ejected_count(), successor.d.ejected_count()), (1, 0));
+    let learned = predecessor.d.learned_state().renumbered(|id| Some(renumbered(id)));
+    successor.now = predecessor.now;
+    successor.send(Event::StateLearned(Box::new(learned)));
+    assert_eq!(successor.d.ejected_count(), 1);
     for id in 2..5 {
-        new.send(Event::RequestReceived(request(id, 0, new.now)));
+        successor.send(Event::RequestReceived(request(id, 0, successor.now)));
     }
-    assert!(routes(&new.run(0.1)).iter().all(|route| route.1 != bad + 10));
+    assert!(routes(&successor.run(0.1)).iter().all(|route| route.1 != bad + 10));
 }
 
 #[test]
-fn nothing_is_taken_up_of_a_worker_that_is_not_listed() {
-    let (old, mut new) = pair(0.0);
-    let learnt = old.d.learned_state().renumbered(|id| (id.0 == 1).then_some(WorkerId(99)));
-    assert_eq!(learnt.workers().collect::<Vec<_>>(), [WorkerId(99)]);
-    new.send(Event::StateLearned(Box::new(learnt)));
-    new.send(Event::RequestReceived(request(1, 0, 100.0)));
-    assert_eq!(routes(&new.run(0.1)).len(), 1);
+fn learned_state_of_unlisted_workers_is_ignored() {
+    let (predecessor, mut successor) = pair(0.0);
+    let learned = predecessor.d.learned_state().renumbered(|id| (id.0 == 1).then_some(WorkerId(99)));
+    assert_eq!(learned.workers().collect::<Vec<_>>(), [WorkerId(99)]);
+    successor.send(Event::StateLearned(Box::new(learned)));
+    successor.send(Event::RequestReceived(request(1, 0, 100.0)));
+    assert_eq!(routes(&successor.run(0.1)).len(), 1);
 }
 
-/// A job that must run once and may have run is not sent again by the process that takes it over, and the
+/// A request that must run once and may have run is not sent again by the process that takes it over, and the
 /// attempt that is out holds its slot there.
 #[test]
-fn a_job_keeps_its_attempts() {
-    let (mut old, mut new) = pair(0.0);
-    old.send(Event::RequestReceived(request(1, 1, 100.0)));
-    let worker = WorkerId(routes(&old.run(0.1))[0].1);
-    let record = old.d.hand_over(RequestId(1)).expect("the job is there");
-    assert!(old.d.hand_over(RequestId(1)).is_none());
-    assert!(old.run(20.0).is_empty(), "the old process has nothing to do with it any more");
-    new.now = 100.1;
+fn a_migrated_request_keeps_its_attempts() {
+    let (mut predecessor, mut successor) = pair(0.0);
+    predecessor.send(Event::RequestReceived(request(1, 1, 100.0)));
+    let worker = WorkerId(routes(&predecessor.run(0.1))[0].1);
+    let record = predecessor.d.hand_over(RequestId(1)).expect("the request is there");
+    assert!(predecessor.d.hand_over(RequestId(1)).is_none());
+    assert!(predecessor.run(20.0).is_empty(), "the predecessor has nothing to do with it any more");
+    successor.now = 100.1;
     let record = record.renumbered(RequestId(7), 110.0, &[renumbered(worker)]);
-    assert!(routes(&new.send(Event::RequestTakenOver(Box::new(record)))).is_empty());
-    assert!(routes(&new.run(1.0)).is_empty());
-    let actions = new.end(7, 0, AttemptOutcome::Failed);
-    assert!(failed(&actions, 7) || failed(&new.run(10.0), 7));
+    assert!(routes(&successor.send(Event::RequestTakenOver(Box::new(record)))).is_empty());
+    assert!(routes(&successor.run(1.0)).is_empty());
+    let actions = successor.end(7, 0, AttemptOutcome::Failed);
+    assert!(failed(&actions, 7) || failed(&successor.run(10.0), 7));
 }
 
 #[test]
-fn a_job_that_waits_is_sent_by_the_new_process() {
-    let (mut old, mut new) = pair(0.0);
-    old.send(Event::RequestReceived(request(1, 0, 100.0)));
-    let record = old.d.hand_over(RequestId(1)).expect("the job is there");
-    new.send(Event::RequestTakenOver(Box::new(record.renumbered(RequestId(7), 110.0, &[]))));
-    assert_eq!(routes(&new.run(0.1)).len(), 1);
-    assert!(routes(&old.run(0.1)).is_empty());
+fn a_waiting_request_is_sent_by_the_successor() {
+    let (mut predecessor, mut successor) = pair(0.0);
+    predecessor.send(Event::RequestReceived(request(1, 0, 100.0)));
+    let record = predecessor.d.hand_over(RequestId(1)).expect("the request is there");
+    successor.send(Event::RequestTakenOver(Box::new(record.renumbered(RequestId(7), 110.0, &[]))));
+    assert_eq!(routes(&successor.run(0.1)).len(), 1);
+    assert!(routes(&predecessor.run(0.1)).is_empty());
 }
 
 /// What both together may send to workers that just started is what one may.
 #[test]
-fn work_that_the_other_process_sent_counts_against_cold_workers() {
+fn work_of_the_other_process_counts_against_workers_that_warm_up() {
     let sent = |elsewhere: f64| {
-        let (_, mut new) = pair(99.0);
+        let (_, mut successor) = pair(99.0);
         for worker in [11, 12].map(WorkerId) {
-            new.send(Event::SentByOtherProcess { worker, class: 0, work: elsewhere });
+            successor.send(Event::SentByOtherProcess { worker, class: 0, work: elsewhere });
         }
-        new.send(Event::RequestReceived(request(1, 0, 100.0)));
-        routes(&new.run(0.1)).len()
+        successor.send(Event::RequestReceived(request(1, 0, 100.0)));
+        routes(&successor.run(0.1)).len()
     };
     assert_eq!((sent(0.0), sent(100.0)), (1, 0));
 }
