--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use chutesaddle::config::{Config, ConfigError};
-use chutesaddle_operator_config::Mistakes;
+use chutesaddle_operator_config::ConfigErrors;
 
 /// What is wrong with a file.
 #[derive(Debug, thiserror::Error)]
@@ -15,8 +15,8 @@
     Config(PathBuf, #[source] ConfigError),
     #[error("{0}: {1}")]
     Unreadable(PathBuf, #[source] std::io::Error),
-    #[error("{count} mistakes\n{0}\n{drawn}", count = .0.count(), drawn = .0.drawn())]
-    Operator(#[from] Mistakes),
+    #[error("{count} mistakes\n{0}\n{drawn}", count = .0.count(), drawn = .0.render())]
+    Operator(#[from] ConfigErrors),
 }
 
 /// Checks each file. All are read, whatever is wrong with the ones before.
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chutesaddle_test_doubles::{client, rig, Job, Journal, Site, Told};
+use chutesaddle_test_doubles::{client, site, ClientRequest, ClientResult, Journal, TestSite};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
@@ -70,16 +70,16 @@
 async fn serve_requests(directory: &Path) -> io::Result<()> {
     eprintln!("one site on loopback: four workers of three kinds, a discovery, and the scheduler");
     let journal = Journal::default();
-    let site = Site::start(&std::env::current_exe()?, directory, 0, None, &journal).await?;
-    let slots: usize = rig::BOXES.iter().map(|(slots, ..)| slots).sum();
+    let site = TestSite::start(&std::env::current_exe()?, directory, 0, None, &journal).await?;
+    let slots: usize = site::WORKERS.iter().map(|worker| worker.slots).sum();
     eprintln!(
         "{REQUESTS} requests of two classes for {slots} slots; the operator interface is at {}",
-        site.door
+        site.operator_address
     );
     let began = Instant::now();
     let answers = send_requests(&site).await;
     print_table(answers).await?;
-    let metrics = client::ask(site.door, "METRICS").await?;
+    let metrics = client::operator_command(site.operator_address, "METRICS").await?;
     let attempts: Vec<&str> = metrics.lines().filter(|line| line.starts_with("svc.tries")).collect();
     let (runs, seconds) = (journal.runs().len(), began.elapsed().as_secs_f64());
     println!("{runs} runs on the workers in {seconds:.1} s; {}", attempts.join(", "));
@@ -89,11 +89,11 @@
 /// What a client was answered.
 struct ClientAnswer {
     class: &'static str,
-    answer: Told,
+    answer: ClientResult,
 }
 
 /// Sends all requests and waits until each has its answer.
-async fn send_requests(site: &Site) -> Vec<JoinHandle<ClientAnswer>> {
+async fn send_requests(site: &TestSite) -> Vec<JoinHandle<ClientAnswer>> {
     let answered = Rc::new(Cell::new(0));
     let mut clients = Vec::new();
     for number in 0..REQUESTS {
@@ -118,16 +118,16 @@
     clients
 }
 
-fn demo_request(number: usize) -> Job {
+fn demo_request(number: usize) -> ClientRequest {
     let class = if number % 3 == 2 { PUBLISH } else { DRAW };
-    Job {
+    ClientRequest {
         id: format!("demo-{number}"),
         class: class.name,
         tenant: TENANTS[number % 2],
         work: class.work,
         hint: class.work,
         key: if class.keyed { Some(format!("key-{number}")) } else { None },
-        patience: class.client_timeout,
+        timeout: class.client_timeout,
     }
 }
 
@@ -142,15 +142,15 @@
 }
 
 impl Row {
-    fn count(&mut self, answer: Told) {
+    fn count(&mut self, answer: ClientResult) {
         match answer {
-            Told::Served(latency) => {
+            ClientResult::Served(latency) => {
                 self.served += 1;
                 self.total_latency += latency;
                 self.longest_latency = self.longest_latency.max(latency);
             }
-            Told::Rejected => self.rejected += 1,
-            Told::Failed | Told::Nothing => self.failed += 1,
+            ClientResult::Rejected => self.rejected += 1,
+            ClientResult::Failed | ClientResult::NoAnswer => self.failed += 1,
         }
     }
 }
--- a/src/cli/trace/copy.rs
+++ b/src/cli/trace/copy.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutesaddle_trace::{merge, Item, Writer};
+use chutesaddle_trace::{merge, Item, MergeInput, Writer};
 
 use super::{for_each_item, open, ToolError, Verdict};
 
@@ -41,7 +41,7 @@
 pub(super) fn merge_files(files: &[PathBuf], output: &Path) -> Result<Verdict, ToolError> {
     let mut readers = Vec::new();
     for file in files {
-        readers.push((open(file)?, 0));
+        readers.push(MergeInput { reader: open(file)?, clock_correction_us: 0 });
     }
     let inputs: Vec<&Path> = files.iter().map(PathBuf::as_path).collect();
     let count = merge(&mut readers, create(output, &inputs)?)
--- a/src/cli/trace/info.rs
+++ b/src/cli/trace/info.rs
@@ -28,7 +28,7 @@
     let (records, dropped) = (count(index, false), count(index, true));
     writeln!(out, "  {records} records in {} blocks, {dropped} dropped", index.entries.len())?;
     writeln!(out, "  classes {}; tenants {}", classes.join(", "), header.tenants.join(", "))?;
-    if let Some(before) = &header.follows {
+    if let Some(before) = &header.continues {
         writeln!(out, "  goes on from {before}")?;
     }
     if !index.complete {
--- a/src/cli/trace/summary.rs
+++ b/src/cli/trace/summary.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-use chutesaddle_trace::{Row, Summary};
+use chutesaddle_trace::{RecordCounts, ServiceRow, Summary, WorstStretch};
 use simd_json::prelude::Writable;
 
 use super::{for_each_item, open, Form, ToolError, Verdict};
@@ -18,7 +18,7 @@
         let mut reader = open(file)?;
         let header = reader.header().clone();
         let mut summary = Summary::default();
-        for_each_item(file, &mut reader, |item| summary.take(&header, item))?;
+        for_each_item(file, &mut reader, |item| summary.add_item(&header, item))?;
         total.add(&summary);
     }
     let mut out = io::stdout().lock();
@@ -59,8 +59,8 @@
 
 /// The ten seconds with the least service.
 fn write_worst_stretch(out: &mut impl Write, total: &Summary) -> io::Result<()> {
-    let Some((from, service)) = total.worst() else { return Ok(()) };
-    let (records, missing) = total.counts();
+    let Some(WorstStretch { from, service }) = total.worst() else { return Ok(()) };
+    let RecordCounts { records, missing } = total.counts();
     writeln!(
         out,
         "worst 10 s: service {service:.3}, from {from} (Unix time); {records} records, {missing} missing"
@@ -71,7 +71,7 @@
 struct Line<'a> {
     class: &'a str,
     tenant: &'a str,
-    row: &'a Row,
+    row: &'a ServiceRow,
 }
 
 impl Line<'_> {
@@ -94,7 +94,17 @@
 
     fn write_table(&self, out: &mut impl Write) -> io::Result<()> {
         let Line { class, tenant, row } = self;
-        let Row { asked, served, in_time, rejected, failed, left, attempts, crossed, .. } = row;
+        let ServiceRow {
+            asked,
+            served,
+            in_time,
+            rejected,
+            failed,
+            client_disconnected: left,
+            attempts,
+            forwarded: crossed,
+            ..
+        } = row;
         let service = row.service().map_or("-".to_owned(), |service| format!("{service:.3}"));
         let (p50, p95) = (self.latency_ms(0.5), self.latency_ms(0.95));
         write!(out, "{class:<16}{tenant:<18}{asked:>8}{served:>8}{in_time:>9}{rejected:>10}{failed:>8}")?;
@@ -102,7 +112,17 @@
     }
 
     fn write_csv(&self, out: &mut impl Write) -> io::Result<()> {
-        let Row { asked, served, in_time, rejected, failed, left, attempts, crossed, .. } = self.row;
+        let ServiceRow {
+            asked,
+            served,
+            in_time,
+            rejected,
+            failed,
+            client_disconnected: left,
+            attempts,
+            forwarded: crossed,
+            ..
+        } = self.row;
         let (class, tenant) = (csv_quoted(self.class), csv_quoted(self.tenant));
         let (p50, p95) = (self.latency_ms(0.5), self.latency_ms(0.95));
         write!(out, "{class},{tenant},{asked},{served},{in_time},{rejected},{failed},{left},{attempts},")?;
@@ -110,7 +130,17 @@
     }
 
     fn write_json(&self, out: &mut impl Write) -> io::Result<()> {
-        let Row { asked, served, in_time, rejected, failed, left, attempts, crossed, .. } = self.row;
+        let ServiceRow {
+            asked,
+            served,
+            in_time,
+            rejected,
+            failed,
+            client_disconnected: left,
+            attempts,
+            forwarded: crossed,
+            ..
+        } = self.row;
         let (class, tenant) = (json_quoted(self.class), json_quoted(self.tenant));
         let (p50, p95, service) = (self.latency_ms(0.5), self.latency_ms(0.95), self.service("null"));
         write!(out, "{{\"class\":{class},\"tenant\":{tenant},\"asked\":{asked},\"served\":{served},")?;
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -46,7 +46,7 @@
         File(PathBuf, #[source] std::io::Error),
         /// The file has mistakes, written one to a line.
         #[error("{0}")]
-        Mistakes(#[from] chutesaddle_operator_config::Mistakes),
+        Mistakes(#[from] chutesaddle_operator_config::ConfigErrors),
         /// The secret that the file names cannot be used.
         #[error(transparent)]
         Gateway(#[from] GatewayError),
