--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -26,7 +26,7 @@
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
-use chutesaddle::server::peers::site_links::{new_instance, SiteLinkSettings, SiteLinks};
+use chutesaddle::server::peers::site_links::{new_incarnation, SiteLinkSettings, SiteLinks};
 use chutesaddle::server::workers::endpoint::WorkerConnector;
 use chutesaddle_gateway::Gateway;
 use tokio::net::TcpListener;
@@ -217,7 +217,7 @@
     ));
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&connector), Rc::clone(counters), peers.clone());
-    let (gossip_sender, gossip_queue) = gossip_transport::outbox();
+    let (gossip_sender, gossip_queue) = gossip_transport::channel();
     let (engine, site_links) = add_gateway(engine.with_notes(gossip_sender), site_links, &queue, lifecycle);
     let discovery_watch = DiscoveryWatch::new(
         config.discovery,
@@ -277,7 +277,7 @@
     lifecycle: &Rc<Lifecycle>,
 ) -> (Engine, Option<Rc<SiteLinks>>) {
     let Some(settings) = settings else { return (engine, None) };
-    let incarnation = new_instance();
+    let incarnation = new_incarnation();
     let time_origin = Instant::now();
     let gateway = Gateway::new(settings.file.decisions.clone(), incarnation);
     let site_links = SiteLinks::new(settings, incarnation, time_origin, queue.clone(), Rc::clone(lifecycle));
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -36,7 +36,7 @@
 pub mod operator {
     use std::path::{Path, PathBuf};
 
-    use crate::server::peers::site_links::{read_secret, GatewayError, SiteLinkSettings};
+    use crate::server::peers::site_links::{read_secret, SecretError, SiteLinkSettings};
 
     /// Why the operator's file cannot be used.
     #[derive(Debug, thiserror::Error)]
@@ -49,7 +49,7 @@
         Mistakes(#[from] chutesaddle_operator_config::ConfigErrors),
         /// The secret that the file names cannot be used.
         #[error(transparent)]
-        Gateway(#[from] GatewayError),
+        Gateway(#[from] SecretError),
     }
 
     /// Reads the operator's file and the secret that it names; `None` if it switches nothing on.
--- a/tests/server/scenario/stage.rs
+++ b/tests/server/scenario/stage.rs
@@ -80,7 +80,7 @@
             }
             ("v", verb) => self.step_of_other_build(verb, text),
             ("n1" | "x", "send") => {
-                let to = self.process("s")?.logged("notes of other schedulers arrive at ");
+                let to = self.process("s")?.logged("listening for gossip address=");
                 gossip::send(&self.datagrams[actor], text, to)
             }
             ("n1", "expect") => gossip::expect(&self.datagrams[actor], text),
@@ -213,7 +213,7 @@
         match actor.as_bytes()[0] {
             _ if actor.starts_with(OPERATORS) => self.operator_address(actor),
             b'f' => Ok(self.process("t")?.logged("serving clients address=")),
-            b'g' => Ok(self.process("t")?.logged("peers call at ")),
+            b'g' => Ok(self.process("t")?.logged("listening for site links address=")),
             _ => Ok(self.address.clone()),
         }
     }
@@ -285,7 +285,7 @@
     // Nobody is behind the address on which it would dial.
     operator::write_file(&config, "b", "a", "127.0.0.1:1");
     let scheduler = Scheduler::start(&config, descriptors);
-    wire.lead(scheduler.logged("peers call at "));
+    wire.lead(scheduler.logged("listening for site links address="));
     scheduler.logged("serving clients address=");
     scheduler
 }
