--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,13 +1,13 @@
-//! SIGHUP: the configuration is taken up anew while the scheduler serves.
+//! SIGHUP: the configuration is reloaded while the scheduler serves.
 
 use rstest::rstest;
 
 use crate::scenario::{play, PLAIN};
 
-/// The new address numbers its lists in its own way; what the old one still says is old news.
+/// The new address numbers its lists in its own way; what still comes from the old address is ignored.
 #[rstest]
-#[case::by_changes("false")]
-#[case::by_the_whole_list("true")]
+#[case::by_increments("false")]
+#[case::by_a_complete_snapshot("true")]
 fn discovery_is_followed_to_its_new_address(#[case] full: &str) {
     play(
         &PLAIN,
@@ -38,7 +38,7 @@
 #[case::no_json("s send config {\"name\" => {{\"name\"", "not JSON")]
 #[case::no_address("s send config {d} => nowhere", "no usable \"discovery\"")]
 #[case::no_number("s send config \"slo_s\":3 => \"slo_s\":\"soon\"", "cannot read value \"soon\"")]
-fn a_file_that_makes_no_sense_changes_nothing(#[case] change: &str, #[case] why: &str) {
+fn an_invalid_file_changes_nothing(#[case] change: &str, #[case] why: &str) {
     play(
         &PLAIN,
         &format!(
@@ -47,7 +47,7 @@
             m1 send 202
             {change}
             s send HUP
-            s expect log the configuration stays as it is
+            s expect log the configuration is not reloaded
             s expect log {why}
             c2 send call r1 m1 done
             c1 expect 200
@@ -61,7 +61,7 @@
 #[case::a_setting(
     "s send config \"max_retry_after_s\":2 => \"max_retry_after_s\":1
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     m1 close door
     c1 send job r1 draw-map 900
     c1 expect 503 & Retry-After: 1.000"
@@ -71,7 +71,7 @@
     m1 expect r1
     s send config \"grades\":[{ => \"grades\":[{\"name\":\"paint-map\",\"effect\":\"repeatable\"},{
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     c2 send job r2 paint-map
     m1 expect new r2
     c3 send call r2 m1 done
@@ -84,7 +84,7 @@
 #[case::fewer_descriptors(
     "s send config \"sockets\":1024 => \"sockets\":14
     s send HUP
-    s expect log is taken up
+    s expect log the configuration is reloaded
     c1 send job r1
     c2 send job r2
     c3 send job r3
@@ -99,7 +99,7 @@
     "s send config \"draw-map\" => \"sketch\"
     s send config \"listen\":\"127.0.0.1:0\" => \"listen\":\"127.0.0.1:1\"
     s send HUP
-    s expect log these change with a restart only: grades, listen
+    s expect log some keys change with a restart only keys=grades, listen
     c1 send job r1
     m1 expect r1"
 )]
@@ -117,6 +117,6 @@
     c1 expect 200
     s expect exit 0"
 )]
-fn what_the_file_says_now_holds(#[case] scenario: &str) {
+fn a_reload_applies_the_file(#[case] scenario: &str) {
     play(&PLAIN, scenario);
 }
