--- /dev/null
+++ b/src/server/frontend/callback_parser.rs
@@ -0,0 +1,57 @@
+//! Reads a worker's callback: the JSON object by which it notifies the scheduler of what becomes of a request.
+
+use bytes::Bytes;
+use simd_json::prelude::*;
+use simd_json::tape::Value;
+
+use super::wire_names::callback;
+use crate::server::attempt_end::AttemptEnd;
+use crate::server::load_report;
+use crate::server::messages::{CallbackEvent, WorkerCallback};
+
+/// Reads a callback; `None` if it is not one.
+///
+/// simd-json's tape is flat, so that no nesting, however deep, can exhaust the stack.
+pub(super) fn parse(body: Bytes) -> Option<WorkerCallback> {
+    let mut text = Vec::from(body);
+    let tape = simd_json::to_tape(&mut text).ok()?;
+    let value = tape.as_value();
+    let event = event(&value)?;
+    let request_name = value.get_str(callback::REQUEST_NAME)?;
+    let worker_name = value.get_str(callback::WORKER_NAME)?;
+    Some(WorkerCallback {
+        request_name: Bytes::copy_from_slice(request_name.as_bytes()),
+        worker_name: worker_name.to_owned(),
+        event,
+        load_report: load_report::from_load(&value),
+    })
+}
+
+fn event(value: &Value) -> Option<CallbackEvent> {
+    match value.get_str(callback::STATE)? {
+        callback::STATE_STARTED => Some(CallbackEvent::Started),
+        callback::STATE_PROGRESS => {
+            let progress = value.get(callback::PROGRESS)?.cast_f64()?;
+            Some(CallbackEvent::Progress(progress))
+        }
+        callback::STATE_COMPLETED => {
+            let result = value.get(callback::RESULT)?;
+            Some(CallbackEvent::Completed(result_bytes(&result)))
+        }
+        callback::STATE_FAILED => Some(CallbackEvent::Ended(AttemptEnd::Failed)),
+        callback::STATE_REJECTED => Some(CallbackEvent::Ended(AttemptEnd::RejectedByWorker)),
+        callback::STATE_LOST => Some(CallbackEvent::Ended(AttemptEnd::LostByWorker)),
+        _ => None,
+    }
+}
+
+/// A result is text; anything else goes to the client in the form in which JSON writes it.
+fn result_bytes(result: &Value) -> Bytes {
+    match result.as_str() {
+        Some(text) => Bytes::copy_from_slice(text.as_bytes()),
+        None => result.encode().into(),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/server/frontend/connection_eviction.rs
+++ b/src/server/frontend/connection_eviction.rs
@@ -1,4 +1,7 @@
-//! The connections that can be done without, and which of them goes first when there is no room.
+//! Which connections are closed first when descriptors run short, or while the process drains.
+//!
+//! A connection registers here while it can be closed: idle, lingering, or with a message that is still arriving. It is
+//! never registered while a request on it awaits its answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,49 +12,69 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A message that has not got on for so long has stalled. Honest clients that write slowly pause as well:
+/// A message of which nothing has arrived for so long has stalled. Honest clients that write slowly pause as well:
 /// of those that have stalled, the one that has for longest goes first.
-const STALLED: Duration = Duration::from_millis(300);
+const STALLED_AFTER: Duration = Duration::from_millis(300);
 
-/// What a connection that waits for nothing of ours is worth: the least goes first.
+/// How readily an idle connection is closed: those of the lowest class go first. Stored in hand-over frames: the order
+/// of the variants must stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EvictionClass {
-    /// It has carried neither a transaction nor a call-back, or has had its last answer.
+    /// It has carried neither a request nor a callback, or its last response is written.
     NeverUsed,
-    /// It stands idle between two messages of a client.
+    /// It is idle between two messages of a client.
     Idle,
-    /// It stands idle after a call-back: only the want of room is a reason to close it.
+    /// It is idle after a callback: it is closed only where descriptors run short.
     IdleAfterCallback,
 }
 
-/// When a connection was last sent something.
+/// When something was last received on a connection.
 pub type LastReceived = Rc<Cell<Instant>>;
 
-/// The register of such connections, and of those on which a message is arriving.
+/// Counts up over the registrations of one frontend: the lower, the older.
+type Registration = u64;
+
+/// An idle connection, in the order of eviction.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleKey {
+    class: EvictionClass,
+    registration: Registration,
+}
+
+/// A connection on which a message is arriving.
+struct Arriving {
+    last_received: LastReceived,
+    evicted: Rc<Notify>,
+}
+
+/// The connections that may be closed.
 #[derive(Default)]
 pub struct EvictionCandidates {
-    listed: RefCell<BTreeMap<(EvictionClass, u64), Rc<Notify>>>,
-    arriving: RefCell<BTreeMap<u64, (LastReceived, Rc<Notify>)>>,
-    next: Cell<u64>,
+    idle: RefCell<BTreeMap<IdleKey, Rc<Notify>>>,
+    arriving: RefCell<BTreeMap<Registration, Arriving>>,
+    next_registration: Cell<Registration>,
 }
 
 impl EvictionCandidates {
-    fn number(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+    fn register(&self) -> Registration {
+        self.next_registration.replace(self.next_registration.get() + 1)
     }
 
-    /// Lists a connection for as long as the value lives.
-    pub fn list(&self, worth: EvictionClass) -> EvictionHandle<'_> {
-        let (key, close) = ((worth, self.number()), Rc::new(Notify::new()));
-        self.listed.borrow_mut().insert(key, Rc::clone(&close));
-        EvictionHandle { spares: self, key: Key::Listed(key), close }
+    /// Lists an idle connection for as long as the handle lives.
+    pub fn list(&self, class: EvictionClass) -> EvictionHandle<'_> {
+        let key = IdleKey { class, registration: self.register() };
+        let evicted = Rc::new(Notify::new());
+        self.idle.borrow_mut().insert(key, Rc::clone(&evicted));
+        EvictionHandle { candidates: self, key: CandidateKey::Idle(key), evicted }
     }
 
-    /// Lists a connection on which a message is arriving, for as long as the value lives.
-    pub fn arriving(&self, heard: LastReceived) -> EvictionHandle<'_> {
-        let (number, close) = (self.number(), Rc::new(Notify::new()));
-        self.arriving.borrow_mut().insert(number, (heard, Rc::clone(&close)));
-        EvictionHandle { spares: self, key: Key::Arriving(number), close }
+    /// Lists a connection on which a message is arriving, for as long as the handle lives.
+    pub fn list_arriving(&self, last_received: LastReceived) -> EvictionHandle<'_> {
+        let registration = self.register();
+        let evicted = Rc::new(Notify::new());
+        let arriving = Arriving { last_received, evicted: Rc::clone(&evicted) };
+        self.arriving.borrow_mut().insert(registration, arriving);
+        EvictionHandle { candidates: self, key: CandidateKey::Arriving(registration), evicted }
     }
 
     /// On how many connections a message is arriving.
@@ -59,57 +82,72 @@
         self.arriving.borrow().len()
     }
 
-    /// Asks the connection of least worth that has been listed for longest to close; false if there is none
-    /// of this worth or less.
-    pub fn close_one(&self, most: EvictionClass) -> bool {
-        let mut listed = self.listed.borrow_mut();
-        let first = listed.first_entry().filter(|first| first.key().0 <= most);
-        first.map(|first| first.remove().notify_one()).is_some()
+    /// Evicts the idle connection of the lowest class that was listed first; false if there is none of this class or a
+    /// lower one.
+    pub fn evict_up_to(&self, highest: EvictionClass) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        let Some(first) = idle.first_entry() else { return false };
+        if first.key().class > highest {
+            return false;
+        }
+        first.remove().notify_one();
+        true
     }
 
-    /// The same to make room: what has said nothing goes first, then what has stalled, then idle clients;
-    /// members' call-backs only where no message is arriving that may yet stall; never a message that gets
-    /// on. False if there is none.
-    pub fn make_room(&self) -> bool {
-        self.close_one(EvictionClass::NeverUsed)
-            || self.close_stalled()
-            || self.close_one(EvictionClass::Idle)
-            || self.count_arriving() == 0 && self.close_one(EvictionClass::IdleAfterCallback)
+    /// Evicts one connection so that another can be opened; false if there is none to evict.
+    ///
+    /// The order: a connection that was never used, then a stalled message, then an idle client. A connection for
+    /// callbacks goes only while no message is arriving that may yet stall; a message that makes progress never.
+    pub fn evict_for_new_connection(&self) -> bool {
+        if self.evict_up_to(EvictionClass::NeverUsed) || self.evict_stalled() {
+            return true;
+        }
+        if self.evict_up_to(EvictionClass::Idle) {
+            return true;
+        }
+        self.count_arriving() == 0 && self.evict_up_to(EvictionClass::IdleAfterCallback)
     }
 
-    fn close_stalled(&self) -> bool {
+    /// Evicts the message that has stalled for longest; false if none has stalled.
+    fn evict_stalled(&self) -> bool {
         let mut arriving = self.arriving.borrow_mut();
-        let first = arriving.iter().min_by_key(|(_, (heard, _))| heard.get());
-        let stalled = first.filter(|(_, (heard, _))| heard.get().elapsed() >= STALLED).map(|(&key, _)| key);
-        let stalled = stalled.and_then(|key| arriving.remove(&key));
-        stalled.map(|(_, close)| close.notify_one()).is_some()
+        let oldest = arriving.iter().min_by_key(|(_, message)| message.last_received.get());
+        let Some((registration, message)) = oldest else { return false };
+        if message.last_received.get().elapsed() < STALLED_AFTER {
+            return false;
+        }
+        let registration = *registration;
+        let Some(stalled) = arriving.remove(&registration) else { return false };
+        stalled.evicted.notify_one();
+        true
     }
 }
 
-enum Key {
-    Listed((EvictionClass, u64)),
-    Arriving(u64),
+enum CandidateKey {
+    Idle(IdleKey),
+    Arriving(Registration),
 }
 
-/// A listed connection.
+/// A listed connection; dropping the handle takes it off the list.
 pub struct EvictionHandle<'a> {
-    spares: &'a EvictionCandidates,
-    key: Key,
-    close: Rc<Notify>,
+    candidates: &'a EvictionCandidates,
+    key: CandidateKey,
+    evicted: Rc<Notify>,
 }
 
 impl EvictionHandle<'_> {
-    /// Waits until its place is needed.
-    pub async fn closes(&self) {
-        self.close.notified().await;
+    /// Waits until the connection is to be closed.
+    pub async fn evicted(&self) {
+        self.evicted.notified().await;
     }
 }
 
 impl Drop for EvictionHandle<'_> {
     fn drop(&mut self) {
+        // It is not there any more once it has been evicted.
         match &self.key {
-            Key::Listed(key) => drop(self.spares.listed.borrow_mut().remove(key)),
-            Key::Arriving(number) => drop(self.spares.arriving.borrow_mut().remove(number)),
+            CandidateKey::Idle(key) => drop(self.candidates.idle.borrow_mut().remove(key)),
+            CandidateKey::Arriving(key) => drop(self.candidates.arriving.borrow_mut().remove(key)),
         }
     }
 }
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -1,33 +1,31 @@
-//! What a message asks for: its path, its headers and call-backs, read strictly. What is not as the protocol
-//! writes it gets an error and goes no further: members act on what they are passed.
+//! What a message asks for: its path and its headers, read strictly.
+//!
+//! What is not as the protocol page writes it gets an error and goes no further, because workers act on what they are
+//! sent. Callbacks are read in `callback_parser.rs`.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use simd_json::prelude::*;
 use tokio::time::Instant;
 
+use super::wire_names::{headers, paths, HeaderName};
 use crate::scheduling::{Idempotency, Settings};
-use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::Head;
-use crate::server::load_report;
-use crate::server::messages::{object_of, CallbackEvent, ClientRequest, RequestPayload, WorkerCallback};
-
-/// The longest wait that counts.
-const LONGEST_MS: u64 = 3_600_000;
-/// The longest name of a transaction.
-const NAME_BYTES: usize = 128;
-/// More slots or memory than any member has.
-const LARGEST: f64 = 65_536.0;
-/// Headers of which there may be one only: with two, this side and a member could each go by another.
-const SINGLE: [&str; 6] =
-    ["x-request-id", "x-tenant", "x-deadline-ms", "x-cost-hint", "x-extras", "idempotency-key"];
-
-/// What is asked for.
-pub enum Asked {
-    /// That a job be done.
-    Submit(Box<ClientRequest>),
-    /// That a call-back be taken.
+use crate::server::messages::{object_of, ClientRequest, RequestPayload};
+
+/// The longest time that a client may say it waits; more is cut to it.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// The longest name of a request.
+const MAX_NAME_BYTES: usize = 128;
+/// More slots or units of memory than any worker has.
+const MAX_RESOURCE: f64 = 65_536.0;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// What a message asks for.
+pub(super) enum ParsedRequest {
+    /// Work for a worker.
+    Work(Box<ClientRequest>),
+    /// That a callback be taken.
     Callback,
     /// Whether the scheduler serves.
     Readiness,
@@ -37,7 +35,7 @@
 
 /// Why nothing can be done.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum RequestError {
+pub(super) enum RequestError {
     /// No such path.
     #[error("no such path or class")]
     Path,
@@ -57,7 +55,7 @@
 
 impl RequestError {
     /// The status that says so.
-    pub fn status(&self) -> &'static str {
+    pub(super) fn status(&self) -> &'static str {
         match self {
             RequestError::Path => "404 Not Found",
             RequestError::Method(_) => "405 Method Not Allowed",
@@ -67,140 +65,204 @@
     }
 }
 
-/// Reads what a message asks for whose last byte came at `arrived`: from then on its client's time runs.
+impl HeaderName {
+    fn missing(self) -> RequestError {
+        RequestError::Missing(self.canonical)
+    }
+
+    fn malformed(self) -> RequestError {
+        RequestError::Header(self.canonical)
+    }
+}
+
+/// Reads what a message asks for whose last byte arrived at `received_at`: from then on its client's time runs.
 ///
 /// # Errors
 /// Names what makes it useless.
-pub fn read(head: &Head, body: &Bytes, arrived: Instant, settings: &Settings) -> Result<Asked, RequestError> {
+pub(super) fn parse(
+    head: &Head,
+    body: &Bytes,
+    received_at: Instant,
+    settings: &Settings,
+) -> Result<ParsedRequest, RequestError> {
     let target = std::str::from_utf8(&head.target).unwrap_or_default();
     let path = target.split(['?', '#']).next().unwrap_or_default();
-    let method = |method| if head.method == method { Ok(()) } else { Err(RequestError::Method(method)) };
     match path {
-        "/ready" => method("GET").map(|()| Asked::Readiness),
-        "/counters" => method("GET").map(|()| Asked::Counters),
-        "/callback" => method("POST").map(|()| Asked::Callback),
+        paths::READINESS => require_method(head, "GET").map(|()| ParsedRequest::Readiness),
+        paths::COUNTERS => require_method(head, "GET").map(|()| ParsedRequest::Counters),
+        paths::CALLBACK => require_method(head, "POST").map(|()| ParsedRequest::Callback),
         _ => {
-            let name = path.strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or_default();
-            let class = settings.classes.iter().position(|class| is_named(&class.name, name));
-            let class = class.ok_or(RequestError::Path)?;
-            method("POST")?;
-            transaction(head, body, arrived, settings, class).map(|job| Asked::Submit(Box::new(job)))
+            let class = class_of(path, settings).ok_or(RequestError::Path)?;
+            require_method(head, "POST")?;
+            let request = WorkParser { head, settings, class }.parse(body, received_at)?;
+            Ok(ParsedRequest::Work(Box::new(request)))
         }
     }
 }
 
-fn transaction(
-    head: &Head,
-    body: &Bytes,
-    arrived: Instant,
-    settings: &Settings,
+fn require_method(head: &Head, method: &'static str) -> Result<(), RequestError> {
+    if head.method != method {
+        return Err(RequestError::Method(method));
+    }
+    Ok(())
+}
+
+/// The class is the first part of the path.
+fn class_of(path: &str, settings: &Settings) -> Option<usize> {
+    let name = path.strip_prefix('/')?.split('/').next().unwrap_or_default();
+    settings.classes.iter().position(|class| is_named(&class.name, name))
+}
+
+/// The settings write names with `_` for spaces and commas; headers and paths may carry either form.
+fn is_named(known: &str, name: &str) -> bool {
+    !known.is_empty() && (known == name || known == name.replace([' ', ','], "_"))
+}
+
+/// Reads a request of one class from its headers.
+struct WorkParser<'a> {
+    head: &'a Head,
+    settings: &'a Settings,
     class: usize,
-) -> Result<ClientRequest, RequestError> {
-    if let Some(name) = SINGLE.into_iter().find(|name| head.headers.count(name) > 1) {
-        return Err(RequestError::Header(name));
+}
+
+/// What a request holds of a worker while it runs.
+struct Resources {
+    slots: f64,
+    memory: f64,
+}
+
+impl<'a> WorkParser<'a> {
+    fn parse(&self, body: &Bytes, received_at: Instant) -> Result<ClientRequest, RequestError> {
+        self.check_single_headers()?;
+        let name = self.request_name()?;
+        let key = self.idempotency_key()?;
+        let tenant = self.tenant()?;
+        let waits_for = self.waits_for()?;
+        let estimated_work_s = self.estimated_work_s()?;
+        let resources = self.resources()?;
+        Ok(ClientRequest {
+            class: self.class,
+            tenant,
+            deadline: received_at + waits_for,
+            slots: resources.slots,
+            memory: resources.memory,
+            estimated_work_s,
+            affinity_key: object_of(&self.head.target),
+            payload: RequestPayload {
+                name: name.clone(),
+                target: self.head.target.clone(),
+                key: key.cloned(),
+                content_type: self.head.headers.raw(headers::CONTENT_TYPE).cloned(),
+                body: body.clone(),
+            },
+            origin: None,
+        })
     }
-    let text = |name: &'static str| match head.headers.raw(name) {
-        None => Ok(None),
-        Some(_) => head.headers.get(name).map(Some).ok_or(RequestError::Header(name)),
-    };
-    // The name goes into the path of a DELETE: anything but plain characters could say something else there.
-    let name = head.headers.raw("x-request-id").ok_or(RequestError::Missing("X-Request-Id"))?;
-    let plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(byte);
-    if name.is_empty() || name.len() > NAME_BYTES || !name.iter().all(plain) {
-        return Err(RequestError::Header("X-Request-Id"));
+
+    fn check_single_headers(&self) -> Result<(), RequestError> {
+        for header in headers::SINGLE {
+            if self.head.headers.count(header.lower_case) > 1 {
+                return Err(RequestError::Header(header.lower_case));
+            }
+        }
+        Ok(())
     }
-    // Without its key, a repeat of such a job would take effect twice.
-    let key = head.headers.raw("idempotency-key").filter(|key| !key.is_empty());
-    if settings.classes[class].idempotency == Idempotency::WithKey && key.is_none() {
-        return Err(RequestError::Missing("Idempotency-Key"));
+
+    /// The value of a header as text; `None` where there is no such header.
+    fn text(&self, header: HeaderName) -> Result<Option<&'a str>, RequestError> {
+        if self.head.headers.raw(header.lower_case).is_none() {
+            return Ok(None);
+        }
+        let text = self.head.headers.get(header.lower_case);
+        text.map(Some).ok_or(RequestError::Header(header.lower_case))
     }
-    let tenants = &settings.tenants;
-    let tenant = match text("x-tenant")? {
-        _ if tenants.is_empty() => 0,
-        Some(name) => {
-            tenants.iter().position(|tenant| is_named(&tenant.name, name)).ok_or(RequestError::Tenant)?
+
+    /// The request's name goes into the path of a DELETE: anything but plain characters could change what that means.
+    fn request_name(&self) -> Result<&'a Bytes, RequestError> {
+        let name = self.head.headers.raw(headers::REQUEST_NAME.lower_case);
+        let name = name.ok_or(headers::REQUEST_NAME.missing())?;
+        let is_plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(byte);
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.iter().all(is_plain) {
+            return Err(headers::REQUEST_NAME.malformed());
         }
-        None => return Err(RequestError::Missing("X-Tenant")),
-    };
-    let wait = match text("x-deadline-ms")? {
-        Some(ms) => Duration::from_millis(whole(ms).ok_or(RequestError::Header("X-Deadline-Ms"))?),
-        None => Duration::from_secs_f64(settings.classes[class].deadline_s),
-    };
-    let hint = match text("x-cost-hint")? {
-        Some(us) => Some(number(us).ok_or(RequestError::Header("X-Cost-Hint"))? / 1e6),
-        None => None,
-    };
-    let (mut slots, mut memory) = (1.0, 0.0);
-    for pair in text("x-extras")?.unwrap_or_default().split(',').map(str::trim).filter(|p| !p.is_empty()) {
-        let figure = pair.split_once('=').and_then(|(name, value)| Some((name.trim(), number(value)?)));
-        match figure.ok_or(RequestError::Header("X-Extras"))? {
-            ("slots", value) if value > 0.0 && value <= LARGEST => slots = value,
-            ("memory", value) if value <= LARGEST => memory = value,
-            ("slots" | "memory", _) => return Err(RequestError::Header("X-Extras")),
-            _ => {}
+        Ok(name)
+    }
+
+    /// Without its key, a retry of a request that needs one would take effect twice.
+    fn idempotency_key(&self) -> Result<Option<&'a Bytes>, RequestError> {
+        let key = self.head.headers.raw(headers::IDEMPOTENCY_KEY.lower_case).filter(|key| !key.is_empty());
+        let needs_key = self.settings.classes[self.class].idempotency == Idempotency::WithKey;
+        if needs_key && key.is_none() {
+            return Err(headers::IDEMPOTENCY_KEY.missing());
+        }
+        Ok(key)
+    }
+
+    /// The number of the tenant; 0 where the deployment has none.
+    fn tenant(&self) -> Result<usize, RequestError> {
+        let name = self.text(headers::TENANT)?;
+        let tenants = &self.settings.tenants;
+        if tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = name.ok_or(headers::TENANT.missing())?;
+        tenants.iter().position(|tenant| is_named(&tenant.name, name)).ok_or(RequestError::Tenant)
+    }
+
+    /// How long the client waits: as it says, or as its class says.
+    fn waits_for(&self) -> Result<Duration, RequestError> {
+        let Some(text) = self.text(headers::DEADLINE)? else {
+            return Ok(Duration::from_secs_f64(self.settings.classes[self.class].deadline_s));
+        };
+        let milliseconds = deadline_ms(text).ok_or(headers::DEADLINE.malformed())?;
+        Ok(Duration::from_millis(milliseconds))
+    }
+
+    fn estimated_work_s(&self) -> Result<Option<f64>, RequestError> {
+        let Some(text) = self.text(headers::ESTIMATED_WORK)? else { return Ok(None) };
+        let microseconds = non_negative(text).ok_or(headers::ESTIMATED_WORK.malformed())?;
+        Ok(Some(microseconds / MICROSECONDS_PER_SECOND))
+    }
+
+    /// The slots and the memory that the request needs; figures of other names must be figures, and are skipped.
+    fn resources(&self) -> Result<Resources, RequestError> {
+        let mut resources = Resources { slots: 1.0, memory: 0.0 };
+        let text = self.text(headers::RESOURCES)?.unwrap_or_default();
+        for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
+            let (name, value) = name_and_figure(pair).ok_or(headers::RESOURCES.malformed())?;
+            match name {
+                headers::SLOTS if value > 0.0 && value <= MAX_RESOURCE => resources.slots = value,
+                headers::MEMORY if value <= MAX_RESOURCE => resources.memory = value,
+                headers::SLOTS | headers::MEMORY => return Err(headers::RESOURCES.malformed()),
+                _ => {}
+            }
         }
+        Ok(resources)
     }
-    Ok(ClientRequest {
-        class,
-        tenant,
-        deadline: arrived + wait,
-        slots,
-        memory,
-        estimated_work_s: hint,
-        affinity_key: object_of(&head.target),
-        payload: RequestPayload {
-            name: name.clone(),
-            target: head.target.clone(),
-            key: key.cloned(),
-            content_type: head.headers.raw("content-type").cloned(),
-            body: body.clone(),
-        },
-        origin: None,
-    })
 }
 
-/// A whole number, cut to the longest wait; a sign is no part of it.
-fn whole(text: &str) -> Option<u64> {
+/// Digits alone, because a sign is no part of it; more than [`MAX_DEADLINE_MS`] is cut to that.
+fn deadline_ms(text: &str) -> Option<u64> {
     let text = text.trim();
-    let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    digits.then(|| text.parse().unwrap_or(LONGEST_MS).min(LONGEST_MS))
+    let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number {
+        return None;
+    }
+    let milliseconds = text.parse().unwrap_or(MAX_DEADLINE_MS); // more digits than fit
+    Some(milliseconds.min(MAX_DEADLINE_MS))
 }
 
-/// A figure that is finite and not negative.
-fn number(text: &str) -> Option<f64> {
-    text.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
+fn name_and_figure(pair: &str) -> Option<(&str, f64)> {
+    let (name, value) = pair.split_once('=')?;
+    Some((name.trim(), non_negative(value)?))
 }
 
-/// The settings write names with `_` for spaces and commas; headers and paths may carry either form.
-fn is_named(known: &str, name: &str) -> bool {
-    !known.is_empty() && (known == name || known == name.replace([' ', ','], "_"))
+/// A figure that is finite and not negative.
+fn non_negative(text: &str) -> Option<f64> {
+    let value: f64 = text.trim().parse().ok()?;
+    let is_usable = value.is_finite() && value >= 0.0;
+    is_usable.then_some(value)
 }
 
-/// Reads a call-back. The tape is flat, so that no nesting, however deep, can exhaust the stack.
-pub fn read_call_back(body: Bytes) -> Option<WorkerCallback> {
-    let mut text = Vec::from(body);
-    let tape = simd_json::to_tape(&mut text).ok()?;
-    let value = tape.as_value();
-    let news = match value.get_str("state")? {
-        "started" => CallbackEvent::Started,
-        "running" => CallbackEvent::Progress(value.get("share")?.cast_f64()?),
-        "done" => CallbackEvent::Completed(match value.get("result") {
-            // A result is text; anything else is passed on in the form in which JSON writes it.
-            Some(result) => match result.as_str() {
-                Some(text) => Bytes::copy_from_slice(text.as_bytes()),
-                None => result.encode().into(),
-            },
-            None => return None,
-        }),
-        "failed" => CallbackEvent::Ended(AttemptEnd::Failed),
-        "returned" => CallbackEvent::Ended(AttemptEnd::RejectedByWorker),
-        "lost" => CallbackEvent::Ended(AttemptEnd::LostByWorker),
-        _ => return None,
-    };
-    Some(WorkerCallback {
-        request_name: Bytes::copy_from_slice(value.get_str("id")?.as_bytes()),
-        worker_name: value.get_str("from")?.to_owned(),
-        event: news,
-        load_report: load_report::from_load(&value),
-    })
-}
+#[cfg(test)]
+mod tests;
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -28,6 +28,7 @@
 
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
+use crate::server::frontend::connection_handoff::PendingRequest;
 use crate::server::frontend::Frontend;
 use crate::server::lifecycle::handover_frames::{
     link, FrameReceiver, FrameSender, HandoverFrame, ReceivedFrame,
@@ -283,8 +284,9 @@
         self.peers.request_closed(peer, request.payload.name.clone());
         let Some(stream) = adopt_socket(socket) else { return };
         let time_left = request.time_left;
-        let pending = self.queue.take_over(request);
-        spawn_local(Rc::clone(&self.frontend).take_over(stream, read_ahead, keep_alive, pending, time_left));
+        let answer = self.queue.take_over(request);
+        let request = PendingRequest { read_ahead, keep_alive, answer, time_left };
+        spawn_local(Rc::clone(&self.frontend).adopt_with_request(stream, request));
     }
 }
 
