--- a/src/server/frontend/request_handling.rs
+++ b/src/server/frontend/request_handling.rs
@@ -75,7 +75,7 @@
     /// Passes a callback to the engine.
     fn take_callback(&self, body: Bytes) -> Response {
         if let Some(callback) = callback_parser::parse(body) {
-            self.queue.send(EngineMessage::Callback(callback, None));
+            self.queue.send(EngineMessage::CallbackReceived { callback, relay: None });
             return Response::new("200 OK", "");
         }
         // Logged at the first, second, fourth and so on: a worker that sends nonsense must not fill the log.
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -11,7 +11,7 @@
 use super::wire_names::{headers, paths, HeaderName};
 use crate::scheduling::{Idempotency, Settings};
 use crate::server::http::Head;
-use crate::server::messages::{object_of, ClientRequest, RequestPayload};
+use crate::server::messages::{affinity_key_of, ClientRequest, RequestPayload};
 
 /// The longest time that a client may say it waits; more is cut to it.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
@@ -147,7 +147,7 @@
             slots: resources.slots,
             memory: resources.memory,
             estimated_work_s,
-            affinity_key: object_of(&self.head.target),
+            affinity_key: affinity_key_of(&self.head.target),
             payload: RequestPayload {
                 name: name.clone(),
                 target: self.head.target.clone(),
