--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 use chutesaddle_gateway::{Incarnation, LinkId};
-use chutesaddle_operator_config::GatewayFile;
+use chutesaddle_operator_config::GatewaySettings;
 use chutesaddle_site_link::LinkError;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -124,7 +124,7 @@
         if file.listen != current.file.listen {
             need_restart.push("gateway listen");
         }
-        let file = GatewayFile { site: current.file.site.clone(), listen: current.file.listen, ..file };
+        let file = GatewaySettings { site: current.file.site.clone(), listen: current.file.listen, ..file };
         self.notify(SiteLinkEvent::Configure(Box::new(file.decisions.clone())));
         self.settings.send_replace(Rc::new(SiteLinkSettings { file, secret }));
         self.dial_all();
--- a/src/server/peers/site_links/settings.rs
+++ b/src/server/peers/site_links/settings.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use chutesaddle_gateway::Incarnation;
-use chutesaddle_operator_config::GatewayFile;
+use chutesaddle_operator_config::GatewaySettings;
 use chutesaddle_site_link::Secret;
 
 /// Why the secret cannot be used.
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 pub struct SiteLinkSettings {
     /// The file.
-    pub file: GatewayFile,
+    pub file: GatewaySettings,
     /// The secret.
     pub secret: Secret,
 }
