--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -18,7 +18,7 @@
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
 use chutesaddle::server::peers::site_links::{new_incarnation, SiteLinks};
-use chutesaddle::server::workers::endpoint::WorkerConnector;
+use chutesaddle::server::workers::connector::WorkerConnector;
 use chutesaddle_gateway::Gateway;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
--- a/src/server/discovery/list_version.rs
+++ b/src/server/discovery/list_version.rs
@@ -10,6 +10,9 @@
 
 use crate::server::discovery::deadlines::NOTIFIED_AFTER;
 
+#[cfg(test)]
+mod tests;
+
 /// An older list is ignored for this long. The rest of [`NOTIFIED_AFTER`], one second, is for a new poll.
 const MAX_CATCH_UP: Duration = NOTIFIED_AFTER.saturating_sub(Duration::from_secs(1));
 
--- a/src/server/discovery/watch_state.rs
+++ b/src/server/discovery/watch_state.rs
@@ -10,6 +10,9 @@
 //! In `Suspected`, the end of the watch leads to `Polling`, that of the only poll to `Watching`. A stream that is no
 //! longer open ([`WatchState::is_open`]) changes nothing when it ends; the caller drops its data unread.
 
+#[cfg(test)]
+mod tests;
+
 /// Numbers the polls of one supervisor, and the watch that a poll becomes once it has brought data.
 pub type PollId = u64;
 
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -37,7 +37,8 @@
 use crate::server::peers::gossip_transport::GossipSender;
 use crate::server::workers::attempt::{AttemptResult, AttemptTask};
 use crate::server::workers::capacity_probe::{probe, ProbeResult};
-use crate::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
+use crate::server::workers::connector::WorkerConnector;
+use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// Kept connections are looked over this often.
 const HOUSEKEEPING: Duration = Duration::from_secs(1);
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -14,7 +14,7 @@
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
 use crate::server::peers::site_links::{SiteLinkSettings, SiteLinks};
-use crate::server::workers::endpoint::WorkerConnector;
+use crate::server::workers::connector::WorkerConnector;
 
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -1,4 +1,5 @@
-//! The words between the gateway's links and the engine. Like [`crate::server::messages`], they lie below both.
+//! The messages between the links to other sites and the engine. Like [`crate::server::messages`] they know neither
+//! of the two, so that no module depends on itself in a circle.
 
 use std::time::Duration;
 
@@ -8,57 +9,57 @@
 
 use crate::server::messages::FinalAnswer;
 
-/// Frames that may wait for a link's task. What waits behind it is bounded in bytes by the link.
-const FRAMES: usize = 4096;
+/// Frames that may wait for a link's task. Those that wait to be written are bounded in bytes by the link.
+const MAX_WAITING_FRAMES: usize = 4096;
 
 /// The engine's end of a link. Dropped, it closes the link.
 #[derive(Debug)]
 pub struct LinkOutbox(mpsc::Sender<Frame>);
 
-/// A link's end of that.
+/// The link's end: brings the frames to send. Closed, the link is to close.
 pub type LinkInbox = mpsc::Receiver<Frame>;
 
 impl LinkOutbox {
     /// Both ends.
     pub fn pair() -> (Self, LinkInbox) {
-        let (sender, receiver) = mpsc::channel(FRAMES);
+        let (sender, receiver) = mpsc::channel(MAX_WAITING_FRAMES);
         (LinkOutbox(sender), receiver)
     }
 
-    /// Says something; false if the link takes nothing more, and is to be closed.
+    /// Queues a frame; false if the link takes nothing more, and is to be closed.
     pub fn send(&self, frame: Frame) -> bool {
         self.0.try_send(frame).is_ok()
     }
 }
 
-/// What the engine hears of other sites.
+/// What the links notify the engine of.
 #[derive(Debug)]
 pub enum SiteLinkEvent {
-    /// A link is up.
+    /// A link is up: its handshake is over.
     Up {
-        /// Its number.
+        /// Its number, unique within the process.
         link: LinkId,
-        /// What the other end calls its site.
+        /// The name of the other end's site.
         site: String,
-        /// That life of its process.
+        /// The incarnation of the other end's process.
         instance: u64,
-        /// This end has dialled.
+        /// Whether this end has dialled.
         dialled: bool,
-        /// The way there.
+        /// Takes frames for the other end.
         outbox: LinkOutbox,
     },
-    /// It has ended.
+    /// A link has ended.
     Down(LinkId),
-    /// Something was said on it.
+    /// A frame has been received.
     SiteLinkSettings(LinkId, Frame),
-    /// The last byte of an offer is written.
+    /// The last byte of the frame that offers this request is written: it may run from now on.
     Written(LinkId, u64),
-    /// The time there and back has been measured.
+    /// The round-trip time has changed.
     RoundTrip(LinkId, Duration),
-    /// A transaction that came in has its answer.
+    /// A request that another site has forwarded has its answer.
     Answered(Origin, FinalAnswer),
-    /// Whether this process empties itself.
+    /// Whether this process is draining.
     Drain(bool),
-    /// The operator's settings have changed.
+    /// The operator's settings of the gateway have changed.
     Configure(Box<Config>),
 }
--- a/src/server/workers/attempt/state.rs
+++ b/src/server/workers/attempt/state.rs
@@ -1,5 +1,8 @@
 //! The lifetime of an attempt on the wire. It decides what a cancellation takes.
 
+#[cfg(test)]
+mod tests;
+
 /// How far an attempt has come.
 ///
 /// | state | connected | request written | 202 received | cancel commanded | response or error |
--- a/src/server/workers/connection.rs
+++ b/src/server/workers/connection.rs
@@ -8,6 +8,9 @@
 use crate::server::descriptor_budget::DescriptorPermit;
 use crate::server::http::Connection;
 
+#[cfg(test)]
+mod tests;
+
 /// A connection to a worker.
 pub struct WorkerConnection {
     /// The connection.
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -11,9 +11,7 @@
 
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::connection_pool::ConnectionPool;
-use crate::server::workers::connector::ConnectError;
-
-pub use crate::server::workers::connector::WorkerConnector;
+use crate::server::workers::connector::{ConnectError, WorkerConnector};
 
 /// The most connections that are held in reserve for cancellations.
 const MAX_RESERVE: usize = 4;
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -1,5 +1,5 @@
-//! Several dispatchers that tell each other what they hold, over a network that loses, delays, doubles and
-//! reorders what they say, and falls in two. All on one virtual clock, by seed.
+//! Several schedulers that gossip about the load that they send, over a network that loses, delays, duplicates and
+//! reorders their messages, and splits in two. All on one virtual clock, by seed.
 
 mod common;
 
@@ -8,174 +8,277 @@
 use chutesaddle::scheduling::*;
 use common::*;
 
-const DISPATCHERS: usize = 4;
+const SCHEDULERS: usize = 4;
 const WORKERS: u64 = 8;
 const SLOTS: usize = 2;
-const STEP: f64 = 0.005;
-const SECONDS: f64 = 12.0;
-const RUN: f64 = 0.4;
-/// Arrivals a second: seven tenths of what the workers can do.
-const RATE: f64 = 0.7 * (WORKERS as f64) * (SLOTS as f64) / RUN;
+const STEP_S: f64 = 0.005;
+const TEST_S: f64 = 12.0;
+const RUN_TIME_S: f64 = 0.4;
+/// Arrivals a second: seven tenths of what the workers can serve.
+const ARRIVAL_RATE: f64 = 0.7 * (WORKERS as f64) * (SLOTS as f64) / RUN_TIME_S;
 
-/// What the network does to notes; everything else arrives at once.
+/// What the network does to gossip messages; everything else arrives at once. Fractions and seconds.
 #[derive(Clone, Copy)]
 struct Network {
     lost: f64,
-    doubled: f64,
-    delay: (f64, f64),
-    /// From then to then the dispatchers 0 and 1 hear nothing of 2 and 3, which still hear them.
-    cut: (f64, f64),
+    duplicated: f64,
+    min_delay_s: f64,
+    max_delay_s: f64,
+    /// Between these times schedulers 0 and 1 receive nothing from 2 and 3, which still receive from them.
+    split_from_s: f64,
+    split_until_s: f64,
 }
 
-const SOUND: Network = Network { lost: 0.0, doubled: 0.0, delay: (0.003, 0.02), cut: (0.0, 0.0) };
-const ROUGH: Network = Network { lost: 0.3, doubled: 0.2, delay: (0.003, 0.3), cut: (4.0, 8.0) };
+const SOUND: Network = Network {
+    lost: 0.0,
+    duplicated: 0.0,
+    min_delay_s: 0.003,
+    max_delay_s: 0.02,
+    split_from_s: 0.0,
+    split_until_s: 0.0,
+};
+const ROUGH: Network = Network {
+    lost: 0.3,
+    duplicated: 0.2,
+    min_delay_s: 0.003,
+    max_delay_s: 0.3,
+    split_from_s: 4.0,
+    split_until_s: 8.0,
+};
 const DEAD: Network = Network { lost: 1.0, ..SOUND };
 
-/// What came of it: jobs done, and jobs that came to a full worker while another had a slot free.
-#[derive(Debug)]
-struct Played {
-    done: usize,
-    asked: usize,
+/// What a run has come to.
+#[derive(Debug, Default, PartialEq, Eq)]
+struct Totals {
+    completed: usize,
+    arrived: usize,
+    /// Requests sent to a worker without a free slot while another had one.
     misplaced: usize,
-    notes: usize,
+    messages: usize,
 }
 
-/// A worker: what runs there, and what waits, by dispatcher and request.
+/// A request at a worker.
+struct PlacedRequest {
+    scheduler: usize,
+    id: u32,
+}
+
+/// A worker: what runs there until when, and what waits.
 #[derive(Default)]
-struct Box {
-    running: Vec<(f64, usize, u32)>,
-    waiting: Vec<(usize, u32)>,
+struct SimulatedWorker {
+    running: Vec<(f64, PlacedRequest)>,
+    waiting: Vec<PlacedRequest>,
+}
+
+impl SimulatedWorker {
+    fn is_full(&self) -> bool {
+        self.running.len() + self.waiting.len() >= SLOTS
+    }
+}
+
+/// A gossip message on its way.
+struct InFlight {
+    arrives_at: f64,
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+struct Simulation {
+    network: Network,
+    gossip_allowed: bool,
+    schedulers: Vec<Bench>,
+    workers: BTreeMap<u64, SimulatedWorker>,
+    in_flight: Vec<InFlight>,
+    /// Traffic and network draw apart, so that all networks see the same traffic.
+    traffic_random: fastrand::Rng,
+    network_random: fastrand::Rng,
+    started_at: f64,
+    totals: Totals,
 }
 
-fn play(seed: u64, network: Network, notes: bool) -> Played {
-    // Traffic and network draw apart, so that all networks see the same traffic.
-    let (mut rng, mut luck) = (fastrand::Rng::with_seed(seed), fastrand::Rng::with_seed(!seed));
-    let of = |index| Settings {
-        scheduler_count: DISPATCHERS,
-        scheduler_index: index,
-        load_report_fields: vec![LoadReportField::FreeSlots],
-        capacity_probes_allowed: false,
-        gossip_allowed: notes,
-        ..settings()
-    };
-    let fleet = || (1..=WORKERS).map(worker).collect();
-    let mut all: Vec<Bench> =
-        (0..DISPATCHERS).map(|i| Bench::seeded(of(i), seed ^ (i as u64) << 32, fleet())).collect();
-    let mut boxes: BTreeMap<u64, Box> = (1..=WORKERS).map(|n| (n, Box::default())).collect();
-    let mut wire: Vec<(f64, usize, usize, Vec<u8>)> = Vec::new();
-    let mut played = Played { done: 0, asked: 0, misplaced: 0, notes: 0 };
-    let start = all[0].now;
-    while all[0].now < start + SECONDS {
-        let now = all[0].now + STEP;
-        let mut acted: Vec<Vec<Action>> = all.iter_mut().map(|b| b.run(STEP)).collect();
-        if rng.f64() < RATE * STEP {
-            let to = rng.usize(..DISPATCHERS);
-            acted[to].extend(all[to].send(Event::RequestReceived(request(played.asked as u32, 0, now))));
-            played.asked += 1;
+impl Simulation {
+    fn new(seed: u64, network: Network, gossip_allowed: bool) -> Self {
+        let settings = |index| Settings {
+            scheduler_count: SCHEDULERS,
+            scheduler_index: index,
+            load_report_fields: vec![LoadReportField::FreeSlots],
+            capacity_probes_allowed: false,
+            gossip_allowed,
+            ..settings()
+        };
+        let fleet = || (1..=WORKERS).map(worker).collect();
+        let schedulers: Vec<Bench> = (0..SCHEDULERS)
+            .map(|index| Bench::seeded(settings(index), seed ^ (index as u64) << 32, fleet()))
+            .collect();
+        let started_at = schedulers[0].now;
+        Simulation {
+            network,
+            gossip_allowed,
+            schedulers,
+            workers: (1..=WORKERS).map(|id| (id, SimulatedWorker::default())).collect(),
+            in_flight: Vec::new(),
+            traffic_random: fastrand::Rng::with_seed(seed),
+            network_random: fastrand::Rng::with_seed(!seed),
+            started_at,
+            totals: Totals::default(),
         }
-        // Later copies may arrive first: the order of arrival is by each one's own delay.
-        let due;
-        (due, wire) = wire.into_iter().partition(|note| note.0 <= now);
-        for (_, from, to, bytes) in due {
-            acted[to].extend(all[to].send(Event::GossipReceived { from, bytes }));
+    }
+
+    fn run(mut self) -> Totals {
+        while self.schedulers[0].now < self.started_at + TEST_S {
+            self.step();
+        }
+        self.totals
+    }
+
+    fn step(&mut self) {
+        let now = self.schedulers[0].now + STEP_S;
+        let mut actions: Vec<Vec<Action>> =
+            self.schedulers.iter_mut().map(|scheduler| scheduler.run(STEP_S)).collect();
+        self.requests_arrive(now, &mut actions);
+        self.messages_arrive(now, &mut actions);
+        self.workers_run(now, &mut actions);
+        for (scheduler, actions) in actions.into_iter().enumerate() {
+            for action in actions {
+                self.carry_out(now, scheduler, action);
+            }
         }
-        for at in boxes.values_mut() {
-            let (over, running): (Vec<_>, Vec<_>) = at.running.drain(..).partition(|run| run.0 <= now);
-            at.running = running;
-            for (_, dispatcher, id) in over {
-                let free_slots = Some((SLOTS - at.running.len()) as f64);
-                let load = LoadReport { free_slots, ..LoadReport::default() };
-                let ended = AttemptEnded {
+    }
+
+    fn requests_arrive(&mut self, now: f64, actions: &mut [Vec<Action>]) {
+        if self.traffic_random.f64() >= ARRIVAL_RATE * STEP_S {
+            return;
+        }
+        let scheduler = self.traffic_random.usize(..SCHEDULERS);
+        let received = Event::RequestReceived(request(self.totals.arrived as u32, 0, now));
+        actions[scheduler].extend(self.schedulers[scheduler].send(received));
+        self.totals.arrived += 1;
+    }
+
+    /// Messages arrive each after its own delay, so a later one may arrive first.
+    fn messages_arrive(&mut self, now: f64, actions: &mut [Vec<Action>]) {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (due, later) = in_flight.into_iter().partition(|message| message.arrives_at <= now);
+        self.in_flight = later;
+        let due: Vec<InFlight> = due;
+        for InFlight { from, to, bytes, .. } in due {
+            actions[to].extend(self.schedulers[to].send(Event::GossipReceived { from, bytes }));
+        }
+    }
+
+    fn workers_run(&mut self, now: f64, actions: &mut [Vec<Action>]) {
+        for worker in self.workers.values_mut() {
+            let (over, running): (Vec<_>, Vec<_>) =
+                worker.running.drain(..).partition(|(until, _)| *until <= now);
+            worker.running = running;
+            for (_, PlacedRequest { scheduler, id }) in over {
+                let free_slots = Some((SLOTS - worker.running.len()) as f64);
+                let ended = Event::AttemptEnded(AttemptEnded {
                     request: RequestId(id),
                     attempt: 0,
                     outcome: AttemptOutcome::Succeeded,
                     client_answered: true,
-                    load,
-                };
-                acted[dispatcher].extend(all[dispatcher].send(Event::AttemptEnded(ended)));
-                played.done += 1;
+                    load: LoadReport { free_slots, ..LoadReport::default() },
+                });
+                actions[scheduler].extend(self.schedulers[scheduler].send(ended));
+                self.totals.completed += 1;
             }
-            while at.running.len() < SLOTS && !at.waiting.is_empty() {
-                let (dispatcher, id) = at.waiting.remove(0);
-                at.running.push((now + RUN, dispatcher, id));
-                let started = Event::AttemptStarted { request: RequestId(id), attempt: 0 };
-                acted[dispatcher].extend(all[dispatcher].send(started));
+            while worker.running.len() < SLOTS && !worker.waiting.is_empty() {
+                let placed = worker.waiting.remove(0);
+                let started = Event::AttemptStarted { request: RequestId(placed.id), attempt: 0 };
+                actions[placed.scheduler].extend(self.schedulers[placed.scheduler].send(started));
+                worker.running.push((now + RUN_TIME_S, placed));
             }
         }
-        for (dispatcher, actions) in acted.into_iter().enumerate() {
-            for action in actions {
-                match action {
-                    Action::Dispatch { request, worker } => {
-                        let full = |at: &Box| at.running.len() + at.waiting.len() >= SLOTS;
-                        let better = boxes.values().any(|at| !full(at));
-                        let at = boxes.get_mut(&worker.0).expect("only what is listed is used");
-                        played.misplaced += usize::from(full(at) && better);
-                        at.waiting.push((dispatcher, request.0));
-                    }
-                    Action::BroadcastGossip(bytes) => {
-                        assert!(bytes.len() <= 256 && notes);
-                        played.notes += 1;
-                        let cut = now - start >= network.cut.0 && now - start < network.cut.1;
-                        for to in (0..DISPATCHERS).filter(|to| *to != dispatcher) {
-                            let copies = 1 + usize::from(luck.f64() < network.doubled);
-                            for _ in 0..copies {
-                                let delay =
-                                    network.delay.0 + luck.f64() * (network.delay.1 - network.delay.0);
-                                let lost = luck.f64() < network.lost || cut && dispatcher >= 2 && to < 2;
-                                if !lost {
-                                    wire.push((now + delay, dispatcher, to, bytes.clone()));
-                                }
-                            }
-                        }
-                    }
-                    _ => {}
+    }
+
+    fn carry_out(&mut self, now: f64, scheduler: usize, action: Action) {
+        match action {
+            Action::Dispatch { request, worker } => {
+                let other_is_free = self.workers.values().any(|worker| !worker.is_full());
+                let worker = self.workers.get_mut(&worker.0).expect("only listed workers are used");
+                self.totals.misplaced += usize::from(worker.is_full() && other_is_free);
+                worker.waiting.push(PlacedRequest { scheduler, id: request.0 });
+            }
+            Action::BroadcastGossip(bytes) => self.broadcast(now, scheduler, &bytes),
+            _ => {}
+        }
+    }
+
+    fn broadcast(&mut self, now: f64, from: usize, bytes: &[u8]) {
+        assert!(bytes.len() <= 256 && self.gossip_allowed);
+        self.totals.messages += 1;
+        let Network { lost, duplicated, min_delay_s, max_delay_s, split_from_s, split_until_s } =
+            self.network;
+        let elapsed = now - self.started_at;
+        let is_split = elapsed >= split_from_s && elapsed < split_until_s;
+        for to in (0..SCHEDULERS).filter(|to| *to != from) {
+            let copies = 1 + usize::from(self.network_random.f64() < duplicated);
+            for _ in 0..copies {
+                let delay = min_delay_s + self.network_random.f64() * (max_delay_s - min_delay_s);
+                let crosses_split = is_split && from >= 2 && to < 2;
+                if self.network_random.f64() < lost || crosses_split {
+                    continue;
                 }
+                self.in_flight.push(InFlight { arrives_at: now + delay, from, to, bytes: bytes.to_vec() });
             }
         }
     }
-    played
 }
 
-fn sum(network: Network, notes: bool, seeds: std::ops::Range<u64>) -> (usize, usize, usize) {
-    let each = seeds.map(|seed| play(seed, network, notes));
-    each.fold((0, 0, 0), |sum, p| (sum.0 + p.asked, sum.1 + p.misplaced, sum.2 + p.notes))
+fn totals(network: Network, gossip_allowed: bool, seeds: std::ops::Range<u64>) -> Totals {
+    let mut sum = Totals::default();
+    for seed in seeds {
+        let run = Simulation::new(seed, network, gossip_allowed).run();
+        sum.completed += run.completed;
+        sum.arrived += run.arrived;
+        sum.misplaced += run.misplaced;
+        sum.messages += run.messages;
+    }
+    sum
 }
 
 #[test]
-fn those_that_tell_each_other_send_to_full_workers_less() {
-    let (asked, blind, none) = sum(SOUND, false, 0..6);
-    let (_, told, notes) = sum(SOUND, true, 0..6);
-    let (_, rough, _) = sum(ROUGH, true, 0..6);
-    assert!(asked > 1500 && none == 0 && notes > 2000, "{asked} jobs, {notes} notes");
-    assert!(2 * told < blind, "{told} of {asked} misplaced, {blind} without notes");
-    assert!(rough < blind, "{rough} of {asked} misplaced over a rough network, {blind} without notes");
+fn gossip_makes_schedulers_misplace_fewer_requests() {
+    let silent = totals(SOUND, false, 0..6);
+    let gossiping = totals(SOUND, true, 0..6);
+    let rough = totals(ROUGH, true, 0..6);
+    assert!(
+        silent.arrived > 1500 && silent.messages == 0 && gossiping.messages > 2000,
+        "{silent:?} {gossiping:?}"
+    );
+    assert!(2 * gossiping.misplaced < silent.misplaced, "{gossiping:?}, without gossip {silent:?}");
+    assert!(rough.misplaced < silent.misplaced, "{rough:?} over a rough network, without gossip {silent:?}");
 }
 
 #[test]
-fn notes_that_never_arrive_leave_things_as_they_were() {
-    // Who hears nothing goes by its own traffic, job for job as if notes were not allowed.
+fn lost_gossip_changes_no_decision() {
+    // A scheduler that receives nothing decides by its own traffic, request for request as without gossip.
     for seed in 0..4 {
-        let (dead, without) = (play(seed, DEAD, true), play(seed, SOUND, false));
-        let came = |p: &Played| (p.asked, p.done, p.misplaced);
-        assert_eq!(came(&dead), came(&without), "seed {seed}");
+        let lost = Totals { messages: 0, ..Simulation::new(seed, DEAD, true).run() };
+        let without = Totals { messages: 0, ..Simulation::new(seed, SOUND, false).run() };
+        assert_eq!(lost, without, "seed {seed}");
     }
 }
 
 #[test]
-fn a_note_of_its_own_that_comes_back_is_not_another_dispatchers() {
-    let s =
+fn ignores_its_own_gossip_when_it_comes_back() {
+    let settings =
         Settings { scheduler_count: 2, gossip_allowed: true, capacity_probes_allowed: false, ..settings() };
-    let mut b = Bench::new(s, (1..=4).map(worker).collect());
-    (0..4).for_each(|id| drop(b.send(Event::RequestReceived(request(id, 0, b.now)))));
-    let actions = b.run(0.2);
-    let note = actions.iter().rev().find_map(|action| match action {
+    let mut scheduler = Bench::new(settings, (1..=4).map(worker).collect());
+    for id in 0..4 {
+        scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
+    }
+    let actions = scheduler.run(0.2);
+    let message = actions.iter().rev().find_map(|action| match action {
         Action::BroadcastGossip(bytes) if bytes.len() > 5 => Some(bytes.clone()),
         _ => None,
     });
-    let note = note.expect("it tells what it holds");
-    let free = b.d.capacity_summary().free;
-    b.send(Event::GossipReceived { from: 0, bytes: note.clone() });
-    assert_eq!(b.d.capacity_summary().free, free);
-    b.send(Event::GossipReceived { from: 1, bytes: note });
-    assert_ne!(b.d.capacity_summary().free, free, "another's counts");
+    let message = message.expect("it broadcasts the slots that it holds");
+    let free = scheduler.d.capacity_summary().free;
+    scheduler.send(Event::GossipReceived { from: 0, bytes: message.clone() });
+    assert_eq!(scheduler.d.capacity_summary().free, free);
+    scheduler.send(Event::GossipReceived { from: 1, bytes: message });
+    assert_ne!(scheduler.d.capacity_summary().free, free, "that of another scheduler counts");
 }
--- a/tests/server/gossip.rs
+++ b/tests/server/gossip.rs
@@ -1,16 +1,16 @@
-//! Notes between schedulers, as far as one of them can be seen from outside: who may tell it something, and that
-//! it serves whatever comes. Several at a time are in the trials.
+//! Gossip between schedulers, as far as one of them shows it: whose messages it accepts, and that it serves whatever
+//! arrives. Several at a time are in the fault-injection tests.
 
 use rstest::rstest;
 
 use crate::scenario::{play, NOTES};
 
 #[rstest]
-#[case::of_a_stranger("x send datagram 8")]
-#[case::of_no_length("n1 send datagram 0")]
-#[case::longer_than_any("n1 send datagram 300")]
-#[case::of_another_form("n1 send datagram 8")]
-fn a_datagram_that_is_no_note_is_ignored_and_counted(#[case] sent: &str) {
+#[case::from_a_stranger("x send datagram 8")]
+#[case::empty("n1 send datagram 0")]
+#[case::too_long("n1 send datagram 300")]
+#[case::in_another_format("n1 send datagram 8")]
+fn ignores_and_counts_a_datagram_that_is_no_gossip_message(#[case] sent: &str) {
     play(
         &NOTES,
         &format!(
@@ -28,9 +28,9 @@
     );
 }
 
-/// The file of one deployment gives way to that of the other and back, while a job is out.
+/// The settings of one deployment are replaced by those of another and back, while a request is in flight.
 #[test]
-fn the_settings_of_another_deployment_are_taken_up_on_sighup() {
+fn applies_the_settings_of_another_deployment_on_sighup() {
     play(
         &NOTES,
         r#"n1 expect note
