--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -143,7 +143,7 @@
     async fn begin(&self, number: usize) -> io::Result<()> {
         let node = &self.nodes[number];
         let process = SchedulerProcess::start(&self.program, &node.file, None, &node.dir)?;
-        let address = process.address("serves on ").await?;
+        let address = process.address("serving clients address=").await?;
         if node.tells {
             self.wires.listens(number, Some(process.address("listening for gossip address=").await?));
         }
--- a/crates/test-doubles/src/scheduler_process.rs
+++ b/crates/test-doubles/src/scheduler_process.rs
@@ -62,7 +62,7 @@
         loop {
             let found = self.log().iter().rev().find_map(|line| {
                 let (_, rest) = line.split_once(text)?;
-                rest.trim().parse().ok()
+                rest.split_whitespace().next()?.parse().ok()
             });
             if let Some(address) = found {
                 return Ok(address);
