--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -8,11 +8,11 @@
 //! | question | file |
 //! | --- | --- |
 //! | which peers are dialled, what a reload changes | here |
-//! | states of a dialled link, backoff | [`dialer`] |
-//! | who is accepted | [`listener`] |
-//! | the handshake on a stream | [`handshake`] |
-//! | frames between stream and engine, the reason given at the end | [`frames`] |
-//! | secret and incarnation | [`settings`] |
+//! | states of a dialled link, backoff | `site_links/dialer.rs` |
+//! | who is accepted | `site_links/listener.rs` |
+//! | the handshake on a stream | `site_links/handshake.rs` |
+//! | frames between stream and engine, the reason given at the end | `site_links/frames.rs` |
+//! | secret and incarnation | `site_links/settings.rs` |
 //!
 //! Framing, authentication and heartbeats are in `crates/site-link`, which opens no socket. What the frames mean is
 //! decided in `crates/gateway`, which the engine runs.
--- a/src/server/workers/attempt.rs
+++ b/src/server/workers/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt of a request at one worker, from the connect until the engine needs it no more.
 //!
-//! [`exchange`] sends the request and reads the response. A response of 202 accepts the request: its callbacks, which
-//! go to the engine directly, report the result, and the attempt waits for the engine's command. [`cancellation`]
-//! sends the `DELETE` if the engine cancels the attempt, and [`state`] tells how far the attempt has come.
+//! `exchange` sends the request and reads the response. A response of 202 accepts the request: its callbacks, which
+//! go to the engine directly, report the result, and the attempt waits for the engine's command. `cancellation`
+//! sends the `DELETE` if the engine cancels the attempt, and `state` tells how far the attempt has come.
 //!
 //! Not decided here: which worker, when to cancel, and whether to retry (scheduling), and what an end proves about
 //! the request ([`AttemptEnd::outcome`]).
--- a/tests/server/scenario/stage.rs
+++ b/tests/server/scenario/stage.rs
@@ -5,6 +5,8 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use tokio::net::TcpSocket;
+
 use super::connection::{head_and_body, Connection};
 use super::operator::OPERATORS;
 use super::process::Scheduler;
@@ -31,6 +33,8 @@
     site_wire: Option<SiteWire>,
     datagrams: HashMap<String, UdpSocket>,
     other_build: Option<OtherBuild>,
+    /// Sockets that keep the ports of closed listeners bound; they do not listen.
+    closed_doors: Vec<TcpSocket>,
 }
 
 impl Stage {
@@ -69,6 +73,7 @@
             site_wire,
             datagrams,
             other_build: None,
+            closed_doors: Vec::new(),
         }
     }
 
@@ -99,7 +104,7 @@
             (_, "close") => {
                 self.connections.remove(actor);
                 if text == "door" {
-                    self.listeners.remove(actor);
+                    return self.close_door(actor);
                 }
                 Ok(())
             }
@@ -107,6 +112,18 @@
         }
     }
 
+    /// Refuses connections from now on. The port stays bound: another listener that got it would accept them.
+    fn close_door(&mut self, actor: &str) -> Step {
+        self.listeners.remove(actor);
+        let address =
+            self.addresses.get(actor).and_then(|address| address.parse().ok()).ok_or("no listener")?;
+        let reserved = TcpSocket::new_v4().map_err(|e| e.to_string())?;
+        reserved.set_reuseaddr(true).map_err(|e| e.to_string())?;
+        reserved.bind(address).map_err(|e| e.to_string())?;
+        self.closed_doors.push(reserved);
+        Ok(())
+    }
+
     pub(super) fn logs(&self) -> String {
         self.processes.iter().map(|(name, process)| format!("{name}:\n{}", process.log())).collect()
     }
