--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -59,7 +59,8 @@
 use crate::server::messages::FinalAnswer;
 use crate::server::metrics::Counters;
 use crate::server::peers::gossip_transport::GossipSender;
-use crate::server::workers::endpoint::{WorkerConnector, WorkerEndpoint};
+use crate::server::workers::connector::WorkerConnector;
+use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// How often idle connections to workers are checked.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(1);
