--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -6,7 +6,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chutesaddle_fault_injection::notes::{self, Report, Terms};
+use chutesaddle_fault_injection::agreement;
+use chutesaddle_fault_injection::gossip::{self, Report, Scenario};
 use chutesaddle_fault_injection::plan::Plan;
 use chutesaddle_test_doubles::program::{build_scheduler, TempDirectory};
 use clap::{Parser, Subcommand};
@@ -14,7 +15,9 @@
 use tokio::task::LocalSet;
 
 /// Plans tried at the most while a failing one is made smaller.
-const SMALLER: usize = 20;
+const MOST_SMALLER_PLANS: usize = 20;
+/// The trial could not be played.
+const EXIT_NOT_PLAYED: u8 = 2;
 
 /// Several schedulers together, with faults between them, judged from outside.
 #[derive(Parser)]
@@ -25,13 +28,14 @@
 )]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    trial: Trial,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Schedulers tell each other what they hold: with faults, without any, and without telling
-    Notes(Common),
+enum Trial {
+    /// Schedulers that gossip: with faults, without any, and without gossip
+    #[command(name = "notes")]
+    Gossip(GossipArguments),
     /// The protocol of agreed settings on a virtual network, many seeds in a row
     AgreementNetwork(Seeds),
 }
@@ -47,8 +51,8 @@
 }
 
 #[derive(clap::Args)]
-struct Common {
-    /// For the traffic, the wires and, without --plan, the faults
+struct GossipArguments {
+    /// For the traffic, the network and, without --plan, the faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// How many schedulers
@@ -57,7 +61,7 @@
     /// How long clients keep coming; answers are waited for after that
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(3..=600))]
     seconds: u64,
-    /// What is asked for, in percent of what the boxes can do
+    /// What is asked for, in percent of the workers' capacity
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..=200))]
     load: u64,
     /// The faults, as KDL
@@ -68,104 +72,143 @@
     alone: bool,
 }
 
-/// The last line.
+impl GossipArguments {
+    fn scenario(&self) -> Scenario {
+        Scenario {
+            seed: self.seed,
+            nodes: self.nodes as usize,
+            seconds: self.seconds,
+            load: self.load as f64 / 100.0,
+            gossip: true,
+        }
+    }
+
+    /// The plan of the file, or one drawn from the seed.
+    fn plan(&self) -> io::Result<Plan> {
+        let nodes = self.nodes as usize;
+        let Some(path) = &self.plan else {
+            return Ok(Plan::draw(self.seed, nodes, Duration::from_secs(self.seconds)));
+        };
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| io::Error::other(format!("cannot read {}: {error}", path.display())))?;
+        Plan::read(&path.display().to_string(), &text, nodes).map_err(io::Error::other)
+    }
+}
+
+/// The last line. Its keys are printed, and keep their names.
 #[derive(Serialize)]
-struct Said {
+struct Summary {
     trial: &'static str,
     seed: u64,
     nodes: usize,
     with_faults: Report,
-    /// The same traffic without faults, and without faults and notes.
+    /// The same traffic without faults.
     without_faults: Option<Report>,
-    without_notes: Option<Report>,
+    /// The same traffic without faults and without gossip.
+    #[serde(rename = "without_notes")]
+    without_gossip: Option<Report>,
     broken: Vec<String>,
 }
 
 fn main() -> ExitCode {
-    let arguments = match Arguments::parse().what {
-        What::Notes(arguments) => arguments,
-        What::AgreementNetwork(Seeds { seed, seeds }) => {
-            let report = chutesaddle_fault_injection::agreement::play(seed, seeds);
-            return match serde_json::to_string(&report) {
-                Ok(line) => {
-                    println!("{line}");
-                    ExitCode::from(u8::from(!report.broken.is_empty()))
-                }
-                Err(_) => ExitCode::from(2),
-            };
+    match Arguments::parse().trial {
+        Trial::Gossip(arguments) => play_gossip(&arguments),
+        Trial::AgreementNetwork(seeds) => play_agreement(&seeds),
+    }
+}
+
+fn play_agreement(seeds: &Seeds) -> ExitCode {
+    let report = agreement::play(seeds.seed, seeds.seeds);
+    match serde_json::to_string(&report) {
+        Ok(line) => {
+            println!("{line}");
+            ExitCode::from(u8::from(!report.broken.is_empty()))
         }
-    };
+        Err(_) => ExitCode::from(EXIT_NOT_PLAYED),
+    }
+}
+
+fn play_gossip(arguments: &GossipArguments) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let played = runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, notes(&arguments)));
+    let played = runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, run_gossip(arguments)));
     match played {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("error: the trial could not be played: {error}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_NOT_PLAYED)
         }
     }
 }
 
-fn plan(arguments: &Common, nodes: usize) -> io::Result<Plan> {
-    let length = Duration::from_secs(arguments.seconds);
-    let Some(path) = &arguments.plan else { return Ok(Plan::draw(arguments.seed, nodes, length)) };
-    let text = std::fs::read_to_string(path)
-        .map_err(|error| io::Error::other(format!("cannot read {}: {error}", path.display())))?;
-    Plan::read(&path.display().to_string(), &text, nodes).map_err(io::Error::other)
-}
-
-async fn notes(arguments: &Common) -> io::Result<bool> {
-    let nodes = arguments.nodes as usize;
-    let plan = plan(arguments, nodes)?;
-    let (program, folder) = (build_scheduler()?, TempDirectory::new("trial")?);
-    let load = arguments.load as f64 / 100.0;
-    let terms = Terms { seed: arguments.seed, nodes, seconds: arguments.seconds, load, notes: true };
+/// Plays the trial; whether all promises were kept.
+async fn run_gossip(arguments: &GossipArguments) -> io::Result<bool> {
+    let plan = arguments.plan()?;
+    let (program, directory) = (build_scheduler()?, TempDirectory::new("trial")?);
+    let dir = &directory.0;
+    let scenario = arguments.scenario();
     eprint!("{} faults:\n{plan}", plan.0.len());
-    let with_faults = one(&program, &folder.0, &terms, &plan, "with faults").await?;
-    let mut compared = [None, None];
+    let with_faults = play_once(&program, dir, &scenario, &plan, "with faults").await?;
+    let (mut without_faults, mut without_gossip) = (None, None);
     if !arguments.alone {
-        let none = Plan::default();
-        compared[0] = Some(one(&program, &folder.0, &terms, &none, "without faults").await?);
-        let silent = Terms { notes: false, ..terms };
-        compared[1] = Some(one(&program, &folder.0, &silent, &none, "without notes").await?);
+        let no_faults = Plan::default();
+        let report = play_once(&program, dir, &scenario, &no_faults, "without faults").await?;
+        without_faults = Some(report);
+        let silent = Scenario { gossip: false, ..scenario };
+        without_gossip = Some(play_once(&program, dir, &silent, &no_faults, "without notes").await?);
     }
     let broken = with_faults.broken();
-    if !broken.is_empty() {
-        let least = smaller(&program, &folder.0, &terms, plan).await?;
-        println!("the smallest plan found that breaks it ({} faults):\n{least}", least.0.len());
-        println!(
-            "to play it again, save it as plan.kdl: cargo trial notes --seed {} --nodes {nodes} --seconds {} --load {} \
-             --alone --plan plan.kdl",
-            arguments.seed, arguments.seconds, arguments.load
-        );
-    }
     let kept = broken.is_empty();
-    let [without_faults, without_notes] = compared;
-    let seed = arguments.seed;
-    let said = Said { trial: "notes", seed, nodes, with_faults, without_faults, without_notes, broken };
-    println!("{}", serde_json::to_string(&said)?);
+    if !kept {
+        let smallest = smallest_failing(&program, dir, &scenario, plan).await?;
+        print_reproduction(arguments, &smallest);
+    }
+    let (seed, nodes) = (scenario.seed, scenario.nodes);
+    let summary =
+        Summary { trial: "notes", seed, nodes, with_faults, without_faults, without_gossip, broken };
+    println!("{}", serde_json::to_string(&summary)?);
     Ok(kept)
 }
 
-async fn one(program: &Path, dir: &Path, terms: &Terms, plan: &Plan, what: &str) -> io::Result<Report> {
-    let report = notes::play(program, dir, terms, plan).await?;
-    let Report { jobs, served, rejected, lost, lost_with_theirs, doubled, misplaced, runs, .. } = &report;
+fn print_reproduction(arguments: &GossipArguments, plan: &Plan) {
+    let GossipArguments { seed, nodes, seconds, load, .. } = arguments;
+    println!("the smallest plan found that breaks it ({} faults):\n{plan}", plan.0.len());
+    println!(
+        "to play it again, save it as plan.kdl: cargo trial notes --seed {seed} --nodes {nodes} --seconds {seconds} \
+         --load {load} --alone --plan plan.kdl"
+    );
+}
+
+async fn play_once(
+    program: &Path,
+    dir: &Path,
+    scenario: &Scenario,
+    plan: &Plan,
+    name: &str,
+) -> io::Result<Report> {
+    let report = gossip::play(program, dir, scenario, plan).await?;
+    let Report { requests, served, rejected, lost, lost_with_scheduler, .. } = &report;
+    let Report { duplicate_runs, misplaced, runs, .. } = &report;
     println!(
-        "{what:15} {jobs} jobs: {served} served, {rejected} rejected, {lost} lost, {lost_with_theirs} lost with their \
-         scheduler; of {runs} runs {misplaced} misplaced, {doubled} too many; median {} ms",
+        "{name:15} {requests} jobs: {served} served, {rejected} rejected, {lost} lost, {lost_with_scheduler} lost with \
+         their scheduler; of {runs} runs {misplaced} misplaced, {duplicate_runs} too many; median {} ms",
         report.latency_ms[0]
     );
     Ok(report)
 }
 
 /// Leaves out one fault after the other, as long as what is left still breaks a promise.
-async fn smaller(program: &Path, dir: &Path, terms: &Terms, mut plan: Plan) -> io::Result<Plan> {
+async fn smallest_failing(
+    program: &Path,
+    dir: &Path,
+    scenario: &Scenario,
+    mut plan: Plan,
+) -> io::Result<Plan> {
     let mut tried = 0;
-    'smaller: while tried < SMALLER {
-        for fewer in plan.clone().without().take(SMALLER - tried) {
+    'smaller: while tried < MOST_SMALLER_PLANS {
+        for fewer in plan.clone().without_one().take(MOST_SMALLER_PLANS - tried) {
             tried += 1;
-            if !notes::play(program, dir, terms, &fewer).await?.broken().is_empty() {
+            if !gossip::play(program, dir, scenario, &fewer).await?.broken().is_empty() {
                 plan = fewer;
                 continue 'smaller;
             }
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 use chutesaddle_fault_injection::agreement;
-use chutesaddle_fault_injection::notes::{play, Terms};
+use chutesaddle_fault_injection::gossip::{play, Scenario};
 use chutesaddle_fault_injection::plan::Plan;
 
 /// Plays a plan in a folder of its own and fails if a promise is broken or the faults were not felt.
 fn keeps(name: &str, seed: u64, plan: &Plan) {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("trial-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let terms = Terms { seed, nodes: 4, seconds: 4, load: 0.5, notes: true };
+    let scenario = Scenario { seed, nodes: 4, seconds: 4, load: 0.5, gossip: true };
     let program = Path::new(env!("CARGO_BIN_EXE_chutesaddle"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let local = tokio::task::LocalSet::new();
-    let report = local.block_on(&runtime, play(program, &dir, &terms, plan)).unwrap();
+    let report = local.block_on(&runtime, play(program, &dir, &scenario, plan)).unwrap();
     let text = format!("{plan}{report:?}");
     assert_eq!(report.broken(), Vec::<String>::new(), "{text}");
     assert!(report.served > 40 && report.datagrams.arrived > 100, "{text}");
-    assert!(report.datagrams.lost + report.datagrams.cut > 0, "the faults were not felt: {text}");
+    assert!(report.datagrams.lost + report.datagrams.partitioned > 0, "the faults were not felt: {text}");
 }
 
 #[test]
