--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -136,7 +136,7 @@
         let process = SchedulerProcess::start(&self.program, &node.config_file, None, &node.dir)?;
         let address = process.address("serves on ").await?;
         if node.gossips {
-            let gossip_address = process.address("notes of other schedulers arrive at ").await?;
+            let gossip_address = process.address("listening for gossip address=").await?;
             self.network.set_receiver(number, Some(gossip_address));
         }
         for listener in &node.listeners {
