--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -218,7 +218,7 @@
     let (engine, queue) =
         Engine::new(settings.clone(), config.seed, Rc::clone(&connector), Rc::clone(counters), peers.clone());
     let (gossip_sender, gossip_queue) = gossip_transport::channel();
-    let (engine, site_links) = add_gateway(engine.with_notes(gossip_sender), site_links, &queue, lifecycle);
+    let (engine, site_links) = add_gateway(engine.with_gossip(gossip_sender), site_links, &queue, lifecycle);
     let discovery_watch = DiscoveryWatch::new(
         config.discovery,
         config.known_endpoints.version,
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -138,7 +138,7 @@
     }
 
     /// Adds a way to the other schedulers of the site.
-    pub fn with_notes(mut self, gossip: GossipSender) -> Self {
+    pub fn with_gossip(mut self, gossip: GossipSender) -> Self {
         self.gossip = Some(gossip);
         self
     }
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -4,22 +4,23 @@
 //! ([`crate::server::workers::attempt`]), which reports its end through the engine's queue. A callback may
 //! have ended the attempt before, in which case the task's report is ignored.
 
-use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
 
-use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
 use super::attempt_state::{Attempt, AttemptChange};
+use super::request_table::{StartedAttempt, TrackedRequest};
 use super::Engine;
 use crate::scheduling::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::EngineMessage;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::load_report::{self, Report};
+use crate::server::metrics::Counters;
 use crate::server::workers::attempt::{AttemptResult, AttemptTask};
 use crate::server::workers::capacity_probe::{probe, ProbeResult};
+use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// How an attempt ended, with the load that its worker reported along with it.
 pub(super) struct Ending {
@@ -34,25 +35,15 @@
         let Some(worker) = self.workers.get(&worker_id).filter(|_| request.is_waiting()) else {
             return self.not_dispatched(id, worker_id);
         };
-        let (command, commands) = oneshot::channel();
-        let accepted = Rc::new(Cell::new(false));
-        let attempt = request.attempts.len();
-        request.attempts.push(Attempt::running(worker_id, command, Rc::clone(&accepted)));
+        let started = request.start_attempt(worker_id, false);
+        let attempt = started.number;
         self.counters.flows.add();
         let name = request.payload.name.escape_ascii();
         tracing::debug!(request = %name, attempt, worker = worker.name, "attempt dispatched");
         if let Some(forwarding) = &mut self.forwarding {
             forwarding.runs_at_this_site(&self.settings.classes[request.class], &request.payload);
         }
-        let task = AttemptTask {
-            worker: Rc::clone(worker),
-            payload: Rc::clone(&request.payload),
-            deadline: request.deadline,
-            command: commands,
-            counters: Rc::clone(&self.counters),
-            class: self.counters.class(request.class),
-            accepted,
-        };
+        let task = attempt_task(&self.counters, request, Rc::clone(worker), started);
         let (worker_name, class) = (worker.name.clone(), request.class);
         let work_s = request.estimated_work_s.unwrap_or(0.0);
         self.spawn_attempt(id, attempt, task.run());
@@ -172,3 +163,21 @@
         load
     }
 }
+
+/// The task of an attempt at this worker.
+pub(super) fn attempt_task(
+    counters: &Rc<Counters>,
+    request: &TrackedRequest,
+    worker: Rc<WorkerEndpoint>,
+    started: StartedAttempt,
+) -> AttemptTask {
+    AttemptTask {
+        worker,
+        payload: Rc::clone(&request.payload),
+        deadline: request.deadline,
+        command: started.commands,
+        counters: Rc::clone(counters),
+        class: counters.class(request.class),
+        accepted: started.accepted,
+    }
+}
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -9,7 +9,6 @@
 //! The frames are in [`crate::server::lifecycle::handover_frames`], the sockets of the clients in
 //! [`crate::server::frontend`].
 
-use std::cell::Cell;
 use std::collections::HashSet;
 use std::rc::Rc;
 
@@ -18,6 +17,7 @@
 use tokio::time::Instant;
 
 use super::attempt_state::{Attempt, AttemptChange};
+use super::attempts::attempt_task;
 use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
@@ -27,7 +27,6 @@
     ClientRequest, FinalAnswer, MigratedAttempt, MigratedRequest, PeerProcessId, ProcessRole,
 };
 use crate::server::metrics::Gauge;
-use crate::server::workers::attempt::AttemptTask;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// Whether requests migrate from this process.
@@ -182,10 +181,8 @@
             request.attempts.push(Attempt::ended(worker));
             return;
         }
-        let (command, commands) = oneshot::channel();
-        let accepted = Rc::new(Cell::new(true));
-        let attempt = request.attempts.len();
-        request.attempts.push(Attempt::running(worker, command, Rc::clone(&accepted)));
+        let started = request.start_attempt(worker, true);
+        let attempt = started.number;
         let endpoint = self.workers.get(&worker).cloned().or_else(|| {
             let connector = Rc::clone(&self.connector);
             let address = migrated.address?;
@@ -193,15 +190,7 @@
         });
         // Without an address there is nowhere to send a cancellation.
         let Some(endpoint) = endpoint else { return };
-        let task = AttemptTask {
-            worker: endpoint,
-            payload: Rc::clone(&request.payload),
-            deadline: request.deadline,
-            command: commands,
-            counters: Rc::clone(&self.counters),
-            class: self.counters.class(request.class),
-            accepted,
-        };
+        let task = attempt_task(&self.counters, request, endpoint, started);
         self.spawn_attempt(id, attempt, task.run_accepted());
     }
 
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -8,6 +8,7 @@
 //! The table holds these records and finds them by number or by name. It decides nothing: see
 //! [`super::requests`] for what happens to a request, and [`super::attempts`] for what happens to an attempt.
 
+use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -17,8 +18,8 @@
 
 use super::attempt_state::Attempt;
 use super::site_forwarding::ForwardingState;
-use crate::scheduling::RequestId;
-use crate::server::messages::{ClientRequest, FinalAnswer, RequestPayload};
+use crate::scheduling::{RequestId, WorkerId};
+use crate::server::messages::{AttemptCommand, ClientRequest, FinalAnswer, RequestPayload};
 use crate::server::metrics::Gauged;
 
 /// Whether the client of a request still waits for its answer.
@@ -45,6 +46,16 @@
     Disconnected,
 }
 
+/// An attempt that was added to its request, and the task's ends of it.
+pub(super) struct StartedAttempt {
+    /// Its number in the request.
+    pub(super) number: usize,
+    /// What the task is commanded.
+    pub(super) commands: oneshot::Receiver<AttemptCommand>,
+    /// The task sets it once the worker has accepted the request.
+    pub(super) accepted: Rc<Cell<bool>>,
+}
+
 /// A request from its acceptance until nothing of it is left to do.
 pub(super) struct TrackedRequest {
     /// Index into the settings' classes.
@@ -96,6 +107,15 @@
         }
     }
 
+    /// Adds an attempt whose task is to run; `accepted` if the worker has accepted the request already.
+    pub(super) fn start_attempt(&mut self, worker: WorkerId, accepted: bool) -> StartedAttempt {
+        let (command, commands) = oneshot::channel();
+        let accepted = Rc::new(Cell::new(accepted));
+        let number = self.attempts.len();
+        self.attempts.push(Attempt::running(worker, command, Rc::clone(&accepted)));
+        StartedAttempt { number, commands, accepted }
+    }
+
     /// Whether the client waits for its answer.
     pub(super) fn is_waiting(&self) -> bool {
         match self.client {
