--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -60,7 +60,7 @@
                 self.notify_gateway(GatewayEvent::OutboundLinkDown(link));
                 self.notify_gateway(GatewayEvent::InboundLinkDown(link));
             }
-            SiteLinkEvent::SiteLinkSettings(link, frame) => self.frame_received(link, frame),
+            SiteLinkEvent::FrameReceived(link, frame) => self.frame_received(link, frame),
             SiteLinkEvent::Written(link, id) => {
                 self.notify_gateway(GatewayEvent::RequestWritten(link, ForwardedRequestId(id)));
             }
--- a/src/server/peers/site_links/frames.rs
+++ b/src/server/peers/site_links/frames.rs
@@ -139,7 +139,7 @@
         let input = self.link.input(self.links.now(), read, &mut self.frames);
         read.clear();
         for frame in self.frames.drain(..) {
-            self.links.notify(SiteLinkEvent::SiteLinkSettings(self.id, frame));
+            self.links.notify(SiteLinkEvent::FrameReceived(self.id, frame));
         }
         Ok(input?)
     }
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -51,7 +51,7 @@
     /// A link has ended.
     Down(LinkId),
     /// A frame has been received.
-    SiteLinkSettings(LinkId, Frame),
+    FrameReceived(LinkId, Frame),
     /// The last byte of the frame that offers this request is written: it may run from now on.
     Written(LinkId, u64),
     /// The round-trip time has changed.
