--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -216,3 +216,6 @@
         self.ids.keys()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/server/engine/request_table/tests.rs
@@ -0,0 +1,70 @@
+//! A request has one final answer, and is found by number and by name.
+
+use std::time::Duration;
+
+use super::*;
+use crate::server::engine::attempt_state::AttemptChange;
+use crate::server::metrics::Gauge;
+
+fn submitted(name: &'static [u8]) -> ClientRequest {
+    ClientRequest {
+        class: 0,
+        tenant: 0,
+        deadline: Instant::now() + Duration::from_secs(10),
+        slots: 1.0,
+        memory: 0.0,
+        estimated_work_s: None,
+        affinity_key: None,
+        payload: RequestPayload {
+            name: Bytes::from_static(name),
+            target: Bytes::from_static(b"/a"),
+            key: None,
+            content_type: None,
+            body: Bytes::new(),
+        },
+        origin: None,
+    }
+}
+
+fn tracked(name: &'static [u8], active: &Rc<Gauge>) -> TrackedRequest {
+    let (reply, _) = oneshot::channel();
+    TrackedRequest::new(submitted(name), reply, Gauge::hold(active))
+}
+
+#[test]
+fn client_waits_until_the_first_end_and_counts_as_active_until_then() {
+    for (first, second) in
+        [(WaitEnd::Answered, WaitEnd::Disconnected), (WaitEnd::Disconnected, WaitEnd::Answered)]
+    {
+        let active = Rc::new(Gauge::default());
+        let mut request = tracked(b"r1", &active);
+        assert_eq!((request.is_waiting(), active.get()), (true, 1));
+        assert!(request.end_wait(first).is_some());
+        assert_eq!((request.is_waiting(), active.get()), (false, 0), "{first:?}");
+        assert!(request.end_wait(second).is_none(), "there is one final answer");
+    }
+}
+
+#[test]
+fn request_never_ran_only_without_an_open_attempt_and_without_one_that_may_have_run() {
+    let mut request = tracked(b"r1", &Rc::default());
+    assert!(request.never_ran());
+    let started = request.start_attempt(WorkerId(1), false);
+    assert!(!request.never_ran());
+    request.attempts[started.number].change(AttemptChange::End);
+    assert!(request.never_ran());
+    request.may_have_run = true;
+    assert!(!request.never_ran());
+}
+
+#[test]
+fn name_and_number_are_in_use_until_the_request_is_removed() {
+    let (one, two) = (RequestId(1), RequestId(2));
+    let (name, other) = (Bytes::from_static(b"r1"), Bytes::from_static(b"r2"));
+    let mut table = RequestTable::default();
+    table.insert(one, tracked(b"r1", &Rc::default()));
+    assert!(table.is_in_use(&name, two) && table.is_in_use(&other, one) && !table.is_in_use(&other, two));
+    assert_eq!(table.id_of(&name), Some(one));
+    assert!(table.remove(one).is_some() && table.remove(one).is_none());
+    assert!(!table.is_in_use(&name, one) && table.is_empty());
+}
