--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -210,7 +210,7 @@
     let Shared { counters, lifecycle, budgets, peers } = shared;
     let settings = config.settings;
     let connector = Rc::new(WorkerConnector::new(
-        budgets.members(),
+        budgets.workers(),
         settings.connect_timeout_s,
         settings.connection_idle_timeout_s,
         Rc::clone(counters),
@@ -231,7 +231,7 @@
         queue.clone(),
         Rc::clone(counters),
         Rc::clone(lifecycle),
-        budgets.clients(),
+        budgets.frontend(),
     ));
     let (discovery, discovery_address) = watch::channel(config.discovery);
     let (gossip, gossip_addresses) = watch::channel(config.gossip);
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -1,106 +1,117 @@
-//! How many descriptors one side of the scheduler may hold; the figure may change while it runs.
+//! How many file descriptors each side of the scheduler may hold. The figures may change while it runs.
+//!
+//! A side takes a [`DescriptorPermit`] before it opens a socket and drops it with the socket. What happens when none is
+//! left is the side's own matter: see `frontend/accept_loop.rs` and `workers/connector.rs`.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// How the descriptors that the platform allows are shared out: six in ten are for clients and call-backs,
-/// three for members; the rest is for the operators' door, discovery, the listener, the link of an upgrade,
-/// the configuration, the runtime and the standard streams. The processes of an upgrade share them alike.
+/// Of ten descriptors, those for connections of clients and of workers' callbacks.
+const FRONTEND_TENTHS: usize = 6;
+/// Of ten descriptors, those for connections to workers. The rest is for the operator interface, discovery, the
+/// listener, the link of an upgrade, the configuration, the runtime and the standard streams.
+const WORKER_TENTHS: usize = 3;
+
+/// The descriptors that the platform allows, split between the sides of the scheduler. The processes of an upgrade have
+/// equal parts of them.
 pub struct DescriptorBudgets {
-    sockets: Cell<usize>,
+    limit: Cell<usize>,
     processes: Cell<usize>,
-    clients: Rc<DescriptorBudget>,
-    members: Rc<DescriptorBudget>,
+    frontend: Rc<DescriptorBudget>,
+    workers: Rc<DescriptorBudget>,
 }
 
 impl DescriptorBudgets {
-    /// Shares out `sockets` to one process.
-    pub fn new(sockets: usize) -> Self {
-        let (clients, members) = (DescriptorBudget::new(0), DescriptorBudget::new(0));
-        let shares =
-            DescriptorBudgets { sockets: Cell::new(sockets), processes: Cell::new(1), clients, members };
-        shares.apply();
-        shares
+    /// Splits `limit` descriptors for a process that is alone.
+    pub fn new(limit: usize) -> Self {
+        let budgets = DescriptorBudgets {
+            limit: Cell::new(limit),
+            processes: Cell::new(1),
+            frontend: DescriptorBudget::new(0),
+            workers: DescriptorBudget::new(0),
+        };
+        budgets.apply();
+        budgets
     }
 
-    /// For connections of clients and call-backs.
-    pub fn clients(&self) -> Rc<DescriptorBudget> {
-        Rc::clone(&self.clients)
+    /// For connections of clients and of workers' callbacks.
+    pub fn frontend(&self) -> Rc<DescriptorBudget> {
+        Rc::clone(&self.frontend)
     }
 
-    /// For connections to members.
-    pub fn members(&self) -> Rc<DescriptorBudget> {
-        Rc::clone(&self.members)
+    /// For connections to workers.
+    pub fn workers(&self) -> Rc<DescriptorBudget> {
+        Rc::clone(&self.workers)
     }
 
-    /// The platform allows another number.
-    pub fn configure(&self, sockets: usize) {
-        self.sockets.set(sockets);
+    /// Sets how many descriptors the platform allows.
+    pub fn configure(&self, limit: usize) {
+        self.limit.set(limit);
         self.apply();
     }
 
-    /// So many processes share from now on.
+    /// Sets how many processes share the descriptors.
     pub fn among(&self, processes: usize) {
         self.processes.set(processes);
         self.apply();
     }
 
     fn apply(&self) {
-        let sockets = self.sockets.get() / self.processes.get().max(1);
-        self.clients.set_most(sockets * 6 / 10);
-        self.members.set_most(sockets * 3 / 10);
+        let limit = self.limit.get() / self.processes.get().max(1);
+        self.frontend.set_limit(limit * FRONTEND_TENTHS / 10);
+        self.workers.set_limit(limit * WORKER_TENTHS / 10);
     }
 }
 
-/// A bound and what is in use of it.
+/// A number of descriptors and how many of them are in use.
 #[derive(Debug)]
 pub struct DescriptorBudget {
-    most: Cell<usize>,
-    used: Cell<usize>,
+    limit: Cell<usize>,
+    in_use: Cell<usize>,
     freed: Notify,
 }
 
 impl DescriptorBudget {
     /// A budget of which nothing is in use.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(DescriptorBudget { most: Cell::new(most), used: Cell::new(0), freed: Notify::new() })
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(DescriptorBudget { limit: Cell::new(limit), in_use: Cell::new(0), freed: Notify::new() })
     }
 
-    /// Takes one, if there is one.
-    pub fn take(this: &Rc<Self>) -> Option<DescriptorPermit> {
-        if this.used.get() >= this.most.get() {
+    /// Takes one descriptor; `None` where all are in use.
+    pub fn try_acquire(this: &Rc<Self>) -> Option<DescriptorPermit> {
+        if this.in_use.get() >= this.limit.get() {
             return None;
         }
-        this.used.set(this.used.get() + 1);
+        this.in_use.set(this.in_use.get() + 1);
         Some(DescriptorPermit(Rc::clone(this)))
     }
 
-    /// Waits until one has been given back.
+    /// Waits until one has been given back, or the limit has changed.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 
-    /// The bound.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    /// How many may be in use.
+    pub fn limit(&self) -> usize {
+        self.limit.get()
     }
 
-    /// Sets the bound. What is in use beyond a smaller one stays in use until it is given back.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
-        self.freed.notify_one(); // there may be room now
+    /// Sets how many may be in use. What is in use beyond a lower limit stays in use until it is given back.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
+        self.freed.notify_one(); // some may be free now
     }
 }
 
-/// One of a budget, given back when dropped.
+/// One descriptor of a budget, given back when dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        self.0.used.set(self.0.used.get() - 1);
+        self.0.in_use.set(self.0.in_use.get() - 1);
         self.0.freed.notify_one();
     }
 }
--- a/src/server/frontend/accept_loop.rs
+++ b/src/server/frontend/accept_loop.rs
@@ -55,7 +55,7 @@
     /// A permit for one more connection. Where none is left, another connection is evicted.
     pub(super) async fn acquire_permit(&self) -> DescriptorPermit {
         loop {
-            if let Some(permit) = DescriptorBudget::take(&self.connections) {
+            if let Some(permit) = DescriptorBudget::try_acquire(&self.connections) {
                 return permit;
             }
             // Connections that were accepted last become candidates once their tasks have run; without them, useful
@@ -74,7 +74,7 @@
     async fn next_freed_permit(&self) -> DescriptorPermit {
         loop {
             self.connections.freed().await;
-            if let Some(permit) = DescriptorBudget::take(&self.connections) {
+            if let Some(permit) = DescriptorBudget::try_acquire(&self.connections) {
                 return permit;
             }
         }
--- a/src/server/frontend/callback_parser.rs
+++ b/src/server/frontend/callback_parser.rs
@@ -23,7 +23,7 @@
         request_name: Bytes::copy_from_slice(request_name.as_bytes()),
         worker_name: worker_name.to_owned(),
         event,
-        load_report: load_report::from_load(&value),
+        load_report: load_report::from_callback(&value),
     })
 }
 
--- a/src/server/frontend/request_handling.rs
+++ b/src/server/frontend/request_handling.rs
@@ -134,6 +134,6 @@
 
     /// Messages that may await their answers at once: the other connections are left for callbacks.
     fn max_unanswered(&self) -> usize {
-        self.connections.most() - self.connections.most() / 4
+        self.connections.limit() - self.connections.limit() / 4
     }
 }
--- a/src/server/workers/connector.rs
+++ b/src/server/workers/connector.rs
@@ -131,7 +131,7 @@
     /// # Errors
     /// Why none came up.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<WorkerConnection, ConnectError> {
-        let Some(permit) = DescriptorBudget::take(&self.budget) else {
+        let Some(permit) = DescriptorBudget::try_acquire(&self.budget) else {
             return Err(ConnectError::NoDescriptor);
         };
         self.counters.member_connects.add();
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,12 +1,12 @@
-//! The HTTP connection by itself: what a whole program cannot be made to show at will.
+//! The HTTP connection by itself: cases that the whole program cannot be brought to at will.
 
 use chutesaddle::server::http::Connection;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// A gathered write that the system takes in pieces must go on where it stopped, across the parts.
+/// A gathered write of which the system takes a part must continue where it stopped, across the slices.
 #[tokio::test]
-async fn a_partial_write_goes_on_where_it_stopped() {
+async fn a_partial_write_continues_where_it_stopped() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut writer = Connection::connect(listener.local_addr().unwrap()).await.unwrap();
     let mut reader = listener.accept().await.unwrap().0;
@@ -44,7 +44,7 @@
 
 /// A head and a chunked body that come byte by byte: a parse for each byte would cost the square of them.
 #[tokio::test]
-async fn pieces_of_any_size_cost_no_more_than_their_bytes() {
+async fn a_head_that_arrives_byte_by_byte_is_not_parsed_for_each_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut near = Connection::connect(listener.local_addr().unwrap()).await.unwrap();
     let mut far = listener.accept().await.unwrap().0;
--- a/tests/server/clients.rs
+++ b/tests/server/clients.rs
@@ -1,9 +1,10 @@
-//! The front: what clients and members may send it, well and badly formed.
+//! The frontend: what clients and workers may send it, well and badly formed, and which connections it closes.
 
 use rstest::rstest;
 
 use crate::scenario::{play, World, PLAIN};
 
+/// One byte more than the longest body.
 const BIG: usize = 64 * 1024 + 1;
 
 #[rstest]
@@ -41,33 +42,36 @@
 #[case::no_tenant("POST /draw-map/a HTTP/1.1|X-Request-Id: r||", "400")]
 #[case::unknown_tenant("POST /draw-map/a HTTP/1.1|X-Request-Id: r|X-Tenant: nobody||", "403")]
 #[case::bad_deadline("POST /draw-map/a HTTP/1.1|X-Request-Id: r|X-Tenant: acme|X-Deadline-Ms: soon||", "400")]
-#[case::endless_deadline(
+#[case::infinite_deadline(
     "POST /draw-map/a HTTP/1.1|X-Request-Id: r|X-Tenant: acme|X-Deadline-Ms: inf||",
     "400"
 )]
 #[case::negative_deadline("job r draw-map -5", "400")]
-#[case::broken_deadline("job r draw-map 1.5", "400")]
+#[case::fractional_deadline("job r draw-map 1.5", "400")]
 #[case::two_ids("job r draw-map 8000 1|X-Request-Id: s", "400")]
-#[case::an_id_that_says_more("job r\tHTTP/1.1 draw-map", "400")]
+#[case::id_with_a_control_character("job r\tHTTP/1.1 draw-map", "400")]
 #[case::hint_that_is_no_number("job r draw-map 8000 1|X-Cost-Hint: NaN", "400")]
 #[case::extras_that_are_no_number("job r draw-map 8000 1|X-Extras: slots=many", "400")]
 #[case::extras_without_a_figure("job r draw-map 8000 1|X-Extras: slots", "400")]
 #[case::negative_extras("job r draw-map 8000 1|X-Extras: slots=1,memory=-1", "400")]
-#[case::endless_extras("job r draw-map 8000 1|X-Extras: other=inf", "400")]
+#[case::infinite_extras("job r draw-map 8000 1|X-Extras: other=inf", "400")]
 #[case::no_slots("job r draw-map 8000 1|X-Extras: slots=0", "400")]
 #[case::more_slots_than_there_are("job r draw-map 8000 1|X-Extras: slots=1e300", "400")]
 #[case::unknown_class("job r1 paint-map", "404")]
 #[case::unknown_path("GET /nowhere HTTP/1.1||", "404")]
 #[case::no_path("GET * HTTP/1.1||", "404")]
 #[case::wrong_method("GET /draw-map/a HTTP/1.1||", "405")]
-#[case::wrong_method_for_call_backs("PUT /callback HTTP/1.1||", "405")]
-#[case::no_call_back("POST /callback HTTP/1.1||{", "400")]
-#[case::call_back_without_a_result(
+#[case::wrong_method_for_callbacks("PUT /callback HTTP/1.1||", "405")]
+#[case::malformed_callback("POST /callback HTTP/1.1||{", "400")]
+#[case::callback_without_a_result(
     "POST /callback HTTP/1.1||{\"id\":\"r\",\"from\":\"m1\",\"state\":\"done\"}",
     "400"
 )]
-#[case::call_back_of_another_shape("POST /callback HTTP/1.1||[1,{}]", "400")]
-fn what_cannot_be_taken_is_answered_and_the_next_client_served(#[case] request: &str, #[case] status: &str) {
+#[case::callback_of_another_shape("POST /callback HTTP/1.1||[1,{}]", "400")]
+fn a_malformed_message_is_answered_and_the_next_client_is_served(
+    #[case] request: &str,
+    #[case] status: &str,
+) {
     play(
         &PLAIN,
         &format!(
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_refused_by_its_size() {
+fn an_oversized_message_is_rejected_by_its_size() {
     let deep = "[".repeat(BIG / 4) + &"]".repeat(BIG / 4);
     play(
         &PLAIN,
@@ -108,7 +112,7 @@
     "c1 send raw POST /draw-map/a HTTP/1.1\\r\\nX-Request-Id: r1\\r\\nX-Tenant: acme\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n4\\r\\nmap \\r\\n3;x=y\\r\\nof \\r\\n0\\r\\nTrailer: x\\r\\n\\r\\n
     m1 expect Content-Length: 7 & map of "
 )]
-#[case::in_pieces(
+#[case::in_segments(
     "c1 send raw POST /draw-map/a HT
     c1 send raw TP/1.1\\r\\nX-Request-Id: r1\\r\\nX-Ten
     c1 send raw ant: acme\\r\\nContent-Length: 2\\r\\n\\r\\no
@@ -163,9 +167,9 @@
     play(&PLAIN, scenario);
 }
 
-/// Three in four of the 12 connections that 20 descriptors leave may wait; call-backs still come through.
+/// Of the 12 connections that 20 descriptors leave, three quarters may await answers; callbacks still arrive.
 #[test]
-fn a_full_house_rejects_at_the_door_and_still_takes_call_backs() {
+fn requests_are_shed_while_too_many_wait_and_callbacks_are_still_accepted() {
     let mut scenario: String =
         (1..=9).map(|n| format!("c{n} send job r{n}\ns wait transactions_taken {n}\n")).collect();
     scenario += "c10 send job r10
@@ -177,11 +181,11 @@
     play(&World { sockets: 20, ..PLAIN }, &scenario);
 }
 
-/// Whether the program knows its limit or runs into it: accepting goes on, and nothing that was taken is lost.
+/// Whether the program knows its limit or runs into it: accepting goes on, and no admitted request is lost.
 #[rstest]
-#[case::told(World { sockets: 20, ..PLAIN }, 0)]
-#[case::not_told(World { descriptors: 24, ..PLAIN }, 1)]
-fn idle_connections_make_room_for_new_ones(#[case] world: World, #[case] failures: u32) {
+#[case::known_limit(World { sockets: 20, ..PLAIN }, 0)]
+#[case::unknown_limit(World { descriptors: 24, ..PLAIN }, 1)]
+fn idle_connections_are_evicted_for_new_ones(#[case] world: World, #[case] failures: u32) {
     let mut scenario = String::from("c0 send job r0\nm1 expect r0\n");
     for n in 1..=30 {
         scenario += &format!("c{n} send GET /ready HTTP/1.1||\nc{n} expect HTTP/1.1 200\n");
@@ -191,8 +195,7 @@
     play(&world, &scenario);
 }
 
-/// What counts is the whole message from the accept on; once, silence was borne for two minutes, and each
-/// part of a message might take ten seconds.
+/// The time limit is for the whole message, from the accept on.
 #[rstest]
 #[case::with_nothing("raw ", "c1 expect eof")]
 #[case::with_half_a_head("raw POST /draw-map/a HT", "c1 expect 408 & Connection: close\nc1 expect eof")]
@@ -200,13 +203,13 @@
     "raw POST /draw-map/a HTTP/1.1\\r\\nContent-Length: 9\\r\\n\\r\\nmap",
     "c1 expect 408 & Connection: close\nc1 expect eof"
 )]
-fn a_client_that_keeps_others_waiting_is_closed(#[case] request: &str, #[case] end: &str) {
+fn a_client_whose_message_does_not_arrive_in_time_is_closed(#[case] request: &str, #[case] end: &str) {
     play(&PLAIN, &format!("c1 send {request}\n{end}"));
 }
 
-/// The answer to a body that is too long is there before the body has been sent, and survives it.
+/// The response to a body that is too long is written before the body has been sent, and no reset destroys it.
 #[test]
-fn an_oversized_body_is_answered_and_read_away() {
+fn an_oversized_body_is_answered_and_discarded() {
     let body = "x".repeat(6_000_000);
     play(
         &PLAIN,
@@ -218,12 +221,12 @@
     );
 }
 
-/// They come by the hundred, say nothing or only ask how the scheduler is, and stay: they make room for each
-/// other, not the useful ones for them.
+/// Connections that send nothing, or only ask for readiness, and stay open are evicted for each other, and not those in
+/// use for them.
 #[rstest]
 #[case::silent("raw ", "")]
-#[case::curious("GET /ready HTTP/1.1||", "200")]
-fn connections_that_never_did_any_work_go_first(#[case] request: &str, #[case] answer: &str) {
+#[case::readiness_only("GET /ready HTTP/1.1||", "200")]
+fn connections_that_were_never_used_are_evicted_first(#[case] request: &str, #[case] answer: &str) {
     let mut scenario = String::from("c0 send job r0\nm1 expect r0\nm1 send 202\n");
     scenario += "c99 send call r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
     for n in 1..=30 {
@@ -241,10 +244,10 @@
     play(&World { sockets: 20, ..PLAIN }, &scenario);
 }
 
-/// A message that gets on is never closed to make room, nor is a connection for call-backs, as long as there
-/// are some that have stalled half way or may yet do so.
+/// A message that makes progress is never evicted, nor is a connection for callbacks, as long as there are messages that
+/// have stalled half way or may yet do so.
 #[test]
-fn messages_that_stall_make_room_before_call_backs_and_messages_that_get_on() {
+fn stalled_messages_are_evicted_before_callback_connections_and_messages_in_progress() {
     let mut scenario = String::from("c0 send job r0\nm1 expect r0\nm1 send 202\n");
     scenario += "c99 send call r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
     for n in 1..=30 {
