--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -102,7 +102,7 @@
         _ = signals.terminate.recv() => {}
         () = log_when_serving(&shared.lifecycle, address, &name) => {}
     }
-    tracing::info!(waiting_requests = frontend.waiting(), "stopping");
+    tracing::info!(waiting_requests = frontend.unanswered_messages(), "stopping");
     shared.lifecycle.notify(LifecycleEvent::Terminated);
     drain(&frontend, &shared).await;
     let counters = shared.counters.to_string();
@@ -309,7 +309,7 @@
         spawn_local(self.discovery_watch.run(self.discovery_address));
         spawn_local(self.gossip.run());
         spawn_local(self.reload.run(hangup));
-        spawn_local(self.frontend.clear());
+        spawn_local(self.frontend.close_idle_while_draining());
         spawn_local(self.handover.run(predecessor));
         if let Some(site_links) = self.site_links {
             site_links.start();
@@ -332,7 +332,7 @@
             continue;
         }
         let empty_since = *empty_since.get_or_insert_with(Instant::now);
-        if frontend.is_closed() || empty_since.elapsed() >= CLOSE_TIMEOUT {
+        if frontend.has_no_lingering_connections() || empty_since.elapsed() >= CLOSE_TIMEOUT {
             return;
         }
     }
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -53,7 +53,7 @@
     }
 
     /// Sets how many processes share the descriptors.
-    pub fn among(&self, processes: usize) {
+    pub fn set_processes(&self, processes: usize) {
         self.processes.set(processes);
         self.apply();
     }
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -93,16 +93,16 @@
 
     /// Whether no client's message is arriving or waits for its response.
     pub fn is_empty(&self) -> bool {
-        self.waiting() == 0 && self.eviction_candidates.count_arriving() == 0
+        self.unanswered_messages() == 0 && self.eviction_candidates.count_arriving() == 0
     }
 
     /// Messages whose response has not been written.
-    pub fn waiting(&self) -> usize {
+    pub fn unanswered_messages(&self) -> usize {
         self.unanswered.get()
     }
 
     /// Whether the clients have seen all closes: a process that exits before would reset what they read.
-    pub fn is_closed(&self) -> bool {
+    pub fn has_no_lingering_connections(&self) -> bool {
         self.lingering.get() == 0
     }
 }
--- a/src/server/frontend/closing.rs
+++ b/src/server/frontend/closing.rs
@@ -21,7 +21,7 @@
 
 impl Frontend {
     /// Closes idle connections whenever the lifecycle says so, and notifies it when none is in use.
-    pub async fn clear(self: Rc<Self>) {
+    pub async fn close_idle_while_draining(self: Rc<Self>) {
         let mut phase = self.lifecycle.watch();
         loop {
             // Waiting fails only once the sender is gone, which lives as long as this frontend.
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -32,7 +32,7 @@
 impl Frontend {
     /// From now on that process accepts connections, and receives those that are idle here; with `None` this one does
     /// again.
-    pub fn succeeded_by(&self, successor: Option<FrameSender>) {
+    pub fn set_successor(&self, successor: Option<FrameSender>) {
         self.successor.send_replace(successor);
         while self.has_successor() && self.eviction_candidates.evict_up_to(EvictionClass::IdleAfterCallback) {
         }
@@ -57,8 +57,10 @@
         // A socket that cannot be handed over has broken.
         if let (Some(successor), Ok(parts)) = (successor, client.http.into_parts()) {
             self.counters.connections_passed_on.add();
-            let frame =
-                HandoverFrame::IdleConnection { worth: client.eviction_class, spoke: client.answered };
+            let frame = HandoverFrame::IdleConnection {
+                eviction_class: client.eviction_class,
+                answered: client.answered,
+            };
             successor.send(frame, Some(parts.socket));
         }
     }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -197,7 +197,7 @@
             self.receive(peer, receiver).await;
             self.remove_peer(peer);
             let has_served = self.frontend.has_successor();
-            self.frontend.succeeded_by(None);
+            self.frontend.set_successor(None);
             self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: false });
             self.lifecycle.notify(LifecycleEvent::SuccessorLost);
             tracing::warn!("the successor has exited");
@@ -221,7 +221,7 @@
     }
 
     fn share_descriptors(&self) {
-        self.budgets.among(1 + self.peers.count());
+        self.budgets.set_processes(1 + self.peers.count());
     }
 
     /// Receives from another process until its end.
@@ -234,9 +234,9 @@
     fn handle(&self, peer: PeerProcessId, received: ReceivedFrame) {
         match (received.frame, received.socket) {
             (HandoverFrame::Serving, _) => self.successor_serves(peer),
-            (HandoverFrame::IdleConnection { worth, spoke }, Some(socket)) => {
+            (HandoverFrame::IdleConnection { eviction_class, answered }, Some(socket)) => {
                 if let Some(stream) = adopt_socket(socket) {
-                    spawn_local(Rc::clone(&self.frontend).adopt(stream, worth, spoke));
+                    spawn_local(Rc::clone(&self.frontend).adopt(stream, eviction_class, answered));
                 }
             }
             (HandoverFrame::LearnedState(learned, names), _) => {
@@ -273,7 +273,7 @@
             tracing::info!("the successor is of another build: requests are finished here");
         }
         self.lifecycle.notify(LifecycleEvent::SuccessorServing);
-        self.frontend.succeeded_by(successor);
+        self.frontend.set_successor(successor);
         self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: migrates });
     }
 
--- a/src/server/lifecycle/handover_frames/frame.rs
+++ b/src/server/lifecycle/handover_frames/frame.rs
@@ -31,9 +31,9 @@
     /// An idle connection of a client, with its socket.
     IdleConnection {
         /// What it has carried.
-        worth: EvictionClass,
+        eviction_class: EvictionClass,
         /// Whether it has carried a message before.
-        spoke: bool,
+        answered: bool,
     },
     /// From the predecessor: what it has learned about the workers, and their names by its own numbers.
     LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
--- a/src/server/lifecycle/handover_frames/tests.rs
+++ b/src/server/lifecycle/handover_frames/tests.rs
@@ -35,6 +35,7 @@
         let read: HandoverFrame = postcard::from_bytes(bytes).unwrap();
         assert_eq!(postcard::to_allocvec(&read).unwrap(), bytes, "{read:?}");
     }
-    let unstable = HandoverFrame::IdleConnection { worth: EvictionClass::NeverUsed, spoke: false };
+    let unstable =
+        HandoverFrame::IdleConnection { eviction_class: EvictionClass::NeverUsed, answered: false };
     assert!(!unstable.is_stable() && postcard::to_allocvec(&unstable).unwrap()[0] == STABLE_FRAMES);
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -54,7 +54,7 @@
 #[test]
 fn reads_idle_connection_written_by_84881d9() {
     let frame = read_frame("handover-idle-connection-84881d9.bin");
-    assert!(matches!(frame, HandoverFrame::IdleConnection { spoke: true, .. }), "{frame:?}");
+    assert!(matches!(frame, HandoverFrame::IdleConnection { answered: true, .. }), "{frame:?}");
 }
 
 #[test]
