--- a/src/config/settings/reconfigure.rs
+++ b/src/config/settings/reconfigure.rs
@@ -20,17 +20,29 @@
     pub fn reconfigured(&self, new: Settings) -> Reconfigured {
         let zone_name = new.zones.get(usize::from(new.zone)).cloned();
         let new_kinds = new.worker_kinds.clone();
-        let mut kept = Vec::new();
+        let mut lists_with_kept_names = Vec::new();
         let mut settings = Settings {
-            classes: merge(&self.classes, new.classes, |class| &class.name, keys::CLASSES, &mut kept),
-            tenants: merge(&self.tenants, new.tenants, |tenant| &tenant.name, keys::TENANTS, &mut kept),
-            zones: merge(&self.zones, new.zones, |name| name, keys::ZONES, &mut kept),
+            classes: merge(
+                &self.classes,
+                new.classes,
+                |class| &class.name,
+                keys::CLASSES,
+                &mut lists_with_kept_names,
+            ),
+            tenants: merge(
+                &self.tenants,
+                new.tenants,
+                |tenant| &tenant.name,
+                keys::TENANTS,
+                &mut lists_with_kept_names,
+            ),
+            zones: merge(&self.zones, new.zones, |name| name, keys::ZONES, &mut lists_with_kept_names),
             worker_kinds: merge(
                 &self.worker_kinds,
                 new.worker_kinds,
                 |name| name,
                 keys::WORKER_KINDS,
-                &mut kept,
+                &mut lists_with_kept_names,
             ),
             ..new
         };
@@ -41,7 +53,7 @@
             let kind = kind_name.and_then(|name| position(&settings.worker_kinds, name));
             class.required_kind = kind.or(class.required_kind);
         }
-        Reconfigured { settings, lists_with_kept_names: kept }
+        Reconfigured { settings, lists_with_kept_names }
     }
 }
 
@@ -50,13 +62,13 @@
 }
 
 /// The old items in their order, each replaced by the new one of its name, then the new names. Where the new list
-/// lacks an old name, the old item stays and the list's key is added to `kept`.
+/// lacks an old name, the old item stays and the list's key is added to `lists_with_kept_names`.
 fn merge<T: Clone>(
     old: &[T],
     mut new: Vec<T>,
     name: impl Fn(&T) -> &String,
     list: &'static str,
-    kept: &mut Vec<&'static str>,
+    lists_with_kept_names: &mut Vec<&'static str>,
 ) -> Vec<T> {
     let mut merged = Vec::with_capacity(new.len());
     for item in old {
@@ -65,8 +77,8 @@
             continue;
         }
         merged.push(item.clone());
-        if !kept.contains(&list) {
-            kept.push(list);
+        if !lists_with_kept_names.contains(&list) {
+            lists_with_kept_names.push(list);
         }
     }
     merged.extend(new);
--- a/src/simulator/records/incoming.rs
+++ b/src/simulator/records/incoming.rs
@@ -107,11 +107,11 @@
 fn attempt_notice(fields: &mut &[u8]) -> Result<Option<Event>, RecordError> {
     let request = request_id(fields)?;
     let attempt = attempt_number(fields)?;
-    let share = f64::from(fields.try_get_f32_le()?);
+    let fraction = f64::from(fields.try_get_f32_le()?);
     let _worker = worker_id(fields)?;
     match fields.try_get_u8()? {
         1 => Ok(Some(Event::AttemptStarted { request, attempt })),
-        2 => Ok(Some(Event::AttemptProgressed { request, attempt, fraction: share })),
+        2 => Ok(Some(Event::AttemptProgressed { request, attempt, fraction })),
         _ => Ok(None),
     }
 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -17,28 +17,28 @@
     [&(body.len() as u32).to_le_bytes()[..], &body].concat()
 }
 
-fn on(instance: u16) -> Vec<u8> {
+fn select_instance(instance: u16) -> Vec<u8> {
     record(3, &[&instance.to_le_bytes()])
 }
 
-fn enlist(options: &str) -> Vec<u8> {
+fn start_instance(options: &str) -> Vec<u8> {
     record(8, &[&9u64.to_le_bytes(), &(options.len() as u32).to_le_bytes(), options.as_bytes()])
 }
 
 const WORKER: [u8; 6] = [10, 0, 0, 1, 0x40, 0x1f];
 
-fn list(page: u8) -> Vec<u8> {
+fn worker_list(page: u8) -> Vec<u8> {
     let since = 0f64.to_le_bytes();
     let size = 1f32.to_le_bytes();
     let entry: [&[u8]; 7] = [&[1], &[0, 0], &[0, 0], &since, &size, &[0], &WORKER];
     record(11, &[&[page], &1u32.to_le_bytes(), &entry.concat()])
 }
 
-fn view(form: u8, page: u8) -> Vec<u8> {
+fn list_notice(form: u8, page: u8) -> Vec<u8> {
     record(10, &[&[form], &1u64.to_le_bytes(), &[page]])
 }
 
-fn accept(id: u32, deadline: f64) -> Vec<u8> {
+fn request_received(id: u32, deadline: f64) -> Vec<u8> {
     let (slots, memory, hint) = (1f32.to_le_bytes(), 0f32.to_le_bytes(), 0.2f64.to_le_bytes());
     let (key, account) = ([0; 8], [0; 4]);
     record(
@@ -47,16 +47,16 @@
     )
 }
 
-fn tick(tag: u64) -> Vec<u8> {
+fn timer_expired(tag: u64) -> Vec<u8> {
     record(12, &[&tag.to_le_bytes()])
 }
 
 fn valid_frames() -> Vec<Vec<u8>> {
     vec![
         frame(1.0, &[]),
-        frame(1.0, &[on(3), enlist(OPTIONS), list(2), view(2, 2)]),
-        frame(2.0, &[on(3), accept(77, 7.0)]),
-        frame(2.1, &[on(3), tick(0)]),
+        frame(1.0, &[select_instance(3), start_instance(OPTIONS), worker_list(2), list_notice(2, 2)]),
+        frame(2.0, &[select_instance(3), request_received(77, 7.0)]),
+        frame(2.1, &[select_instance(3), timer_expired(0)]),
     ]
 }
 
@@ -99,27 +99,39 @@
     let left = record(2, &[&77u32.to_le_bytes()]);
     let gone = record(7, &[]);
     let mut frames = valid_frames();
-    frames.push(frame(3.0, &[on(3), note, head, ended, peer, probed, left, view(3, 0), gone]));
+    frames.push(frame(
+        3.0,
+        &[select_instance(3), note, head, ended, peer, probed, left, list_notice(3, 0), gone],
+    ));
     assert_eq!(run(&frames).1, None);
 }
 
 #[test]
 fn malformed_frames_name_what_and_where() {
-    let mut long = tick(5);
+    let mut long = timer_expired(5);
     long[1] += 1;
     long.push(0);
     let cases = [
-        (frame(1.0, &[tick(0)]), "TICK_DUE: no instance is set"),
-        (frame(1.0, &[on(4), tick(0)]), "TICK_DUE: instance 4 is not enlisted"),
-        (frame(1.0, &[on(3), view(1, 9)]), "VIEW: list 9 is not defined"),
-        (frame(1.0, &[on(3), list(16)]), "DEFINE_LIST: list number 16 is over 15"),
-        (frame(1.0, &[on(3), view(8, 2)]), "VIEW: form has no value 8"),
-        (frame(1.0, &[on(3), record(99, &[])]), "offset 19, unknown record: the record code has no value 99"),
-        (frame(1.0, &[on(3), long]), "TICK_DUE: 1 bytes are left over"),
-        (frame(1.0, &[on(3), record(12, &[&[1, 2]])]), "TICK_DUE: the record is shorter than its fields"),
-        (frame(1.0, &[on(5), enlist("tick_s=soon")]), "ENLIST: option tick_s: cannot read value \"soon\""),
+        (frame(1.0, &[timer_expired(0)]), "TICK_DUE: no instance is set"),
+        (frame(1.0, &[select_instance(4), timer_expired(0)]), "TICK_DUE: instance 4 is not enlisted"),
+        (frame(1.0, &[select_instance(3), list_notice(1, 9)]), "VIEW: list 9 is not defined"),
+        (frame(1.0, &[select_instance(3), worker_list(16)]), "DEFINE_LIST: list number 16 is over 15"),
+        (frame(1.0, &[select_instance(3), list_notice(8, 2)]), "VIEW: form has no value 8"),
+        (
+            frame(1.0, &[select_instance(3), record(99, &[])]),
+            "offset 19, unknown record: the record code has no value 99",
+        ),
+        (frame(1.0, &[select_instance(3), long]), "TICK_DUE: 1 bytes are left over"),
+        (
+            frame(1.0, &[select_instance(3), record(12, &[&[1, 2]])]),
+            "TICK_DUE: the record is shorter than its fields",
+        ),
+        (
+            frame(1.0, &[select_instance(5), start_instance("tick_s=soon")]),
+            "ENLIST: option tick_s: cannot read value \"soon\"",
+        ),
         (vec![3, 0, 0, 0, 1, 2, 3], "offset 0, header: the record is shorter"),
-        (frame(1.0, &[on(3)])[..15].to_vec(), "frame 4: input ends inside the frame"),
+        (frame(1.0, &[select_instance(3)])[..15].to_vec(), "frame 4: input ends inside the frame"),
         (vec![9, 0], "frame 4: input ends inside the frame"),
     ];
     let whole = run(&valid_frames()).0;
