--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -3,15 +3,27 @@
 //! A few processes are *voters*. A [`Voter`] is an acceptor and a proposer of CASPaxos (Rystsov, "CASPaxos: Replicated
 //! State Machines without logs", 2018): one register that holds the newest versions of all documents, changed by
 //! compare-and-set through a majority, with neither a leader nor a log. Every process, voter or not, is a
-//! [`Holder`]: it asks a voter again and again to confirm the version that it acts on, and knows at each moment
-//! what it may act on, its [`Stance`]. What is promised of that, and why it holds, is in `docs/agreement.md`.
+//! [`Learner`]: it asks a voter again and again to confirm the version that it acts on, and knows at each moment
+//! what it may act on, its [`Validity`]. What is promised of that, and why it holds, is in `docs/agreement.md`.
 //!
-//! Nothing here reads a clock, a socket or a disk. Times are counted by each process on its own monotonic clock;
-//! what must be on disk before anything is said comes out as [`Output::Persist`].
+//! This crate is sans-I/O: it reads no clock, no socket and no disk. Times are counted by each process on its own
+//! monotonic clock; what must be on disk before anything is sent comes out as [`Output::Persist`].
+//!
+//! | file | question |
+//! | --- | --- |
+//! | `document` | what is agreed on, and when is a change rejected |
+//! | `register` | the Paxos rules: one acceptor's memory, one proposer's ballot |
+//! | `voter` | the state of a voter, its messages and timers |
+//! | `voter/stage` | may it vote: the beginning, a lost disk, joining |
+//! | `voter/acceptor` | what it answers to other proposers |
+//! | `voter/proposer` | how it makes a change or a confirmation |
+//! | `learner` | what may a process act on now |
+//! | `message` | what members send each other |
+//! | `rules` | what a document says, and what holds while two versions are in force |
 #![warn(missing_docs)]
 
 mod document;
-mod holder;
+mod learner;
 mod message;
 mod register;
 mod rules;
@@ -21,12 +33,12 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use document::{Change, Command, Digest, Document, Electorate, Proposal, Refusal, Value};
-pub use holder::{Holder, Stance};
-pub use message::{Confirmation, Message, Stage};
-pub use register::{Acceptor, Ballot, Promise, Round, Vote};
+pub use document::{Change, Command, Digest, Document, Electorate, NewVoter, Proposal, Rejection, Value};
+pub use learner::{Learner, Validity};
+pub use message::{Confirmation, Message};
+pub use register::{Acceptor, Ballot, Prepared, Promise, Round, Vote};
 pub use rules::Rules;
-pub use voter::{Durable, Output, Verdict, Voter};
+pub use voter::{Decision, Output, PersistentState, ProposedChange, Voter, VoterStage};
 
 /// Time on a process's own monotonic clock.
 pub type Time = Duration;
@@ -35,25 +47,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// What all members must be told alike.
+/// What must be configured alike at all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The voters of the founding; an odd number is best. Those of today are in the value.
+    /// The first voters; an odd number is best. Those of today are in the value.
     pub voters: Vec<MemberId>,
     /// A reply that does not come within this time is asked for again.
     pub retry: Time,
-    /// A change or a confirmation that takes longer is given up; a change may still come to hold.
-    pub patience: Time,
-    /// A confirmed version may be acted on for so long, counted from when the confirmation was asked for.
+    /// A change or a confirmation that takes longer is given up; a change may still be committed.
+    pub timeout: Time,
+    /// How long a confirmed version may be acted on, counted from when the confirmation was asked for.
     pub term: Time,
-    /// Rates of two members' clocks differ by no more than this share.
-    pub drift: f64,
+    /// The rates of two members' clocks differ by no more than this fraction.
+    pub clock_drift: f64,
 }
 
 impl Config {
-    /// How long a member that has learnt of a version keeps to the one before as well. Nobody acts plainly on that
-    /// one any more when it is over: who does confirmed it within the last term, on its own clock.
-    pub fn overlap(&self) -> Time {
-        self.term.mul_f64((1.0 + self.drift).powi(2))
+    /// How long a member that has learnt of a version keeps to the one before as well.
+    ///
+    /// Nobody acts on that one alone any more when it is over: who does confirmed it within the last term, on its own
+    /// clock.
+    pub fn transition_time(&self) -> Time {
+        self.term.mul_f64((1.0 + self.clock_drift).powi(2))
     }
 }
--- a/crates/replicated-register/src/rules.rs
+++ b/crates/replicated-register/src/rules.rs
@@ -1,90 +1,104 @@
-//! What a document says, and what holds while two versions of it are about.
+//! What a document says, and what holds while two versions of it are in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use chutesaddle_operator_config::reader::Reader;
 use chutesaddle_operator_config::{duration, ConfigError, ConfigErrors};
-use kdl::{KdlDocument, KdlNode};
+use kdl::{KdlDocument, KdlEntry, KdlError, KdlNode};
 
 /// The operators' rules, by the names that they use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// Requests a second of a tenant, over all schedulers.
     pub quotas: BTreeMap<String, f64>,
-    /// For how long workers are taken to drop repeats of a class's keys.
+    /// Deduplication windows of the classes.
     pub windows: BTreeMap<String, Duration>,
-    /// Workers that get nothing new and finish what they have.
+    /// Workers that drain: they get nothing new and finish what they have.
     pub drained: BTreeSet<String>,
     /// Workers that are not used at all.
-    pub taken_out: BTreeSet<String>,
+    pub removed: BTreeSet<String>,
+}
+
+/// The word of a rule.
+#[derive(Clone, Copy)]
+enum Word {
+    Quota,
+    Window,
+    Drain,
+    TakeOut,
+}
+
+impl Word {
+    fn parse(text: &str) -> Option<Self> {
+        match text {
+            "quota" => Some(Word::Quota),
+            "window" => Some(Word::Window),
+            "drain" => Some(Word::Drain),
+            "take-out" => Some(Word::TakeOut),
+            _ => None,
+        }
+    }
+
+    fn has_value(self) -> bool {
+        match self {
+            Word::Quota | Word::Window => true,
+            Word::Drain | Word::TakeOut => false,
+        }
+    }
 }
 
 impl Rules {
-    /// Reads a document's body: `quota "TENANT" 4.5`, `window "CLASS" "40s"`, `drain "WORKER"`, `take-out "WORKER"`, one to
-    /// a line, each name once. `name` is what its errors call it.
+    /// Reads a document's body: `quota "TENANT" 4.5`, `window "CLASS" "40s"`, `drain "WORKER"`, `take-out "WORKER"`,
+    /// one to a line, each name once. `name` is what its errors call it.
     ///
     /// # Errors
     /// All errors, with their places.
     pub fn read(name: &str, text: &str) -> Result<Self, ConfigErrors> {
-        let document = KdlDocument::parse_v2(text).map_err(|error| {
-            let each = error.diagnostics.iter();
-            let to_error = |d: &kdl::KdlDiagnostic| {
-                ConfigError::new(d.span, "well-formed KDL", d.message.clone().unwrap_or_default())
-            };
-            ConfigErrors::new(name, text, each.map(to_error).collect())
-        })?;
-        let (mut reader, mut rules) = (Reader::default(), Rules::default());
+        let document = KdlDocument::parse_v2(text)
+            .map_err(|error| ConfigErrors::new(name, text, syntax_errors(&error)))?;
+        let mut reader = Reader::default();
+        let mut rules = Rules::default();
         for node in document.nodes() {
-            rules.take(node, &mut reader);
+            rules.read_rule(node, &mut reader);
         }
-        match reader.errors {
-            errors if errors.is_empty() => Ok(rules),
-            errors => Err(ConfigErrors::new(name, text, errors)),
+        if !reader.errors.is_empty() {
+            return Err(ConfigErrors::new(name, text, reader.errors));
         }
+        Ok(rules)
     }
 
-    fn take(&mut self, node: &KdlNode, reader: &mut Reader) {
-        let word = node.name().value();
-        let valued = matches!(word, "quota" | "window");
-        if !valued && !matches!(word, "drain" | "take-out") {
+    fn read_rule(&mut self, node: &KdlNode, reader: &mut Reader) {
+        let text = node.name().value();
+        let Some(word) = Word::parse(text) else {
             let expected = "one of quota, window, drain, take-out";
-            return reader.error(node.name().span(), expected, format!("{word:?}"));
-        }
-        let entries = node.entries();
-        let plain = entries.iter().all(|entry| entry.name().is_none()) && node.children().is_none();
-        let about =
-            entries.first().and_then(|entry| entry.value().as_string()).filter(|name| !name.is_empty());
-        let (Some(about), true) = (about, plain && entries.len() == 1 + usize::from(valued)) else {
-            let expected = if valued { "a name and a value" } else { "a name" };
+            return reader.error(node.name().span(), expected, format!("{text:?}"));
+        };
+        let Some(subject) = subject(node, word) else {
+            let expected = if word.has_value() { "a name and a value" } else { "a name" };
             return reader.error(node.span(), expected, node.to_string().trim().to_owned());
         };
-        let about = about.to_owned();
-        let new = match (word, entries.get(1)) {
-            ("quota", Some(entry)) => {
-                let number = entry.value().as_float().or(entry.value().as_integer().map(|n| n as f64));
-                let Some(quota) = number.filter(|n| n.is_finite() && *n >= 0.0) else {
-                    let expected = "requests a second, 0 or more";
-                    return reader.error(entry.span(), expected, entry.value().to_string());
-                };
-                self.quotas.insert(about, quota).is_none()
+        let value = node.entries().get(1);
+        let is_new = match (word, value) {
+            (Word::Quota, Some(entry)) => {
+                let Some(quota) = read_quota(entry, reader) else { return };
+                self.quotas.insert(subject, quota).is_none()
             }
-            ("window", Some(entry)) => {
-                let Some(window) = entry.value().as_string().and_then(duration) else {
-                    return reader.error(entry.span(), "a time such as \"40s\"", entry.value().to_string());
-                };
-                self.windows.insert(about, window).is_none()
+            (Word::Window, Some(entry)) => {
+                let Some(window) = read_window(entry, reader) else { return };
+                self.windows.insert(subject, window).is_none()
             }
-            ("drain", _) => self.drained.insert(about),
-            _ => self.taken_out.insert(about),
+            (Word::Drain, _) => self.drained.insert(subject),
+            (Word::TakeOut, _) => self.removed.insert(subject),
+            (Word::Quota | Word::Window, None) => return, // `subject` has checked it: not reached
         };
-        if !new {
+        if !is_new {
             reader.error(node.span(), "each name once", "it again");
         }
     }
 
-    /// What keeps to both: the lesser quota, the longer window, every drain and everything taken out. What only one
-    /// of them names holds as that one says.
+    /// Rules that keep to both: the lesser quota, the longer window, every drained and every removed worker. What only
+    /// one of them names holds as that one says.
     #[must_use]
     pub fn stricter(&self, other: &Rules) -> Rules {
         let mut both = self.clone();
@@ -97,43 +111,47 @@
             *longest = (*longest).max(*window);
         }
         both.drained.extend(other.drained.iter().cloned());
-        both.taken_out.extend(other.taken_out.iter().cloned());
+        both.removed.extend(other.removed.iter().cloned());
         both
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn syntax_errors(error: &KdlError) -> Vec<ConfigError> {
+    let to_error = |found: &kdl::KdlDiagnostic| {
+        ConfigError::new(found.span, "well-formed KDL", found.message.clone().unwrap_or_default())
+    };
+    error.diagnostics.iter().map(to_error).collect()
+}
 
-    const OLD: &str =
-        "quota \"acme\" 4.5\nquota \"umbrella\" 7\nwindow \"publish-map\" \"40s\"\ndrain \"s-1\"";
-    const NEW: &str = "quota \"acme\" 6\nwindow \"publish-map\" \"7.5s\"\ntake-out \"s-2\"";
+/// The name that a rule is about; `None` if the rule has not the form of its word.
+fn subject(node: &KdlNode, word: Word) -> Option<String> {
+    let entries = node.entries();
+    let has_properties = entries.iter().any(|entry| entry.name().is_some());
+    let has_right_count = entries.len() == 1 + usize::from(word.has_value());
+    if has_properties || node.children().is_some() || !has_right_count {
+        return None;
+    }
+    let name = entries.first()?.value().as_string()?;
+    (!name.is_empty()).then(|| name.to_owned())
+}
 
-    #[test]
-    fn while_two_versions_are_about_what_keeps_to_both_holds() {
-        let (old, new) = (Rules::read("d", OLD).unwrap(), Rules::read("d", NEW).unwrap());
-        let both = old.stricter(&new);
-        assert_eq!(both, new.stricter(&old));
-        assert_eq!((both.quotas["acme"], both.quotas["umbrella"]), (4.5, 7.0));
-        assert_eq!(both.windows["publish-map"], Duration::from_secs(40));
-        assert!(both.drained.contains("s-1") && both.taken_out.contains("s-2"));
-        assert_eq!(both.stricter(&both), both);
+fn read_quota(entry: &KdlEntry, reader: &mut Reader) -> Option<f64> {
+    let value = entry.value();
+    let number = value.as_float().or(value.as_integer().map(|number| number as f64));
+    let quota = number.filter(|number| number.is_finite() && *number >= 0.0);
+    if quota.is_none() {
+        reader.error(entry.span(), "requests a second, 0 or more", value.to_string());
     }
+    quota
+}
 
-    #[test]
-    fn each_mistake_is_named_with_its_place() {
-        for (text, place, what) in [
-            ("quota \"acme\"", "1:1", "a name and a value"),
-            ("quota \"acme\" -1", "1:14", "0 or more"),
-            ("\nwindow \"a\" 40", "2:12", "a time such as"),
-            ("drain \"s\"\ndrain \"s\"", "2:1", "each name once"),
-            ("drain s=1", "1:1", "a name"),
-            ("limit \"a\" 1", "1:1", "one of quota"),
-            ("quota \"", "1:", "well-formed"),
-        ] {
-            let error = Rules::read("rules.kdl", text).expect_err(text).to_string();
-            assert!(error.contains(&format!("rules.kdl:{place}")) && error.contains(what), "{text}: {error}");
-        }
+fn read_window(entry: &KdlEntry, reader: &mut Reader) -> Option<Duration> {
+    let window = entry.value().as_string().and_then(duration);
+    if window.is_none() {
+        reader.error(entry.span(), "a time such as \"40s\"", entry.value().to_string());
     }
+    window
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/replicated-register/tests/voters.rs
+++ b/crates/replicated-register/tests/voters.rs
@@ -3,35 +3,35 @@
 use std::time::Duration;
 
 use chutesaddle_replicated_register::{
-    Change, Config, MemberId, Message, Output, Stage, Value, Verdict, Voter,
+    Change, Config, Decision, MemberId, Message, NewVoter, Output, ProposedChange, Value, Voter, VoterStage,
 };
 
 /// Voters 0, 1 and 2, and 3 that does not vote yet.
 struct Net {
     voters: Vec<Voter>,
     now: Duration,
-    verdicts: Vec<(usize, Verdict)>,
+    decisions: Vec<(usize, Decision)>,
     sent: Vec<(usize, usize, Message)>,
 }
 
-/// A voter with nothing on its disk, in that life of its process.
-fn voter(member: u16, life: u64) -> Voter {
+/// A voter with nothing on its disk, in that incarnation of its process.
+fn voter(member: u16, incarnation: u64) -> Voter {
     let config = Config {
         voters: (0..3).map(MemberId).collect(),
         retry: Duration::from_millis(100),
-        patience: Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
         term: Duration::from_secs(1),
-        drift: 0.01,
+        clock_drift: 0.01,
     };
-    Voter::new(config, MemberId(member), None, 10 * life + u64::from(member))
+    Voter::new(config, MemberId(member), None, 10 * incarnation + u64::from(member))
 }
 
 impl Net {
-    fn founded() -> Self {
+    fn established() -> Self {
         let voters = (0..4).map(|member| voter(member, 1)).collect();
-        let mut net = Net { voters, now: Duration::ZERO, verdicts: Vec::new(), sent: Vec::new() };
+        let mut net = Net { voters, now: Duration::ZERO, decisions: Vec::new(), sent: Vec::new() };
         net.run(1, |_, _, _| true);
-        assert!((0..3).all(|member| net.voters[member].stage() == Stage::Active));
+        assert!((0..3).all(|member| net.voters[member].stage() == VoterStage::Active));
         net
     }
 
@@ -39,7 +39,7 @@
         for output in outputs {
             match output {
                 Output::Send(to, message) => self.sent.push((from, usize::from(to.0), message)),
-                Output::Verdict(_, verdict) => self.verdicts.push((from, verdict)),
+                Output::Decided(_, decision) => self.decisions.push((from, decision)),
                 Output::Persist(_) => {}
             }
         }
@@ -52,13 +52,13 @@
     }
 
     /// Delivers what is let through, at once, for so many seconds.
-    fn run(&mut self, seconds: u64, lets: impl Fn(usize, usize, &Message) -> bool) {
+    fn run(&mut self, seconds: u64, passes: impl Fn(usize, usize, &Message) -> bool) {
         for _ in 0..seconds * 50 {
             self.now += Duration::from_millis(20);
             (0..self.voters.len()).for_each(|member| self.at(member, |voter, now, out| voter.tick(now, out)));
             while !self.sent.is_empty() {
                 let (from, to, message) = self.sent.remove(0);
-                if lets(from, to, &message) {
+                if passes(from, to, &message) {
                     self.at(to, |voter, now, out| voter.receive(now, MemberId(from as u16), message, out));
                 }
             }
@@ -66,7 +66,8 @@
     }
 
     fn propose(&mut self, member: usize, name: &str, parent: u64, change: Change) {
-        self.at(member, |voter, now, out| voter.propose(now, 1, name.to_owned(), parent, change, out));
+        let proposed = ProposedChange { number: 1, name: name.to_owned(), parent, change };
+        self.at(member, |voter, now, out| voter.propose(now, proposed, out));
     }
 
     fn join(&mut self, member: usize) -> u64 {
@@ -77,13 +78,21 @@
 }
 
 #[test]
-fn a_proposer_that_finds_other_voters_chosen_makes_its_change_among_those() {
-    let mut net = Net::founded();
+fn a_change_found_under_a_new_epoch_is_made_by_its_voters() {
+    let mut net = Net::established();
     let key = net.join(3);
-    net.propose(0, "", 0, Change::Voters { add: Some((MemberId(3), key)), remove: Some(MemberId(2)) });
+    net.propose(
+        0,
+        "",
+        0,
+        Change::Voters {
+            add: Some(NewVoter { member: MemberId(3), disk_key: key }),
+            remove: Some(MemberId(2)),
+        },
+    );
     // 0 and 1 accept it; nobody hears that it is chosen, and 0 is cut off.
-    net.run(1, |_, to, message| to == 1 && !matches!(message, Message::Chosen(..)) || to == 0);
-    assert_eq!(net.verdicts, [(0, Verdict::Made(1))]);
+    net.run(1, |_, to, message| to == 1 && !matches!(message, Message::Chosen(_)) || to == 0);
+    assert_eq!(net.decisions, [(0, Decision::Committed(1))]);
     assert_eq!(net.voters[1].electorate().epoch, 0);
     // 1 knows the old voters only, and a majority of them answers.
     net.propose(1, "rules", 0, Change::Put("quota \"acme\" 4".to_owned()));
@@ -96,50 +105,74 @@
         }
         from != 0 && to != 0
     });
-    assert!(changed.get() && net.verdicts[1..] == [(1, Verdict::Made(1))], "{:?}", net.verdicts);
-    assert_eq!(net.voters[3].stage(), Stage::Active);
+    assert!(changed.get() && net.decisions[1..] == [(1, Decision::Committed(1))], "{:?}", net.decisions);
+    assert_eq!(net.voters[3].stage(), VoterStage::Active);
 }
 
 #[test]
-fn only_the_disk_that_joined_votes_for_a_member() {
-    let mut net = Net::founded();
+fn only_the_disk_that_joined_votes_for_its_member() {
+    let mut net = Net::established();
     let key = net.join(3);
     assert_eq!(net.join(3), key, "asked again it is the same, as the change may be on its way");
-    net.propose(0, "", 0, Change::Voters { add: Some((MemberId(3), key)), remove: None });
+    net.propose(
+        0,
+        "",
+        0,
+        Change::Voters { add: Some(NewVoter { member: MemberId(3), disk_key: key }), remove: None },
+    );
     // Its disk is lost before it hears of it.
     net.run(1, |_, to, _| to != 3);
-    assert_eq!(net.verdicts, [(0, Verdict::Made(1))]);
+    assert_eq!(net.decisions, [(0, Decision::Committed(1))]);
     net.voters[3] = voter(3, 2);
     let other = net.join(3);
     assert_ne!(other, key);
     // With 2 cut off, three of the four are needed and only two can vote.
     net.propose(0, "rules", 0, Change::Put(String::new()));
     net.run(6, |from, to, _| from != 2 && to != 2);
-    assert_eq!(net.voters[3].stage(), Stage::Joining);
-    assert_eq!(net.verdicts[1..], [(0, Verdict::Unknown)]);
+    assert_eq!(net.voters[3].stage(), VoterStage::Joining);
+    assert_eq!(net.decisions[1..], [(0, Decision::Unknown)]);
     // One that finds nothing on its disk and joins no more is told from one that begins.
     net.voters[3] = voter(3, 3);
     net.propose(0, "rules", 0, Change::Put(String::new()));
     net.run(1, |_, _, _| true);
-    assert_eq!(net.voters[3].stage(), Stage::Lost);
-    assert_eq!(net.verdicts.last(), Some(&(0, Verdict::Made(1))), "2 is back");
+    assert_eq!(net.voters[3].stage(), VoterStage::Lost);
+    assert_eq!(net.decisions.last(), Some(&(0, Decision::Committed(1))), "2 is back");
     // Replaced by its own new disk it votes again.
     let new = net.join(3);
-    net.propose(1, "", 1, Change::Voters { add: Some((MemberId(3), new)), remove: Some(MemberId(3)) });
+    net.propose(
+        1,
+        "",
+        1,
+        Change::Voters {
+            add: Some(NewVoter { member: MemberId(3), disk_key: new }),
+            remove: Some(MemberId(3)),
+        },
+    );
     net.run(1, |_, _, _| true);
-    assert_eq!((net.voters[3].stage(), net.verdicts.last()), (Stage::Active, Some(&(1, Verdict::Made(2)))));
+    assert_eq!(
+        (net.voters[3].stage(), net.decisions.last()),
+        (VoterStage::Active, Some(&(1, Decision::Committed(2))))
+    );
 }
 
 #[test]
-fn who_votes_no_more_names_those_who_do() {
-    let mut net = Net::founded();
+fn a_replaced_voter_redirects_to_the_present_voters() {
+    let mut net = Net::established();
     let key = net.join(3);
-    net.propose(1, "", 0, Change::Voters { add: Some((MemberId(3), key)), remove: Some(MemberId(0)) });
+    net.propose(
+        1,
+        "",
+        0,
+        Change::Voters {
+            add: Some(NewVoter { member: MemberId(3), disk_key: key }),
+            remove: Some(MemberId(0)),
+        },
+    );
     net.run(1, |_, _, _| true);
     let mut out = Vec::new();
-    net.voters[0].receive(net.now, MemberId(9), Message::Ask(1, None), &mut out);
+    net.voters[0].receive(net.now, MemberId(9), Message::ConfirmationRequest(1, None), &mut out);
     let named: Vec<_> = [1, 2, 3].map(MemberId).into();
-    assert_eq!(out, [Output::Send(MemberId(9), Message::Moved(named))]);
-    let none = Value::founded([]).electorate;
+    assert_eq!(out, [Output::Send(MemberId(9), Message::Redirect(named))]);
+    let none = Value::initial([]).electorate;
     assert_eq!((none.voters.len(), none.majority()), (0, 1), "of nobody there is no majority");
 }
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn whatever_fails_no_two_act_plainly_on_different_versions_and_none_is_lost() {
+fn no_two_act_on_different_versions_alone_and_no_version_is_lost() {
     let report = agreement::play(0, 150);
     assert_eq!(report.broken, Vec::<String>::new());
-    assert!(report.versions > 150 && report.epochs > 75 && report.plain > 15_000, "{report:?}");
+    assert!(report.versions > 150 && report.epochs > 75 && report.current > 15_000, "{report:?}");
 }
