--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -134,7 +134,7 @@
     async fn start_process(&self, number: usize) -> io::Result<()> {
         let node = &self.nodes[number];
         let process = SchedulerProcess::start(&self.program, &node.config_file, None, &node.dir)?;
-        let address = process.address("serves on ").await?;
+        let address = process.address("serving clients address=").await?;
         if node.gossips {
             let gossip_address = process.address("listening for gossip address=").await?;
             self.network.set_receiver(number, Some(gossip_address));
--- a/crates/test-doubles/src/site.rs
+++ b/crates/test-doubles/src/site.rs
@@ -78,8 +78,8 @@
             None => None,
         };
         let scheduler = SchedulerProcess::start(program, &config_file, operator_file.as_deref(), &dir)?;
-        let operator_address = scheduler.address("operators call at ").await?;
-        let address = scheduler.address("serves on ").await?;
+        let operator_address = scheduler.address("listening for operators address=").await?;
+        let address = scheduler.address("serving clients address=").await?;
         for worker in &workers {
             worker.send_callbacks_to(address);
         }
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -154,6 +154,6 @@
             return;
         };
         self.counters.notes_heard.add();
-        self.queue.send(EngineMessage::GossipReceived(sender, message.to_vec()));
+        self.queue.send(EngineMessage::GossipReceived { from: sender, bytes: message.to_vec() });
     }
 }
