--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -19,13 +19,13 @@
 use chutesaddle::server::engine::Engine;
 use chutesaddle::server::engine_queue::EngineQueue;
 use chutesaddle::server::frontend::Frontend;
-use chutesaddle::server::lifecycle::handover::{self, Handover, Predecessor};
+use chutesaddle::server::lifecycle::handover::{self, Handover, Predecessor, TakenListener};
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
 use chutesaddle::server::lifecycle::reload::{operator, Reload};
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
-use chutesaddle::server::peers::gossip_transport::{self, GossipTransport};
+use chutesaddle::server::peers::gossip_transport::{self, GossipSender, GossipTransport};
 use chutesaddle::server::peers::site_links::{new_incarnation, SiteLinkSettings, SiteLinks};
 use chutesaddle::server::workers::endpoint::WorkerConnector;
 use chutesaddle_gateway::Gateway;
@@ -87,7 +87,7 @@
 
     let address = files.config.listen;
     let socket_path = handover::socket_path();
-    let (listener, predecessor) = handover::take_listener(socket_path.as_deref(), address)
+    let TakenListener { listener, predecessor } = handover::take_listener(socket_path.as_deref(), address)
         .await
         .map_err(|error| ServeError::Listen(address, error))?;
     let address = listener.local_addr().unwrap_or(address);
@@ -207,68 +207,95 @@
 
 fn build(files: Files, listening: Listening, shared: &Shared) -> Node {
     let Files { config, config_path, operator_path, site_links, .. } = files;
-    let Shared { counters, lifecycle, budgets, peers } = shared;
-    let settings = config.settings;
-    let connector = Rc::new(WorkerConnector::new(
-        budgets.members(),
-        settings.connect_timeout_s,
-        settings.connection_idle_timeout_s,
-        Rc::clone(counters),
-    ));
-    let (engine, queue) =
-        Engine::new(settings.clone(), config.seed, Rc::clone(&connector), Rc::clone(counters), peers.clone());
     let (gossip_sender, gossip_queue) = gossip_transport::channel();
-    let (engine, site_links) = add_gateway(engine.with_notes(gossip_sender), site_links, &queue, lifecycle);
-    let discovery_watch = DiscoveryWatch::new(
-        config.discovery,
-        config.known_endpoints.version,
-        queue.clone(),
-        Rc::clone(counters),
-        WatchSupervisor::new(&settings, config.seed, Duration::ZERO),
-    );
-    let frontend = Rc::new(Frontend::new(
-        settings.clone(),
-        queue.clone(),
-        Rc::clone(counters),
-        Rc::clone(lifecycle),
-        budgets.clients(),
-    ));
+    let EngineParts { engine, queue, connector } = build_engine(&config, gossip_sender, shared);
+    let (engine, site_links) = add_gateway(engine, site_links, &queue, &shared.lifecycle);
+    let discovery_watch = build_discovery_watch(&config, &queue, shared);
+    let frontend = build_frontend(&config, &queue, shared);
     let (discovery, discovery_address) = watch::channel(config.discovery);
     let (gossip, gossip_addresses) = watch::channel(config.gossip);
+    let gossip_transport = GossipTransport::new(
+        gossip_queue,
+        queue.clone(),
+        Rc::clone(&shared.counters),
+        shared.lifecycle.watch(),
+        gossip_addresses,
+    );
+    let handover = build_handover(listening, &frontend, &queue, shared);
     let reload = Reload {
         config_path,
         operator_path,
         name: config.name,
         listen: config.listen,
         operator_listen: config.operator_listen,
-        settings,
+        settings: config.settings,
         discovery,
         gossip,
         site_links: site_links.clone(),
         frontend: Rc::clone(&frontend),
-        queue: queue.clone(),
+        queue,
         connector,
-        budgets: Rc::clone(budgets),
+        budgets: Rc::clone(&shared.budgets),
     };
+    let known_endpoints = config.known_endpoints;
     Node {
         engine,
-        known_endpoints: config.known_endpoints,
+        known_endpoints,
         discovery_watch,
         discovery_address,
-        gossip: GossipTransport::new(
-            gossip_queue,
-            queue.clone(),
-            Rc::clone(counters),
-            lifecycle.watch(),
-            gossip_addresses,
-        ),
+        gossip: gossip_transport,
         reload,
-        frontend: Rc::clone(&frontend),
-        handover: build_handover(listening, frontend, queue, shared),
+        frontend,
+        handover,
         site_links,
     }
 }
 
+/// The engine, the queue to it, and what connects its attempts to the workers.
+struct EngineParts {
+    engine: Engine,
+    queue: EngineQueue,
+    connector: Rc<WorkerConnector>,
+}
+
+fn build_engine(config: &Config, gossip: GossipSender, shared: &Shared) -> EngineParts {
+    let settings = &config.settings;
+    let connector = Rc::new(WorkerConnector::new(
+        shared.budgets.members(),
+        settings.connect_timeout_s,
+        settings.connection_idle_timeout_s,
+        Rc::clone(&shared.counters),
+    ));
+    let (engine, queue) = Engine::new(
+        settings.clone(),
+        config.seed,
+        Rc::clone(&connector),
+        Rc::clone(&shared.counters),
+        shared.peers.clone(),
+    );
+    EngineParts { engine: engine.with_notes(gossip), queue, connector }
+}
+
+fn build_discovery_watch(config: &Config, queue: &EngineQueue, shared: &Shared) -> DiscoveryWatch {
+    DiscoveryWatch::new(
+        config.discovery,
+        config.known_endpoints.version,
+        queue.clone(),
+        Rc::clone(&shared.counters),
+        WatchSupervisor::new(&config.settings, config.seed, Duration::ZERO),
+    )
+}
+
+fn build_frontend(config: &Config, queue: &EngineQueue, shared: &Shared) -> Rc<Frontend> {
+    Rc::new(Frontend::new(
+        config.settings.clone(),
+        queue.clone(),
+        Rc::clone(&shared.counters),
+        Rc::clone(&shared.lifecycle),
+        shared.budgets.clients(),
+    ))
+}
+
 /// Adds the gateway to other sites, if the operator's file has one.
 fn add_gateway(
     engine: Engine,
@@ -286,16 +313,16 @@
 
 fn build_handover(
     listening: Listening,
-    frontend: Rc<Frontend>,
-    queue: EngineQueue,
+    frontend: &Rc<Frontend>,
+    queue: &EngineQueue,
     shared: &Shared,
 ) -> Rc<Handover> {
     Rc::new(Handover {
         socket_path: listening.socket_path,
         listener: Rc::new(listening.listener),
-        frontend,
+        frontend: Rc::clone(frontend),
         lifecycle: Rc::clone(&shared.lifecycle),
-        queue,
+        queue: queue.clone(),
         peers: shared.peers.clone(),
         budgets: Rc::clone(&shared.budgets),
         counters: Rc::clone(&shared.counters),
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -64,21 +64,26 @@
     receiver: FrameReceiver,
 }
 
+/// The listener for clients, and the process that it came from.
+pub struct TakenListener {
+    /// The listener.
+    pub listener: TcpListener,
+    /// The predecessor; `None`: the address was free.
+    pub predecessor: Option<Predecessor>,
+}
+
 /// The listener for clients: from the predecessor if there is one, or else bound.
 ///
 /// # Errors
 /// If the address cannot be bound, after [`BIND_TIMEOUT`] if it is another process that holds it.
-pub async fn take_listener(
-    socket_path: Option<&Path>,
-    address: SocketAddr,
-) -> io::Result<(TcpListener, Option<Predecessor>)> {
+pub async fn take_listener(socket_path: Option<&Path>, address: SocketAddr) -> io::Result<TakenListener> {
     let last_try = Instant::now() + BIND_TIMEOUT;
     loop {
-        if let Some((listener, predecessor)) = listener_of_predecessor(socket_path, address).await {
-            return Ok((listener, Some(predecessor)));
+        if let Some(taken) = listener_of_predecessor(socket_path, address).await {
+            return Ok(taken);
         }
         let error = match TcpListener::bind(address).await {
-            Ok(listener) => return Ok((listener, None)),
+            Ok(listener) => return Ok(TakenListener { listener, predecessor: None }),
             Err(error) => error,
         };
         let held_by_another_process = error.kind() == io::ErrorKind::AddrInUse && socket_path.is_some();
@@ -90,10 +95,7 @@
 }
 
 /// Connects to the predecessor and receives its listener. A socket file without a process refuses the connection.
-async fn listener_of_predecessor(
-    socket_path: Option<&Path>,
-    address: SocketAddr,
-) -> Option<(TcpListener, Predecessor)> {
+async fn listener_of_predecessor(socket_path: Option<&Path>, address: SocketAddr) -> Option<TakenListener> {
     let (sender, mut receiver) = link(UnixStream::connect(socket_path?).await.ok()?);
     let ReceivedFrame { frame, socket } = timeout(LISTENER_TIMEOUT, receiver.next()).await.ok()??;
     let (HandoverFrame::Listener, Some(socket)) = (frame, socket) else { return None };
@@ -106,7 +108,7 @@
     if !any_port && !same_address {
         return None;
     }
-    Some((listener, Predecessor { sender, receiver }))
+    Some(TakenListener { listener, predecessor: Some(Predecessor { sender, receiver }) })
 }
 
 /// What this process needs to take part in upgrades, as the successor first and as a predecessor later.
