--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -57,7 +57,8 @@
         let work_s = request.estimated_work_s.unwrap_or(0.0);
         self.spawn_attempt(id, attempt, task.run());
         self.recent_sends.expire(&self.settings);
-        self.peers.broadcast(None, &HandoverFrame::WorkSent(worker_name.clone(), class, work_s));
+        let frame = HandoverFrame::WorkSent { worker_name: worker_name.clone(), class, work_s };
+        self.peers.broadcast(None, &frame);
         self.recent_sends.add(worker_name, class, work_s);
         None
     }
@@ -113,7 +114,7 @@
         let free_slots = load.free_slots.unwrap_or(-1.0);
         tracing::debug!(request = %name, attempt, end = end.name(), free_slots, "attempt ended");
         request.may_have_run |= !outcome.proves_not_executed();
-        self.counters.ended(end);
+        self.counters.attempt_ended(end);
         self.notify_dispatcher(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
--- a/src/server/engine/callbacks.rs
+++ b/src/server/engine/callbacks.rs
@@ -92,6 +92,7 @@
         }
         let migrated = self.migration.has_migrated(&callback.request_name);
         let excluded = relay.map(|relay| relay.from).filter(|_| !migrated);
-        self.peers.broadcast(excluded, &HandoverFrame::Callback(callback.clone(), relays + 1))
+        let frame = HandoverFrame::Callback { callback: callback.clone(), relays: relays + 1 };
+        self.peers.broadcast(excluded, &frame)
     }
 }
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -157,7 +157,7 @@
             payload,
             origin: None, // requests of other sites do not migrate
         };
-        let mut request = TrackedRequest::new(submitted, reply, Gauge::hold(&self.counters.active));
+        let mut request = TrackedRequest::new(submitted, reply, Gauge::count(&self.counters.active));
         // The other process knows whether it ran. Here it counts as run, so that it is not forwarded.
         request.may_have_run = true;
         for (attempt, &worker) in attempts.into_iter().zip(&workers) {
@@ -210,8 +210,9 @@
     pub(super) fn peer_process_joined(&mut self, peer: PeerProcessId, role: ProcessRole) {
         if role == ProcessRole::Successor {
             let learned = self.dispatcher.learned_state();
-            let names = learned.workers().map(|worker| (worker, self.worker_name(worker))).collect();
-            self.peers.send(peer, HandoverFrame::LearnedState(Box::new(learned), names));
+            let worker_names = learned.workers().map(|worker| (worker, self.worker_name(worker))).collect();
+            let learned = Box::new(learned);
+            self.peers.send(peer, HandoverFrame::LearnedState { learned, worker_names });
         }
         for name in self.requests.names() {
             self.peers.send(peer, HandoverFrame::RequestOpened(name.clone()));
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -43,6 +43,10 @@
 
     /// The notices for a process that joins, oldest first.
     pub(super) fn frames(&self) -> impl Iterator<Item = HandoverFrame> + '_ {
-        self.0.iter().map(|send| HandoverFrame::WorkSent(send.worker_name.clone(), send.class, send.work_s))
+        self.0.iter().map(|send| HandoverFrame::WorkSent {
+            worker_name: send.worker_name.clone(),
+            class: send.class,
+            work_s: send.work_s,
+        })
     }
 }
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -19,7 +19,7 @@
 use super::site_forwarding::ForwardingState;
 use crate::scheduling::RequestId;
 use crate::server::messages::{ClientRequest, FinalAnswer, RequestPayload};
-use crate::server::metrics::Gauged;
+use crate::server::metrics::GaugeGuard;
 
 /// Whether the client of a request still waits for its answer.
 pub(super) enum ClientState {
@@ -28,7 +28,7 @@
         /// Where the final answer goes.
         reply: oneshot::Sender<FinalAnswer>,
         /// Counts the request as active.
-        active: Gauged,
+        active: GaugeGuard,
     },
     /// It has its answer; or another process is to give it, and answers its notices.
     Answered,
@@ -75,7 +75,11 @@
 
 impl TrackedRequest {
     /// A request without attempts, whose answer goes to `reply`.
-    pub(super) fn new(request: ClientRequest, reply: oneshot::Sender<FinalAnswer>, active: Gauged) -> Self {
+    pub(super) fn new(
+        request: ClientRequest,
+        reply: oneshot::Sender<FinalAnswer>,
+        active: GaugeGuard,
+    ) -> Self {
         TrackedRequest {
             class: request.class,
             tenant: request.tenant,
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -50,7 +50,7 @@
             estimated_work_s: submitted.estimated_work_s,
             affinity_key: submitted.affinity_key,
         });
-        let active = Gauge::hold(&self.counters.active);
+        let active = Gauge::count(&self.counters.active);
         self.requests.insert(id, TrackedRequest::new(submitted, reply, active));
         self.timers.set(deadline, Timer::Deadline(id));
         if self.bind_to_other_site(id) {
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -98,8 +98,8 @@
 
     fn publish_metrics(&self) {
         let metrics = &self.counters.gateway;
-        metrics.all.set(self.gateway.statistics());
-        metrics.stance.set(self.gateway.load_state());
+        metrics.statistics.set(self.gateway.statistics());
+        metrics.load_state.set(self.gateway.load_state());
     }
 }
 
--- a/src/server/engine/site_forwarding/frames.rs
+++ b/src/server/engine/site_forwarding/frames.rs
@@ -31,7 +31,7 @@
         let id = ForwardedRequestId;
         Some(match (site_link.dialled, frame) {
             (true, Frame::Grant { epoch, limit, term_us }) => {
-                self.counters.gateway.link(&site_link.site, true, |figures| figures.room = limit);
+                self.counters.gateway.link(&site_link.site, true, |link| link.slot_limit = limit);
                 let term = Duration::from_micros(term_us);
                 GatewayEvent::CreditGranted { link, epoch: Incarnation(epoch), limit, term }
             }
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -57,8 +57,10 @@
         // A socket that cannot be handed over has broken.
         if let (Some(successor), Ok(parts)) = (successor, client.http.into_parts()) {
             self.counters.connections_passed_on.add();
-            let frame =
-                HandoverFrame::IdleConnection { worth: client.eviction_class, spoke: client.answered };
+            let frame = HandoverFrame::IdleConnection {
+                eviction_class: client.eviction_class,
+                answered: client.answered,
+            };
             successor.send(frame, Some(parts.socket));
         }
     }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -236,26 +236,27 @@
     fn handle(&self, peer: PeerProcessId, received: ReceivedFrame) {
         match (received.frame, received.socket) {
             (HandoverFrame::Serving, _) => self.successor_serves(peer),
-            (HandoverFrame::IdleConnection { worth, spoke }, Some(socket)) => {
+            (HandoverFrame::IdleConnection { eviction_class, answered }, Some(socket)) => {
                 if let Some(stream) = adopt_socket(socket) {
-                    spawn_local(Rc::clone(&self.frontend).adopt(stream, worth, spoke));
+                    spawn_local(Rc::clone(&self.frontend).adopt(stream, eviction_class, answered));
                 }
             }
-            (HandoverFrame::LearnedState(learned, names), _) => {
-                self.queue.send(EngineMessage::LearnedState { learned, worker_names: names });
+            (HandoverFrame::LearnedState { learned, worker_names }, _) => {
+                self.queue.send(EngineMessage::LearnedState { learned, worker_names });
             }
             (HandoverFrame::RequestOpened(id), _) => self.peers.request_opened(peer, id),
             (HandoverFrame::RequestClosed(id), _) => self.peers.request_closed(peer, id),
             (HandoverFrame::Request { request, read_ahead, keep_alive }, Some(socket)) => {
                 self.adopt_request(peer, AdoptedRequest { request, socket, read_ahead, keep_alive });
             }
-            (HandoverFrame::Callback(callback, relays), _) => {
+            (HandoverFrame::Callback { callback, relays }, _) => {
                 let relay = CallbackRelay { from: peer, relays };
                 self.queue.send(EngineMessage::CallbackReceived { callback, relay: Some(relay) });
             }
-            (HandoverFrame::WorkSent(worker, class, work_s), _) => {
-                self.peers.broadcast(Some(peer), &HandoverFrame::WorkSent(worker.clone(), class, work_s));
-                self.queue.send(EngineMessage::SentByOtherProcess { worker_name: worker, class, work_s });
+            (HandoverFrame::WorkSent { worker_name, class, work_s }, _) => {
+                let frame = HandoverFrame::WorkSent { worker_name: worker_name.clone(), class, work_s };
+                self.peers.broadcast(Some(peer), &frame);
+                self.queue.send(EngineMessage::SentByOtherProcess { worker_name, class, work_s });
             }
             // The first is expected only by `listener_of_predecessor`; the others never come without their socket.
             (
--- a/src/server/lifecycle/handover_frames/frame.rs
+++ b/src/server/lifecycle/handover_frames/frame.rs
@@ -26,17 +26,27 @@
     RequestOpened(Bytes),
     /// The request with this id is no longer open at the sender.
     RequestClosed(Bytes),
-    /// A callback for a request that is not open where it came in, and how often it has been relayed.
-    Callback(WorkerCallback, u8),
+    /// A callback for a request that is not open where it came in.
+    Callback {
+        /// The callback.
+        callback: WorkerCallback,
+        /// How often it has been relayed.
+        relays: u8,
+    },
     /// An idle connection of a client, with its socket.
     IdleConnection {
-        /// What it has carried.
-        worth: EvictionClass,
-        /// Whether it has carried a message before.
-        spoke: bool,
+        /// When it is evicted, by what it has carried.
+        eviction_class: EvictionClass,
+        /// Whether a message on it has been answered.
+        answered: bool,
+    },
+    /// From the predecessor: what it has learned about the workers.
+    LearnedState {
+        /// The state, with the worker numbers of the predecessor.
+        learned: Box<LearnedState>,
+        /// The names of the workers with these numbers.
+        worker_names: Vec<(WorkerId, String)>,
     },
-    /// From the predecessor: what it has learned about the workers, and their names by its own numbers.
-    LearnedState(Box<LearnedState>, Vec<(WorkerId, String)>),
     /// A request, with the socket on which its client waits.
     Request {
         /// The request.
@@ -46,8 +56,15 @@
         /// Whether the client keeps the connection open.
         keep_alive: bool,
     },
-    /// The sender has sent an attempt to a worker: its name, the class, and the work in seconds.
-    WorkSent(String, usize, f64),
+    /// The sender has sent an attempt to a worker.
+    WorkSent {
+        /// The worker.
+        worker_name: String,
+        /// Index into the settings' classes.
+        class: usize,
+        /// Its expected work in seconds.
+        work_s: f64,
+    },
 }
 
 impl HandoverFrame {
@@ -58,11 +75,11 @@
             | HandoverFrame::Serving
             | HandoverFrame::RequestOpened(_)
             | HandoverFrame::RequestClosed(_)
-            | HandoverFrame::Callback(..) => true,
+            | HandoverFrame::Callback { .. } => true,
             HandoverFrame::IdleConnection { .. }
-            | HandoverFrame::LearnedState(..)
+            | HandoverFrame::LearnedState { .. }
             | HandoverFrame::Request { .. }
-            | HandoverFrame::WorkSent(..) => false,
+            | HandoverFrame::WorkSent { .. } => false,
         }
     }
 
@@ -75,9 +92,9 @@
             HandoverFrame::Serving
             | HandoverFrame::RequestOpened(_)
             | HandoverFrame::RequestClosed(_)
-            | HandoverFrame::Callback(..)
-            | HandoverFrame::LearnedState(..)
-            | HandoverFrame::WorkSent(..) => false,
+            | HandoverFrame::Callback { .. }
+            | HandoverFrame::LearnedState { .. }
+            | HandoverFrame::WorkSent { .. } => false,
         }
     }
 }
--- a/src/server/lifecycle/handover_frames/tests.rs
+++ b/src/server/lifecycle/handover_frames/tests.rs
@@ -19,13 +19,16 @@
         (HandoverFrame::Serving, &[1]),
         (HandoverFrame::RequestOpened(id()), b"\x02\x02r1"),
         (HandoverFrame::RequestClosed(id()), b"\x03\x02r1"),
-        (HandoverFrame::Callback(callback(CallbackEvent::Started), 1), b"\x04\x02r1\x01m\0\0\x01"),
         (
-            HandoverFrame::Callback(callback(CallbackEvent::Progress(0.5)), 1),
+            HandoverFrame::Callback { callback: callback(CallbackEvent::Started), relays: 1 },
+            b"\x04\x02r1\x01m\0\0\x01",
+        ),
+        (
+            HandoverFrame::Callback { callback: callback(CallbackEvent::Progress(0.5)), relays: 1 },
             b"\x04\x02r1\x01m\x01\0\0\0\0\0\0\xe0\x3f\0\x01",
         ),
         (
-            HandoverFrame::Callback(callback(CallbackEvent::Completed(id())), 2),
+            HandoverFrame::Callback { callback: callback(CallbackEvent::Completed(id())), relays: 2 },
             b"\x04\x02r1\x01m\x02\x02r1\0\x02",
         ),
     ];
@@ -35,6 +38,7 @@
         let read: HandoverFrame = postcard::from_bytes(bytes).unwrap();
         assert_eq!(postcard::to_allocvec(&read).unwrap(), bytes, "{read:?}");
     }
-    let unstable = HandoverFrame::IdleConnection { worth: EvictionClass::NeverUsed, spoke: false };
+    let unstable =
+        HandoverFrame::IdleConnection { eviction_class: EvictionClass::NeverUsed, answered: false };
     assert!(!unstable.is_stable() && postcard::to_allocvec(&unstable).unwrap()[0] == STABLE_FRAMES);
 }
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -97,7 +97,7 @@
     fn answer(&self, line: &[u8]) -> String {
         match line {
             b"STATUS" => self.status(),
-            b"METRICS" => format!("+OK\n{}.\n", self.counters.figures()),
+            b"METRICS" => format!("+OK\n{}.\n", self.counters.operator_metrics()),
             b"PAUSE" => {
                 tracing::info!("an operator sent PAUSE");
                 self.change(LifecycleEvent::PauseRequested)
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -2,13 +2,16 @@
 //! the engine.
 //!
 //! [`Counters`] owns them all. They are written in two forms: as `GET /counters` and at the exit (its `Display`), and as the
-//! operators' METRICS ([`Counters::figures`]). The names on the wire are in this module only and never change; where such a
+//! operators' METRICS ([`Counters::operator_metrics`]). The names on the wire are in this module only and never change; where such a
 //! name has an old word, the comment beside it says which term it means. `docs/on-call.md` says what each metric means.
 
 mod class_counters;
 mod counter;
 mod gateway_metrics;
 
+#[cfg(test)]
+mod tests;
+
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::Rc;
@@ -16,8 +19,8 @@
 use crate::server::attempt_end::AttemptEnd;
 
 pub use class_counters::ClassCounters;
-pub use counter::{Counter, Gauge, Gauged};
-pub use gateway_metrics::{GatewayFigures, LinkFigures};
+pub use counter::{Counter, Gauge, GaugeGuard};
+pub use gateway_metrics::{GatewayMetrics, LinkMetrics};
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
@@ -30,7 +33,7 @@
             /// The classes, in the order of the settings.
             classes: RefCell<Vec<Rc<ClassCounters>>>,
             /// The gateway to other sites.
-            pub gateway: GatewayFigures,
+            pub gateway: GatewayMetrics,
             /// Requests accepted and not yet answered.
             pub active: Rc<Gauge>,
             /// Workers in the endpoint list.
@@ -127,12 +130,12 @@
     }
 
     /// The operators' metrics, one `svc.NAME=VALUE` to a line.
-    pub fn figures(&self) -> OperatorMetrics<'_> {
+    pub fn operator_metrics(&self) -> OperatorMetrics<'_> {
         OperatorMetrics(self)
     }
 
     /// Counts the end of an attempt.
-    pub fn ended(&self, end: AttemptEnd) {
+    pub fn attempt_ended(&self, end: AttemptEnd) {
         self.ends[end as usize].add();
     }
 }
--- a/src/server/metrics/counter.rs
+++ b/src/server/metrics/counter.rs
@@ -31,9 +31,9 @@
     }
 
     /// One more, until the returned value is dropped.
-    pub fn hold(gauge: &Rc<Self>) -> Gauged {
+    pub fn count(gauge: &Rc<Self>) -> GaugeGuard {
         gauge.set(gauge.get() + 1);
-        Gauged(Rc::clone(gauge))
+        GaugeGuard(Rc::clone(gauge))
     }
 
     /// The number.
@@ -43,9 +43,9 @@
 }
 
 /// Counted by a [`Gauge`] until it is dropped.
-pub struct Gauged(Rc<Gauge>);
+pub struct GaugeGuard(Rc<Gauge>);
 
-impl Drop for Gauged {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -27,7 +27,9 @@
 
 #[test]
 fn reads_learned_state_written_by_84881d9() {
-    let HandoverFrame::LearnedState(learned, names) = read_frame("handover-learned-state-84881d9.bin") else {
+    let HandoverFrame::LearnedState { learned, worker_names: names } =
+        read_frame("handover-learned-state-84881d9.bin")
+    else {
         panic!("not the learned state")
     };
     let listed: Vec<u64> = learned.workers().map(|worker| worker.0).collect();
@@ -54,13 +56,13 @@
 #[test]
 fn reads_idle_connection_written_by_84881d9() {
     let frame = read_frame("handover-idle-connection-84881d9.bin");
-    assert!(matches!(frame, HandoverFrame::IdleConnection { spoke: true, .. }), "{frame:?}");
+    assert!(matches!(frame, HandoverFrame::IdleConnection { answered: true, .. }), "{frame:?}");
 }
 
 #[test]
 fn reads_work_sent_elsewhere_written_by_84881d9() {
     let frame = read_frame("handover-sent-work-84881d9.bin");
-    let HandoverFrame::WorkSent(worker, class, work) = frame else {
+    let HandoverFrame::WorkSent { worker_name: worker, class, work_s: work } = frame else {
         panic!("not a notice of sent work: {frame:?}")
     };
     assert_eq!((worker.as_str(), class, work), ("worker-4", 1, 0.25));
