--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -20,7 +20,7 @@
 use super::site_forwarding::ForwardingState;
 use crate::scheduling::{RequestId, WorkerId};
 use crate::server::messages::{AttemptCommand, ClientRequest, FinalAnswer, RequestPayload};
-use crate::server::metrics::Gauged;
+use crate::server::metrics::GaugeGuard;
 
 /// Whether the client of a request still waits for its answer.
 pub(super) enum ClientState {
@@ -29,7 +29,7 @@
         /// Where the final answer goes.
         reply: oneshot::Sender<FinalAnswer>,
         /// Counts the request as active.
-        active: Gauged,
+        active: GaugeGuard,
     },
     /// It has its answer; or another process is to give it, and answers its notices.
     Answered,
@@ -86,7 +86,11 @@
 
 impl TrackedRequest {
     /// A request without attempts, whose answer goes to `reply`.
-    pub(super) fn new(request: ClientRequest, reply: oneshot::Sender<FinalAnswer>, active: Gauged) -> Self {
+    pub(super) fn new(
+        request: ClientRequest,
+        reply: oneshot::Sender<FinalAnswer>,
+        active: GaugeGuard,
+    ) -> Self {
         TrackedRequest {
             class: request.class,
             tenant: request.tenant,
--- a/src/server/engine/request_table/tests.rs
+++ b/src/server/engine/request_table/tests.rs
@@ -28,7 +28,7 @@
 
 fn tracked(name: &'static [u8], active: &Rc<Gauge>) -> TrackedRequest {
     let (reply, _) = oneshot::channel();
-    TrackedRequest::new(submitted(name), reply, Gauge::hold(active))
+    TrackedRequest::new(submitted(name), reply, Gauge::count(active))
 }
 
 #[test]
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -65,21 +65,26 @@
     receiver: FrameReceiver,
 }
 
+/// The listener for clients, and the process that it came from.
+pub struct TakenListener {
+    /// The listener.
+    pub listener: TcpListener,
+    /// The predecessor; `None`: the address was free.
+    pub predecessor: Option<Predecessor>,
+}
+
 /// The listener for clients: from the predecessor if there is one, or else bound.
 ///
 /// # Errors
 /// If the address cannot be bound, after [`BIND_TIMEOUT`] if it is another process that holds it.
-pub async fn take_listener(
-    socket_path: Option<&Path>,
-    address: SocketAddr,
-) -> io::Result<(TcpListener, Option<Predecessor>)> {
+pub async fn take_listener(socket_path: Option<&Path>, address: SocketAddr) -> io::Result<TakenListener> {
     let last_try = Instant::now() + BIND_TIMEOUT;
     loop {
-        if let Some((listener, predecessor)) = listener_of_predecessor(socket_path, address).await {
-            return Ok((listener, Some(predecessor)));
+        if let Some(taken) = listener_of_predecessor(socket_path, address).await {
+            return Ok(taken);
         }
         let error = match TcpListener::bind(address).await {
-            Ok(listener) => return Ok((listener, None)),
+            Ok(listener) => return Ok(TakenListener { listener, predecessor: None }),
             Err(error) => error,
         };
         let held_by_another_process = error.kind() == io::ErrorKind::AddrInUse && socket_path.is_some();
@@ -91,10 +96,7 @@
 }
 
 /// Connects to the predecessor and receives its listener. A socket file without a process refuses the connection.
-async fn listener_of_predecessor(
-    socket_path: Option<&Path>,
-    address: SocketAddr,
-) -> Option<(TcpListener, Predecessor)> {
+async fn listener_of_predecessor(socket_path: Option<&Path>, address: SocketAddr) -> Option<TakenListener> {
     let (sender, mut receiver) = link(UnixStream::connect(socket_path?).await.ok()?);
     let ReceivedFrame { frame, socket } = timeout(LISTENER_TIMEOUT, receiver.next()).await.ok()??;
     let (HandoverFrame::Listener, Some(socket)) = (frame, socket) else { return None };
@@ -107,7 +109,7 @@
     if !any_port && !same_address {
         return None;
     }
-    Some((listener, Predecessor { sender, receiver }))
+    Some(TakenListener { listener, predecessor: Some(Predecessor { sender, receiver }) })
 }
 
 /// What this process needs to take part in upgrades, as the successor first and as a predecessor later.
@@ -239,21 +241,22 @@
                     spawn_local(Rc::clone(&self.frontend).adopt(stream, eviction_class, answered));
                 }
             }
-            (HandoverFrame::LearnedState(learned, names), _) => {
-                self.queue.send(EngineMessage::LearnedState { learned, worker_names: names });
+            (HandoverFrame::LearnedState { learned, worker_names }, _) => {
+                self.queue.send(EngineMessage::LearnedState { learned, worker_names });
             }
             (HandoverFrame::RequestOpened(id), _) => self.peers.request_opened(peer, id),
             (HandoverFrame::RequestClosed(id), _) => self.peers.request_closed(peer, id),
             (HandoverFrame::Request { request, read_ahead, keep_alive }, Some(socket)) => {
                 self.adopt_request(peer, AdoptedRequest { request, socket, read_ahead, keep_alive });
             }
-            (HandoverFrame::Callback(callback, relays), _) => {
+            (HandoverFrame::Callback { callback, relays }, _) => {
                 let relay = CallbackRelay { from: peer, relays };
                 self.queue.send(EngineMessage::CallbackReceived { callback, relay: Some(relay) });
             }
-            (HandoverFrame::WorkSent(worker, class, work_s), _) => {
-                self.peers.broadcast(Some(peer), &HandoverFrame::WorkSent(worker.clone(), class, work_s));
-                self.queue.send(EngineMessage::SentByOtherProcess { worker_name: worker, class, work_s });
+            (HandoverFrame::WorkSent { worker_name, class, work_s }, _) => {
+                let frame = HandoverFrame::WorkSent { worker_name: worker_name.clone(), class, work_s };
+                self.peers.broadcast(Some(peer), &frame);
+                self.queue.send(EngineMessage::SentByOtherProcess { worker_name, class, work_s });
             }
             // The first is expected only by `listener_of_predecessor`; the others never come without their socket.
             (
