--- a/src/server/engine/site_forwarding/candidates.rs
+++ b/src/server/engine/site_forwarding/candidates.rs
@@ -60,7 +60,9 @@
 impl Engine {
     /// Notifies the gateway of this site's load, and of the requests that wait here in vain, when that is due.
     pub(in crate::server::engine) fn update_gateway_load(&mut self, now: Instant) {
-        let Some(forwarding) = self.forwarding.as_mut().filter(|it| now >= it.next_load_update) else {
+        let Some(forwarding) =
+            self.forwarding.as_mut().filter(|forwarding| now >= forwarding.next_load_update)
+        else {
             return;
         };
         let CapacitySummary { slots, free, waiting, backlog_s } = self.dispatcher.capacity_summary();
@@ -75,7 +77,9 @@
     }
 
     fn gateway_wants_candidates(&self) -> bool {
-        self.forwarding.as_ref().is_some_and(|it| it.gateway.wants_candidates(it.now()))
+        self.forwarding
+            .as_ref()
+            .is_some_and(|forwarding| forwarding.gateway.wants_candidates(forwarding.now()))
     }
 
     fn offer_waiting_requests(&mut self, now: Instant) {
