--- a/src/server/engine/site_forwarding/inbound.rs
+++ b/src/server/engine/site_forwarding/inbound.rs
@@ -54,7 +54,7 @@
         let queue = self.queue.clone();
         let task = spawn_local(async move {
             let answer = pending.reply().await;
-            queue.send(EngineMessage::SiteLink(Box::new(SiteLinkEvent::Answered(origin, answer))));
+            queue.send(EngineMessage::SiteLink(Box::new(SiteLinkEvent::RequestAnswered { origin, answer })));
         });
         forwarding.inbound.insert(origin, task.abort_handle());
     }
--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -51,29 +51,29 @@
     pub(in crate::server::engine) fn site_link_event(&mut self, event: SiteLinkEvent) {
         let Some(forwarding) = &mut self.forwarding else { return };
         match event {
-            SiteLinkEvent::Up { link, site, instance, dialled, outbox } => {
+            SiteLinkEvent::Up { link, site, incarnation, dialled, outbox } => {
                 let site_link = SiteLink { site, dialled, outbox };
-                self.link_up(NewLink { link, incarnation: Incarnation(instance), site_link });
+                self.link_up(NewLink { link, incarnation: Incarnation(incarnation), site_link });
             }
             SiteLinkEvent::Down(link) => {
                 forwarding.close(link);
                 self.notify_gateway(GatewayEvent::OutboundLinkDown(link));
                 self.notify_gateway(GatewayEvent::InboundLinkDown(link));
             }
-            SiteLinkEvent::SiteLinkSettings(link, frame) => self.frame_received(link, frame),
-            SiteLinkEvent::Written(link, id) => {
-                self.notify_gateway(GatewayEvent::RequestWritten(link, ForwardedRequestId(id)));
+            SiteLinkEvent::FrameReceived { link, frame } => self.frame_received(link, frame),
+            SiteLinkEvent::OfferWritten { link, request } => {
+                self.notify_gateway(GatewayEvent::RequestWritten(link, ForwardedRequestId(request)));
             }
-            SiteLinkEvent::RoundTrip(link, time) => {
+            SiteLinkEvent::RoundTripChanged { link, round_trip } => {
                 if let Some(known) = forwarding.links.get(&link) {
                     let metrics = &forwarding.counters.gateway;
-                    metrics.link(&known.site, known.dialled, |figures| figures.round_trip = time);
+                    metrics.link(&known.site, known.dialled, |figures| figures.round_trip = round_trip);
                 }
-                self.notify_gateway(GatewayEvent::RoundTripMeasured(link, time));
+                self.notify_gateway(GatewayEvent::RoundTripMeasured(link, round_trip));
             }
-            SiteLinkEvent::Answered(origin, answer) => self.inbound_answered(origin, answer),
-            SiteLinkEvent::Drain(draining) => self.notify_gateway(GatewayEvent::Drain(draining)),
-            SiteLinkEvent::Configure(config) => self.notify_gateway(GatewayEvent::Configure(*config)),
+            SiteLinkEvent::RequestAnswered { origin, answer } => self.inbound_answered(origin, answer),
+            SiteLinkEvent::DrainChanged { draining } => self.notify_gateway(GatewayEvent::Drain(draining)),
+            SiteLinkEvent::SettingsChanged(config) => self.notify_gateway(GatewayEvent::Configure(*config)),
         }
     }
 
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -125,7 +125,7 @@
             need_restart.push("gateway listen");
         }
         let file = GatewaySettings { site: current.file.site.clone(), listen: current.file.listen, ..file };
-        self.notify(SiteLinkEvent::Configure(Box::new(file.decisions.clone())));
+        self.notify(SiteLinkEvent::SettingsChanged(Box::new(file.decisions.clone())));
         self.settings.send_replace(Rc::new(SiteLinkSettings { file, secret }));
         self.dial_all();
         need_restart
@@ -147,7 +147,7 @@
         let mut phase = self.lifecycle.watch();
         loop {
             let is_serving = *phase.borrow_and_update() == Phase::Serving;
-            self.notify(SiteLinkEvent::Drain(!is_serving));
+            self.notify(SiteLinkEvent::DrainChanged { draining: !is_serving });
             if phase.changed().await.is_err() {
                 return;
             }
--- a/src/server/peers/site_links/frames.rs
+++ b/src/server/peers/site_links/frames.rs
@@ -33,7 +33,7 @@
         self.notify(SiteLinkEvent::Up {
             link: id,
             site: peer.site,
-            instance: peer.incarnation,
+            incarnation: peer.incarnation,
             dialled: direction == Direction::Dialled,
             outbox,
         });
@@ -124,8 +124,8 @@
         if pending.written < pending.transmit.bytes.len() {
             return Ok(());
         }
-        if let Some(offer) = pending.transmit.offered {
-            self.links.notify(SiteLinkEvent::Written(self.id, offer));
+        if let Some(request) = pending.transmit.offered {
+            self.links.notify(SiteLinkEvent::OfferWritten { link: self.id, request });
         }
         self.writing = None;
         Ok(())
@@ -139,7 +139,7 @@
         let input = self.link.input(self.links.now(), read, &mut self.frames);
         read.clear();
         for frame in self.frames.drain(..) {
-            self.links.notify(SiteLinkEvent::SiteLinkSettings(self.id, frame));
+            self.links.notify(SiteLinkEvent::FrameReceived { link: self.id, frame });
         }
         Ok(input?)
     }
@@ -157,7 +157,7 @@
             return;
         }
         self.round_trip = Some(measured);
-        self.links.notify(SiteLinkEvent::RoundTrip(self.id, measured));
+        self.links.notify(SiteLinkEvent::RoundTripChanged { link: self.id, round_trip: measured });
     }
 }
 
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -42,7 +42,7 @@
         /// The name of the other end's site.
         site: String,
         /// The incarnation of the other end's process.
-        instance: u64,
+        incarnation: u64,
         /// Whether this end has dialled.
         dialled: bool,
         /// Takes frames for the other end.
@@ -51,15 +51,38 @@
     /// A link has ended.
     Down(LinkId),
     /// A frame has been received.
-    SiteLinkSettings(LinkId, Frame),
+    FrameReceived {
+        /// On which link.
+        link: LinkId,
+        /// The frame.
+        frame: Frame,
+    },
     /// The last byte of the frame that offers this request is written: it may run from now on.
-    Written(LinkId, u64),
+    OfferWritten {
+        /// On which link.
+        link: LinkId,
+        /// The number of the forwarded request.
+        request: u64,
+    },
     /// The round-trip time has changed.
-    RoundTrip(LinkId, Duration),
+    RoundTripChanged {
+        /// On which link.
+        link: LinkId,
+        /// The measured time.
+        round_trip: Duration,
+    },
     /// A request that another site has forwarded has its answer.
-    Answered(Origin, FinalAnswer),
-    /// Whether this process is draining.
-    Drain(bool),
+    RequestAnswered {
+        /// Where the request came from.
+        origin: Origin,
+        /// Its answer.
+        answer: FinalAnswer,
+    },
+    /// This process has begun or ended to drain.
+    DrainChanged {
+        /// Whether it is draining now.
+        draining: bool,
+    },
     /// The operator's settings of the gateway have changed.
-    Configure(Box<Config>),
+    SettingsChanged(Box<Config>),
 }
--- a/src/server/workers/attempt/exchange.rs
+++ b/src/server/workers/attempt/exchange.rs
@@ -52,7 +52,7 @@
         let mut connection = WorkerEndpoint::connection(self.worker, ConnectionPurpose::Request).await?;
         // The connect took time: a worker that has begun to drain meanwhile must not get the first byte (rule 3).
         if !self.worker.is_active() {
-            self.worker.pool(connection);
+            self.worker.return_to_pool(connection);
             return Err(AttemptEnd::WorkerInactive);
         }
         self.advance(AttemptEvent::Connected);
@@ -131,6 +131,6 @@
 /// Reads the body of a response, of which nothing is needed, and pools the connection.
 pub(super) async fn finish_response(worker: &WorkerEndpoint, mut connection: WorkerConnection, head: &Head) {
     if head.keep_alive && connection.http.body(head).await.is_ok() {
-        worker.pool(connection);
+        worker.return_to_pool(connection);
     }
 }
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -33,7 +33,7 @@
         Ok(Err(error)) => end_without_response(&error, &worker, &connection),
         Ok(Ok(response)) => {
             if response.keep_alive {
-                worker.pool(connection);
+                worker.return_to_pool(connection);
             }
             let is_ready = response.status == 200;
             let end = if is_ready { AttemptEnd::Completed } else { AttemptEnd::RejectedByWorker };
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -113,7 +113,7 @@
     }
 
     /// Pools a connection whose last response has been read to its end.
-    pub fn pool(&self, connection: WorkerConnection) {
+    pub fn return_to_pool(&self, connection: WorkerConnection) {
         self.pool.add(connection, self.address());
     }
 
@@ -154,7 +154,7 @@
         this.connecting.set(this.connecting.get() - 1);
         // Without a reserve a cancellation may take longer: the attempt that needs a connection opens one itself.
         if let Ok(connection) = connected {
-            this.pool(connection);
+            this.return_to_pool(connection);
         }
     }
 }
