--- a/src/scheduling/affinity/tests.rs
+++ b/src/scheduling/affinity/tests.rs
@@ -12,7 +12,8 @@
 fn forgets_ten_thousand_keys_requested_once_without_preferring_workers() {
     let mut affinity = AffinityStatistics::default();
     for key in 1..=10_000 {
-        affinity.count_request(key as f64 * 0.01, key, || unreachable!("no order is made for them"));
+        affinity
+            .count_request(key as f64 * 0.01, key, || unreachable!("no candidate order is made for them"));
         assert!(affinity.keys.len() <= MAX_KEYS && !affinity.has_preferred_workers());
     }
 }
@@ -20,9 +21,9 @@
 #[test]
 fn popular_key_gets_more_preferred_workers_than_rare_one() {
     let mut affinity = AffinityStatistics::default();
-    for n in 0..600u64 {
-        let key = if n % 3 == 0 { 1 } else { 2 + n % 66 };
-        affinity.count_request(n as f64 * 0.02, key, || fleet(12));
+    for number in 0..600u64 {
+        let key = if number % 3 == 0 { 1 } else { 2 + number % 66 };
+        affinity.count_request(number as f64 * 0.02, key, || fleet(12));
     }
     let (popular, rare) = (preferred_workers(&affinity, 1).len(), preferred_workers(&affinity, 6).len());
     assert!((6..=9).contains(&popular) && rare == 1, "{popular} and {rare}");
@@ -39,7 +40,7 @@
     };
     let (twelve, eleven) = (first_choices(&mut affinity, 12), first_choices(&mut affinity, 11));
     let moved: Vec<_> = twelve.iter().zip(&eleven).filter(|(before, after)| before != after).collect();
-    assert!(moved.iter().all(|(before, _)| **before == 11), "only what was at the worker that went");
+    assert!(moved.iter().all(|(before, _)| **before == 11), "only the keys of the worker that went");
     assert!((8..=32).contains(&moved.len()), "about a twelfth of 200: {}", moved.len());
 }
 
@@ -48,14 +49,14 @@
     let localities = [Locality::Preferred, Locality::RecentlySent(0), Locality::Unrelated];
     let mut affinity = AffinityStatistics::default();
     assert!(affinity.saving(0.0, Locality::Preferred) > 0.0, "a prior to start from");
-    for n in 0..60 {
+    for number in 0..60 {
         for locality in localities {
-            affinity.record_run(f64::from(n) * 0.1, locality, f64::from(n % 3) - 1.0);
+            affinity.record_run(f64::from(number) * 0.1, locality, f64::from(number % 3) - 1.0);
         }
     }
     assert_eq!(localities.map(|locality| affinity.saving(6.0, locality)), [0.0; 3]);
-    for n in 0..60 {
-        affinity.record_run(6.0 + f64::from(n) * 0.1, Locality::Unrelated, 0.8);
+    for number in 0..60 {
+        affinity.record_run(6.0 + f64::from(number) * 0.1, Locality::Unrelated, 0.8);
     }
     assert!(affinity.saving(12.0, Locality::Preferred) > 0.3, "but they can come to save something");
 }
--- a/src/scheduling/gossip/tests.rs
+++ b/src/scheduling/gossip/tests.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn message_stays_within_its_bytes_and_names_the_fullest_workers() {
-    let message = encode(1.0, (0..300u16).map(|n| held(n, (n % 7) as u8)).collect());
+    let message = encode(1.0, (0..300u16).map(|worker| held(worker, (worker % 7) as u8)).collect());
     assert!(message.len() <= MAX_MESSAGE_BYTES && is_message(&message));
     let entries = decode(&message).unwrap().held;
     assert!(entries.len() > 80 && entries[..42].iter().all(|entry| entry.slots == 6), "{entries:?}");
@@ -25,9 +25,9 @@
     gossip.receive(10.1, 1, 3, &encode(50.05, vec![held(7, 1)]));
     gossip.receive(10.2, 1, 3, &encode(50.00, vec![held(7, 2), held(8, 1)])); // duplicated, and reordered
     assert_eq!(held_at_seven(&gossip, 10.3), (1.0, 1));
-    gossip.receive(10.3, 2, 3, &encode(3.0, vec![held(7, 4)])); // a clock of its own
+    gossip.receive(10.3, 2, 3, &encode(3.0, vec![held(7, 4)])); // its clock is not that of scheduler 1
     assert_eq!(held_at_seven(&gossip, 10.4), (5.0, 2));
-    assert_eq!(held_at_seven(&gossip, 10.7), (4.0, 1), "the first one has fallen silent");
+    assert_eq!(held_at_seven(&gossip, 10.7), (4.0, 1), "scheduler 1 has fallen silent");
     assert_eq!(held_at_seven(&gossip, 11.0), (0.0, 0));
     gossip.receive(11.0, 1, 3, &encode(0.0, vec![held(7, 1)])); // restarted, its clock set back
     assert_eq!(held_at_seven(&gossip, 11.0), (1.0, 1));
@@ -50,9 +50,10 @@
 #[test]
 fn sends_every_fourth_unchanged_message_to_show_that_it_lives() {
     let mut gossip = GossipState::default();
-    let sent: Vec<_> =
-        (0..9).map(|n| gossip.next_message(f64::from(n) * INTERVAL_S, vec![held(7, 1)]).is_some()).collect();
+    let sent: Vec<_> = (0..9)
+        .map(|interval| gossip.next_message(f64::from(interval) * INTERVAL_S, vec![held(7, 1)]).is_some())
+        .collect();
     assert_eq!(sent, [true, false, false, false, true, false, false, false, true]);
-    assert!(gossip.next_message(1.0, Vec::new()).is_some(), "what is held has changed");
+    assert!(gossip.next_message(1.0, Vec::new()).is_some(), "the held slots have changed");
     assert!(f64::from(UNCHANGED_SEND_RATIO) * INTERVAL_S < LIFETIME_S / 2.0, "one may be lost");
 }
--- a/src/scheduling/slow_start/tests.rs
+++ b/src/scheduling/slow_start/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn an_interval_lasts_as_long_as_the_window_and_covers_the_moment() {
+fn grant_interval_lasts_one_overload_window_and_covers_the_given_age() {
     for index in 0..50 {
         let mut last = GrantInterval::at(0.0, 7, &settings(index));
         for tenths in 0..300 {
@@ -25,13 +25,13 @@
     }
 }
 
-/// When all intervals began at the same moment, a window met the end of one and the beginning of the next.
+/// If all began at the same time, one overload window would hold the grants of two intervals of every scheduler.
 #[test]
-fn the_intervals_of_many_schedulers_begin_at_all_times() {
-    let mut begin = [0; 10];
+fn grant_intervals_of_many_schedulers_begin_at_all_times() {
+    let mut begun_in_tenth = [0; 10];
     for index in 0..1000 {
         let interval = GrantInterval::at(9.0, 7, &settings(index));
-        begin[(((interval.began_s / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
+        begun_in_tenth[(((interval.began_s / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
     }
-    assert!(begin.iter().all(|&n| (60..150).contains(&n)), "{begin:?}");
+    assert!(begun_in_tenth.iter().all(|&count| (60..150).contains(&count)), "{begun_in_tenth:?}");
 }
