--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -50,13 +50,13 @@
     held[17] = 0.0;
     let counts = first_choices(&held);
     assert!(counts[&17] >= 2, "{counts:?}");
-    assert!(counts.values().all(|&n| n <= 12), "{counts:?}");
+    assert!(counts.values().all(|&count| count <= 12), "{counts:?}");
 }
 
 #[test]
 fn listed_weights_keep_requests_from_full_workers() {
     // A scheduler that sends a request a second learns a worker's load from its own answers once a minute only.
-    let held: Vec<f64> = (0..60).map(|n| [0.0, 4.0, 1.0, 4.0][n % 4]).collect();
+    let held: Vec<f64> = (0..60).map(|id| [0.0, 4.0, 1.0, 4.0][id % 4]).collect();
     let counts = first_choices(&held);
     assert!(counts.keys().all(|worker| worker % 2 == 0), "{counts:?}");
 }
@@ -64,7 +64,7 @@
 #[test]
 fn few_free_workers_do_not_get_all_requests() {
     // The list is a second old: were all requests sent to the few that are free by it, these would be the fullest.
-    let held: Vec<f64> = (0..60).map(|n| if n % 10 == 0 { 0.0 } else { 2.5 }).collect();
+    let held: Vec<f64> = (0..60).map(|id| if id % 10 == 0 { 0.0 } else { 2.5 }).collect();
     let counts = first_choices(&held);
     let free: Vec<_> = (0..60).step_by(10).map(|worker| counts.get(&worker).copied().unwrap_or(0)).collect();
     let sum: usize = free.iter().sum();
@@ -307,7 +307,7 @@
         dispatched(&scheduler.run(0.2)).iter().for_each(|(_, worker)| counts[*worker as usize] += 1);
     }
     assert_eq!(counts.iter().sum::<usize>(), 200, "each dispatches its request: {counts:?}");
-    assert!(counts.iter().all(|&n| n <= 12), "some 3 each, by random draws: {counts:?}");
+    assert!(counts.iter().all(|&count| count <= 12), "some 3 each, by random draws: {counts:?}");
 }
 
 #[test]
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -107,9 +107,8 @@
             gossip_allowed,
             ..settings()
         };
-        let fleet = || (1..=WORKERS).map(worker).collect();
         let schedulers: Vec<TestScheduler> = (0..SCHEDULERS)
-            .map(|index| TestScheduler::seeded(settings(index), seed ^ (index as u64) << 32, fleet()))
+            .map(|index| TestScheduler::seeded(settings(index), seed ^ (index as u64) << 32, fleet(WORKERS)))
             .collect();
         let started_at = schedulers[0].now;
         Simulation {
@@ -266,7 +265,7 @@
 fn ignores_its_own_gossip_when_it_comes_back() {
     let settings =
         Settings { scheduler_count: 2, gossip_allowed: true, capacity_probes_allowed: false, ..settings() };
-    let mut scheduler = TestScheduler::new(settings, (1..=4).map(worker).collect());
+    let mut scheduler = TestScheduler::new(settings, fleet(4));
     for id in 0..4 {
         scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
     }
