--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -41,7 +41,7 @@
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
         let mut parts = LineParts::default();
         event.record(&mut parts);
-        // Information and warnings are told apart by their messages; the other levels are marked.
+        // Information and warnings differ by their messages; the other levels are marked.
         let level = match *event.metadata().level() {
             Level::ERROR => "error: ",
             Level::DEBUG => "debug: ",
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -115,7 +115,7 @@
     config: Config,
     config_path: PathBuf,
     operator_path: Option<PathBuf>,
-    /// What the operator's file says of other sites, if it says anything.
+    /// The settings of the gateway to other sites, if the operator's file has any.
     site_links: Option<SiteLinkSettings>,
     /// The address for operators: that of the configuration, or else that of the environment or the command line.
     operator_listen: Option<SocketAddr>,
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -19,7 +19,7 @@
 
 #[derive(Subcommand)]
 pub(super) enum Tool {
-    /// Tell who wrote files, when, and whether they are whole
+    /// Show who wrote files, when, and whether they are complete
     Info {
         /// The files
         #[arg(required = true, value_name = "FILE")]
--- a/src/server/lifecycle/handover_frames/link.rs
+++ b/src/server/lifecycle/handover_frames/link.rs
@@ -157,7 +157,7 @@
 
 impl FrameReceiver {
     /// The next frame and the socket that it carries; `None` once the link has ended or broken the format, which are
-    /// the same to the caller: the other process can say nothing any more.
+    /// the same to the caller: nothing more comes from the other process.
     pub async fn next(&mut self) -> Option<ReceivedFrame> {
         loop {
             if let Some(received) = self.take_frame().ok()? {
--- a/src/server/metrics/gateway_metrics.rs
+++ b/src/server/metrics/gateway_metrics.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// The load state in the operators' words.
+/// The load state as METRICS names it.
 fn load_state_name(state: LoadState) -> &'static str {
     match state {
         LoadState::Neutral => "neutral",
