--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -102,7 +102,7 @@
         _ = signals.terminate.recv() => {}
         () = log_when_serving(&shared.lifecycle, address, &name) => {}
     }
-    tracing::info!(waiting_requests = frontend.waiting(), "stopping");
+    tracing::info!(waiting_requests = frontend.unanswered_messages(), "stopping");
     shared.lifecycle.notify(LifecycleEvent::Terminated);
     drain(&frontend, &shared).await;
     let counters = shared.counters.to_string();
@@ -261,7 +261,7 @@
 fn build_engine(config: &Config, gossip: GossipSender, shared: &Shared) -> EngineParts {
     let settings = &config.settings;
     let connector = Rc::new(WorkerConnector::new(
-        shared.budgets.members(),
+        shared.budgets.workers(),
         settings.connect_timeout_s,
         settings.connection_idle_timeout_s,
         Rc::clone(&shared.counters),
@@ -273,7 +273,7 @@
         Rc::clone(&shared.counters),
         shared.peers.clone(),
     );
-    EngineParts { engine: engine.with_notes(gossip), queue, connector }
+    EngineParts { engine: engine.with_gossip(gossip), queue, connector }
 }
 
 fn build_discovery_watch(config: &Config, queue: &EngineQueue, shared: &Shared) -> DiscoveryWatch {
@@ -292,7 +292,7 @@
         queue.clone(),
         Rc::clone(&shared.counters),
         Rc::clone(&shared.lifecycle),
-        shared.budgets.clients(),
+        shared.budgets.frontend(),
     ))
 }
 
@@ -336,7 +336,7 @@
         spawn_local(self.discovery_watch.run(self.discovery_address));
         spawn_local(self.gossip.run());
         spawn_local(self.reload.run(hangup));
-        spawn_local(self.frontend.clear());
+        spawn_local(self.frontend.close_idle_while_draining());
         spawn_local(self.handover.run(predecessor));
         if let Some(site_links) = self.site_links {
             site_links.start();
@@ -359,7 +359,7 @@
             continue;
         }
         let empty_since = *empty_since.get_or_insert_with(Instant::now);
-        if frontend.is_closed() || empty_since.elapsed() >= CLOSE_TIMEOUT {
+        if frontend.has_no_lingering_connections() || empty_since.elapsed() >= CLOSE_TIMEOUT {
             return;
         }
     }
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -32,7 +32,7 @@
 impl Frontend {
     /// From now on that process accepts connections, and receives those that are idle here; with `None` this one does
     /// again.
-    pub fn succeeded_by(&self, successor: Option<FrameSender>) {
+    pub fn set_successor(&self, successor: Option<FrameSender>) {
         self.successor.send_replace(successor);
         while self.has_successor() && self.eviction_candidates.evict_up_to(EvictionClass::IdleAfterCallback) {
         }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -135,7 +135,7 @@
             self.receive(peer, receiver).await;
             self.remove_peer(peer);
             let has_served = self.frontend.has_successor();
-            self.frontend.succeeded_by(None);
+            self.frontend.set_successor(None);
             self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: false });
             self.lifecycle.notify(LifecycleEvent::SuccessorLost);
             tracing::warn!("the successor has exited");
@@ -159,7 +159,7 @@
     }
 
     fn share_descriptors(&self) {
-        self.budgets.among(1 + self.peers.count());
+        self.budgets.set_processes(1 + self.peers.count());
     }
 
     /// Receives from another process until its end.
@@ -212,7 +212,7 @@
             tracing::info!("the successor is of another build: requests are finished here");
         }
         self.lifecycle.notify(LifecycleEvent::SuccessorServing);
-        self.frontend.succeeded_by(successor);
+        self.frontend.set_successor(successor);
         self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: migrates });
     }
 
