--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -6,7 +6,7 @@
 use super::SiteForwarding;
 use crate::server::engine::Engine;
 use crate::server::messages::FinalAnswer;
-use crate::server::metrics::LinkFigures;
+use crate::server::metrics::LinkMetrics;
 use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
 
 /// Links that one site may have to this one: its own, and those of the processes that it replaces.
@@ -40,8 +40,8 @@
         let Some(closed) = self.links.remove(&link) else { return };
         let same_direction = |other: &SiteLink| other.site == closed.site && other.dialled == closed.dialled;
         let up = self.links.values().any(same_direction);
-        self.counters.gateway.link(&closed.site, closed.dialled, |figures| {
-            *figures = LinkFigures { up, room: 0, ..*figures };
+        self.counters.gateway.link(&closed.site, closed.dialled, |link| {
+            *link = LinkMetrics { up, slot_limit: 0, ..*link };
         });
     }
 }
@@ -67,7 +67,7 @@
             SiteLinkEvent::RoundTripChanged { link, round_trip } => {
                 if let Some(known) = forwarding.links.get(&link) {
                     let metrics = &forwarding.counters.gateway;
-                    metrics.link(&known.site, known.dialled, |figures| figures.round_trip = round_trip);
+                    metrics.link(&known.site, known.dialled, |link| link.round_trip = round_trip);
                 }
                 self.notify_gateway(GatewayEvent::RoundTripMeasured(link, round_trip));
             }
@@ -87,7 +87,7 @@
         if forwarding.links.values().filter(same_direction).count() >= MAX_LINKS_PER_SITE {
             return;
         }
-        forwarding.counters.gateway.link(&site_link.site, dialled, |figures| figures.up = true);
+        forwarding.counters.gateway.link(&site_link.site, dialled, |link| link.up = true);
         forwarding.links.insert(link, site_link);
         self.notify_gateway(if dialled {
             GatewayEvent::OutboundLinkUp { link, site, incarnation }
--- a/src/server/lifecycle/handover_frames.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -1,6 +1,6 @@
 //! What the two processes of an upgrade send each other, and in which bytes.
 //!
-//! [`HandoverFrame`] is the message, [`link`] the connection that carries it over a Unix socket, with a client's socket
+//! [`HandoverFrame`] is the message, [`link()`] the connection that carries it over a Unix socket, with a client's socket
 //! beside some frames. What follows from a frame is decided in [`super::handover`], not here.
 //!
 //! # Bytes
