--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Whether this process takes work, and everything that changes that: start, PAUSE, RESUME, upgrade, SIGTERM.
 //!
 //! [`Lifecycle`] owns the one [`Phase`] of the process. Nobody else sets it: the modules below only report a
-//! [`LifecycleEvent`], and [`Phase::after`] decides what follows. The frontend asks here whether a request is admitted
+//! [`LifecycleEvent`], and `Phase::after` decides what follows. The frontend asks here whether a request is admitted
 //! and whether idle connections are to be closed; gossip and the site links watch the phase.
 //!
 //! | module | question it answers |
@@ -41,7 +41,7 @@
 /// After SIGTERM the platform waits for the longest deadline, but for no more than this, and a little longer.
 const MAX_STOP_WAIT: Duration = Duration::from_secs(3);
 
-/// What the process does about clients; see [`Phase::after`] for the transitions.
+/// What the process does about clients; see `Phase::after` for the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// A new process that does not serve yet.
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -7,8 +7,8 @@
 //!    [`super::Phase::Replaced`].
 //! 4. If the successor exits before the predecessor has been sent SIGTERM, the predecessor serves again.
 //!
-//! Each direction of the link is a lifetime: [`Handover::receive`] ends with the other process, and whoever called it
-//! ([`Handover::run`] for a predecessor, [`Handover::offer_listener`] for a successor) then does what follows.
+//! Each direction of the link is a lifetime: `Handover::receive` ends with the other process, and whoever called it
+//! ([`Handover::run`] for a predecessor, `Handover::offer_listener` for a successor) then does what follows.
 //!
 //! This module owns neither the bytes on the link ([`super::handover_frames`]) nor what is open at the other process
 //! ([`super::peer_processes`]). How a request is migrated is in `engine/migration.rs`, how a client's connection is handed
--- a/src/server/lifecycle/handover/listener.rs
+++ b/src/server/lifecycle/handover/listener.rs
@@ -47,7 +47,7 @@
 /// The listener for clients: from the predecessor if there is one, or else bound.
 ///
 /// # Errors
-/// If the address cannot be bound, after [`BIND_TIMEOUT`] if it is another process that holds it.
+/// If the address cannot be bound, after 10 s if it is another process that holds it.
 pub async fn take_listener(socket_path: Option<&Path>, address: SocketAddr) -> io::Result<TakenListener> {
     let last_try = Instant::now() + BIND_TIMEOUT;
     loop {
