--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -20,9 +20,10 @@
 use chutesaddle::server::engine_queue::EngineQueue;
 use chutesaddle::server::frontend::Frontend;
 use chutesaddle::server::lifecycle::handover::{self, Handover, Predecessor, TakenListener};
+use chutesaddle::server::lifecycle::operator_file::{self, OperatorFileError};
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
-use chutesaddle::server::lifecycle::reload::{operator, Reload};
+use chutesaddle::server::lifecycle::reload::Reload;
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipSender, GossipTransport};
@@ -51,7 +52,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Operator(#[from] operator::OperatorError),
+    Operator(#[from] OperatorFileError),
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, #[source] std::io::Error),
     #[error("cannot start the runtime: {0}")]
@@ -125,7 +126,7 @@
     fn read(arguments: Serve) -> Result<Self, ServeError> {
         let config_path = arguments.config.ok_or(ServeError::NoConfig)?;
         let config = Config::load(&config_path)?;
-        let site_links = operator::load_if_named(arguments.operator.as_deref())?;
+        let site_links = operator_file::load_if_named(arguments.operator.as_deref())?;
         let operator_listen = config.operator_listen.or(arguments.ops);
         Ok(Files { config, config_path, operator_path: arguments.operator, site_links, operator_listen })
     }
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -10,12 +10,14 @@
 //! | [`handover_frames`] | what the two processes of an upgrade send each other, and in which bytes |
 //! | [`peer_processes`] | which processes of an upgrade are linked, and which requests are open there |
 //! | [`operator_interface`] | how STATUS, METRICS, PAUSE and RESUME come in |
+//! | [`operator_file`] | how the operator's own file is read |
 //! | [`reload`] | what SIGHUP changes while requests are in flight |
 //!
 //! The order of start-up and of exit is in `src/cli/serve.rs`; crossing events are listed in `docs/races.md`.
 
 pub mod handover;
 pub mod handover_frames;
+pub mod operator_file;
 pub mod operator_interface;
 pub mod peer_processes;
 pub mod reload;
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -18,6 +18,7 @@
 use crate::server::descriptor_budget::DescriptorBudgets;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::frontend::Frontend;
+use crate::server::lifecycle::operator_file::{self, OperatorFileError};
 use crate::server::peers::site_links::{SiteLinkSettings, SiteLinks};
 use crate::server::workers::connector::WorkerConnector;
 
@@ -27,55 +28,11 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Operator(#[from] operator::OperatorError),
+    Operator(#[from] OperatorFileError),
     #[error("the task that reads the files has failed: {0}")]
     Task(#[from] tokio::task::JoinError),
 }
 
-/// The operator's own file.
-pub mod operator {
-    use std::path::{Path, PathBuf};
-
-    use crate::server::peers::site_links::{read_secret, SecretError, SiteLinkSettings};
-
-    /// Why the operator's file cannot be used.
-    #[derive(Debug, thiserror::Error)]
-    pub enum OperatorError {
-        /// The file cannot be read.
-        #[error("cannot read {0}: {1}")]
-        File(PathBuf, #[source] std::io::Error),
-        /// The file has mistakes, written one to a line.
-        #[error("{0}")]
-        Mistakes(#[from] chutesaddle_operator_config::ConfigErrors),
-        /// The secret that the file names cannot be used.
-        #[error(transparent)]
-        Gateway(#[from] SecretError),
-    }
-
-    /// Reads the operator's file and the secret that it names; `None` if it switches nothing on.
-    ///
-    /// # Errors
-    /// Names the file, and each mistake with its line and column.
-    pub fn load(path: &Path) -> Result<Option<SiteLinkSettings>, OperatorError> {
-        let text = std::fs::read_to_string(path).map_err(|error| OperatorError::File(path.into(), error))?;
-        let file = chutesaddle_operator_config::read(&path.display().to_string(), &text)?;
-        let Some(file) = file.gateway else { return Ok(None) };
-        let secret = read_secret(&file.secret)?;
-        Ok(Some(SiteLinkSettings { file, secret }))
-    }
-
-    /// The same if there is a file; without one nothing is switched on.
-    ///
-    /// # Errors
-    /// As [`load`].
-    pub fn load_if_named(path: Option<&Path>) -> Result<Option<SiteLinkSettings>, OperatorError> {
-        match path {
-            Some(path) => load(path),
-            None => Ok(None),
-        }
-    }
-}
-
 /// Both files, read and found to be in order.
 struct Files {
     config: Config,
@@ -84,7 +41,7 @@
 
 impl Files {
     fn load(config: &Path, operator: Option<&Path>) -> Result<Self, ReloadError> {
-        let site_links = operator::load_if_named(operator)?;
+        let site_links = operator_file::load_if_named(operator)?;
         Ok(Files { config: Config::load(config)?, site_links })
     }
 }
