--- a/tests/server/build.rs
+++ b/tests/server/build.rs
@@ -23,12 +23,12 @@
         Ok(OtherBuild { stream })
     }
 
-    /// Sends a frame: `serving`, `call ID FROM`, or one of its own form.
+    /// Sends a frame: `serving`, `callback ID FROM`, or one of its own form.
     pub(crate) fn send(&mut self, text: &str) -> Result<(), String> {
         let body = match text.split_once(' ') {
             None if text == "serving" => vec![1],
             // A name of two bytes, from the worker of that name, done, without a result or a report; once.
-            Some(("call", rest)) => {
+            Some(("callback", rest)) => {
                 let (name, from) = rest.split_once(' ').ok_or("a name and a worker")?;
                 let field = |text: &str| [&[text.len() as u8], text.as_bytes()].concat();
                 [vec![4], field(name), field(from), vec![2], field("drawn"), vec![0, 1]].concat()
--- a/tests/server/clients.rs
+++ b/tests/server/clients.rs
@@ -46,18 +46,18 @@
     "POST /draw-map/a HTTP/1.1|X-Request-Id: r|X-Tenant: acme|X-Deadline-Ms: inf||",
     "400"
 )]
-#[case::negative_deadline("job r draw-map -5", "400")]
-#[case::fractional_deadline("job r draw-map 1.5", "400")]
-#[case::two_ids("job r draw-map 8000 1|X-Request-Id: s", "400")]
-#[case::id_with_a_control_character("job r\tHTTP/1.1 draw-map", "400")]
-#[case::hint_that_is_no_number("job r draw-map 8000 1|X-Cost-Hint: NaN", "400")]
-#[case::extras_that_are_no_number("job r draw-map 8000 1|X-Extras: slots=many", "400")]
-#[case::extras_without_a_figure("job r draw-map 8000 1|X-Extras: slots", "400")]
-#[case::negative_extras("job r draw-map 8000 1|X-Extras: slots=1,memory=-1", "400")]
-#[case::infinite_extras("job r draw-map 8000 1|X-Extras: other=inf", "400")]
-#[case::no_slots("job r draw-map 8000 1|X-Extras: slots=0", "400")]
-#[case::more_slots_than_there_are("job r draw-map 8000 1|X-Extras: slots=1e300", "400")]
-#[case::unknown_class("job r1 paint-map", "404")]
+#[case::negative_deadline("request r draw-map -5", "400")]
+#[case::fractional_deadline("request r draw-map 1.5", "400")]
+#[case::two_ids("request r draw-map 8000 1|X-Request-Id: s", "400")]
+#[case::id_with_a_control_character("request r\tHTTP/1.1 draw-map", "400")]
+#[case::hint_that_is_no_number("request r draw-map 8000 1|X-Cost-Hint: NaN", "400")]
+#[case::extras_that_are_no_number("request r draw-map 8000 1|X-Extras: slots=many", "400")]
+#[case::extras_without_a_figure("request r draw-map 8000 1|X-Extras: slots", "400")]
+#[case::negative_extras("request r draw-map 8000 1|X-Extras: slots=1,memory=-1", "400")]
+#[case::infinite_extras("request r draw-map 8000 1|X-Extras: other=inf", "400")]
+#[case::no_slots("request r draw-map 8000 1|X-Extras: slots=0", "400")]
+#[case::more_slots_than_there_are("request r draw-map 8000 1|X-Extras: slots=1e300", "400")]
+#[case::unknown_class("request r1 paint-map", "404")]
 #[case::unknown_path("GET /nowhere HTTP/1.1||", "404")]
 #[case::no_path("GET * HTTP/1.1||", "404")]
 #[case::wrong_method("GET /draw-map/a HTTP/1.1||", "405")]
@@ -76,13 +76,13 @@
         &PLAIN,
         &format!(
             "c1 send {request}
-            c1 send job r0
+            c1 send request r0
             c1 expect HTTP/1.1 {status} & Connection: close
             c1 expect eof
             m1 expect silence
-            c2 send job r1
+            c2 send request r1
             m1 expect r1
-            c3 send call r1 m1 done
+            c3 send callback r1 m1 done
             c2 expect HTTP/1.1 200"
         ),
     );
@@ -126,32 +126,32 @@
     m1 expect r1 & ok"
 )]
 fn a_request_may_be_framed_as_http_allows(#[case] first: &str) {
-    play(&PLAIN, &format!("{first}\nc2 send call r1 m1 done\nc1 expect HTTP/1.1 200 & drawn"));
+    play(&PLAIN, &format!("{first}\nc2 send callback r1 m1 done\nc1 expect HTTP/1.1 200 & drawn"));
 }
 
 #[rstest]
 #[case::one_id_at_a_time(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
-    c2 send job r1
+    c2 send request r1
     c2 expect HTTP/1.1 409
     c2 expect eof
     m1 send 202
     m1 expect silence
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c1 expect 200
-    c4 send job r1
+    c4 send request r1
     m1 expect r1"
 )]
 #[case::sent_ahead(
-    "c1 send job r1
-    c1 send job r2
+    "c1 send request r1
+    c1 send request r2
     m1 expect r1
     m1 send 202
-    c3 send call r1 m1 done \"result\":\"one\"
+    c3 send callback r1 m1 done \"result\":\"one\"
     c1 expect one
     m1 expect r2
-    c3 send call r2 m1 done \"result\":\"two\"
+    c3 send callback r2 m1 done \"result\":\"two\"
     c1 expect two"
 )]
 #[case::old_clients_get_one_answer(
@@ -171,11 +171,11 @@
 #[test]
 fn requests_are_shed_while_too_many_wait_and_callbacks_are_still_accepted() {
     let mut scenario: String =
-        (1..=9).map(|n| format!("c{n} send job r{n}\ns wait transactions_taken {n}\n")).collect();
-    scenario += "c10 send job r10
+        (1..=9).map(|n| format!("c{n} send request r{n}\ns wait transactions_taken {n}\n")).collect();
+    scenario += "c10 send request r10
         c10 expect HTTP/1.1 503 & Retry-After
         m1 expect r
-        c11 send call r1 m1 done
+        c11 send callback r1 m1 done
         c11 expect 200
         c1 expect 200";
     play(&World { sockets: 20, ..PLAIN }, &scenario);
@@ -186,12 +186,12 @@
 #[case::known_limit(World { sockets: 20, ..PLAIN }, 0)]
 #[case::unknown_limit(World { descriptors: 24, ..PLAIN }, 1)]
 fn idle_connections_are_evicted_for_new_ones(#[case] world: World, #[case] failures: u32) {
-    let mut scenario = String::from("c0 send job r0\nm1 expect r0\n");
+    let mut scenario = String::from("c0 send request r0\nm1 expect r0\n");
     for n in 1..=30 {
         scenario += &format!("c{n} send GET /ready HTTP/1.1||\nc{n} expect HTTP/1.1 200\n");
     }
     scenario += &format!("s wait accept_failures {failures}\n");
-    scenario += "c31 send call r0 m1 done\nc0 expect drawn";
+    scenario += "c31 send callback r0 m1 done\nc0 expect drawn";
     play(&world, &scenario);
 }
 
@@ -227,8 +227,8 @@
 #[case::silent("raw ", "")]
 #[case::readiness_only("GET /ready HTTP/1.1||", "200")]
 fn connections_that_were_never_used_are_evicted_first(#[case] request: &str, #[case] answer: &str) {
-    let mut scenario = String::from("c0 send job r0\nm1 expect r0\nm1 send 202\n");
-    scenario += "c99 send call r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
+    let mut scenario = String::from("c0 send request r0\nm1 expect r0\nm1 send 202\n");
+    scenario += "c99 send callback r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
     for n in 1..=30 {
         scenario += &format!("c{n} send {request}\n");
         if !answer.is_empty() {
@@ -236,9 +236,9 @@
         }
     }
     scenario += "s wait connections_shed 12
-        c0 send job r1
+        c0 send request r1
         m1 expect r1
-        c99 send call r1 m1 done
+        c99 send callback r1 m1 done
         c99 expect 200
         c0 expect drawn";
     play(&World { sockets: 20, ..PLAIN }, &scenario);
@@ -248,8 +248,8 @@
 /// have stalled half way or may yet do so.
 #[test]
 fn stalled_messages_are_evicted_before_callback_connections_and_messages_in_progress() {
-    let mut scenario = String::from("c0 send job r0\nm1 expect r0\nm1 send 202\n");
-    scenario += "c99 send call r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
+    let mut scenario = String::from("c0 send request r0\nm1 expect r0\nm1 send 202\n");
+    scenario += "c99 send callback r0 m1 done\nc99 expect 200\nc0 expect drawn\n";
     for n in 1..=30 {
         scenario += &format!("c{n} send raw POST /dr\n");
     }
@@ -261,7 +261,7 @@
         c50 send raw Content-Length: 0\\r\\n\\r\\n
         m1 expect r2
         m1 send 202
-        c99 send call r2 m1 done
+        c99 send callback r2 m1 done
         c99 expect 200
         c50 expect drawn";
     play(&World { sockets: 20, ..PLAIN }, &scenario);
--- a/tests/server/discovery.rs
+++ b/tests/server/discovery.rs
@@ -5,13 +5,13 @@
 use crate::scenario::{play, World, PLAIN};
 
 const REQUEST_GOES_TO_M2: &str =
-    "c1 send job r1\nm2 expect r1\nm1 expect silence\nc2 send call r1 m2 done\nc1 expect drawn";
+    "c1 send request r1\nm2 expect r1\nm1 expect silence\nc2 send callback r1 m2 done\nc1 expect drawn";
 
 #[rstest]
 #[case::a_complete_snapshot("d send full m2:active", REQUEST_GOES_TO_M2)]
 #[case::an_incremental_update("d send some m1:left m2:active", REQUEST_GOES_TO_M2)]
 #[case::a_drain("d send some m1:leaving m2:active", REQUEST_GOES_TO_M2)]
-#[case::a_new_address("d send some m1@m2:active", "c1 send job r1\nm2 expect r1\nm1 expect silence")]
+#[case::a_new_address("d send some m1@m2:active", "c1 send request r1\nm2 expect r1\nm1 expect silence")]
 #[case::a_change_split_over_chunks_after_an_empty_line(
     "d send raw 1\\r\\n\\n\\r\\n15\\r\\n{\"version\":42,\"full\":\\r\\n13\\r\\ntrue,\"servers\":[]}\\n\\r\\n\nd send full m2:active",
     REQUEST_GOES_TO_M2
@@ -105,9 +105,9 @@
         d send 200 Transfer-Encoding: chunked
         {list}
         d send some m2:leaving
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c1 expect drawn"
     );
     play(&PLAIN, &scenario.replace("{{", "{").replace("}}", "}"));
@@ -137,7 +137,7 @@
     d send 200 Transfer-Encoding: chunked
     d send line {\"version\":7,\"full\":true,\"servers\":[{\"id\":\"m1\",\"addr\":\"{m1}\",\"state\":\"active\"}]}
     s wait pool_updates 2
-    c1 send job r2
+    c1 send request r2
     m1 expect r2"
 )]
 fn ignores_an_older_list_until_discovery_catches_up_or_is_set_back(#[case] then: &str) {
@@ -169,9 +169,9 @@
         &PLAIN,
         "c1 send GET /ready HTTP/1.1||
         c1 expect HTTP/1.1 200
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c1 expect drawn",
     );
 }
@@ -191,7 +191,7 @@
     play(
         &World { known, ..PLAIN },
         &format!(
-            "c1 send {request}\n{to} expect r1\n{not} expect silence\nc2 send call r1 {to} done\nc1 expect drawn"
+            "c1 send {request}\n{to} expect r1\n{not} expect silence\nc2 send callback r1 {to} done\nc1 expect drawn"
         ),
     );
 }
@@ -203,15 +203,15 @@
         &PLAIN,
         "d expect new follow=1
         d send 200 Transfer-Encoding: chunked
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
         m1 send 202
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c1 expect 200
         d send some m1:active:-3600
         s wait pool_updates 1
         m1 expect eof
-        c1 send job r2
+        c1 send request r2
         m1 expect new r2",
     );
 }
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -6,30 +6,30 @@
 
 /// Both slots of the site `a` are in use, and the site `b` has granted its two.
 const FULL: &str = "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
-    c2 send job r2
+    c2 send request r2
     m1 expect r2
     m1 send 202
-    c8 send call r1 m1 started
-    c9 send call r2 m1 started
+    c8 send callback r1 m1 started
+    c9 send callback r2 m1 started
     o1 wait METRICS => svc.gateway.out.limit.b=2
 ";
 
 /// A request with an idempotency key is forwarded, and the worker of the other site has it.
 const FORWARDED: &str = "
-    c3 send job r3 publish-map 8000 3
+    c3 send request r3 publish-map 8000 3
     m2 expect r3 & map of r3 & Idempotency-Key: k3
     m2 send 202
-    f9 send call r3 m2 started
+    f9 send callback r3 m2 started
     o2 wait METRICS => svc.gateway.open_out=1
 ";
 
 #[rstest]
 #[case::is_answered_once(
     "
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     f1 expect 200
     c3 expect 200 & drawn
     o3 wait METRICS => svc.gateway.open_out=0
@@ -52,14 +52,14 @@
     s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn"
 )]
 #[case::completed_during_the_cut(
     "
     w send cut
     s expect log site link down site=b
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     f1 expect 200
     r1 wait METRICS => svc.ok.publish-map=1
     w send sound
@@ -69,7 +69,7 @@
 #[case::survives_the_loss_of_the_answer(
     "
     w send back
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     f1 expect 200
     s expect log site link down site=b
     w send sound
@@ -79,7 +79,7 @@
     "
     w send reset
     o3 wait METRICS => svc.gateway.resumed=1
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn"
 )]
 #[case::other_process_dies(
@@ -88,7 +88,7 @@
     s expect log site link down site=b
     o9 wait METRICS => svc.tries.publish-map=0
     o3 wait METRICS => svc.gateway.out.up.b=0
-    c4 send call r1 m1 done
+    c4 send callback r1 m1 done
     c1 expect 200
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
@@ -97,7 +97,7 @@
     s send operator peer \"b\" { => peer \"c\"; /-peer \"b\" {
     s send HUP
     s expect log the configuration is reloaded
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn
     o3 wait METRICS => svc.gateway.out.up.b=0
     o4 wait METRICS => svc.gateway.unknown=0"
@@ -106,10 +106,10 @@
     "
     s send TERM
     s expect log stopping waiting_requests=3
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn
-    c4 send call r1 m1 done
-    c5 send call r2 m1 done
+    c4 send callback r1 m1 done
+    c5 send callback r2 m1 done
     c1 expect 200
     c2 expect 200
     s expect exit 0"
@@ -118,23 +118,23 @@
     "
     t send TERM
     t expect log stopping
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn
     t expect exit 0"
 )]
 #[case::repeat_of_its_key_follows_it(
     "
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn
-    c4 send call r1 m1 done
+    c4 send callback r1 m1 done
     c1 expect 200
-    c5 send call r2 m1 done
+    c5 send callback r2 m1 done
     c2 expect 200
     o3 wait METRICS => svc.active=0
-    c6 send job r4 publish-map 8000 3
+    c6 send request r4 publish-map 8000 3
     m2 expect r4
     m2 send 202
-    f2 send call r4 m2 done
+    f2 send callback r4 m2 done
     c6 expect 200
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
@@ -142,7 +142,7 @@
     "
     t send KILL
     o3 wait METRICS => svc.gateway.out.up.b=0
-    c6 send job r4 publish-map 8000 3
+    c6 send request r4 publish-map 8000 3
     c6 expect HTTP/1.1 503 & Retry-After
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
@@ -154,35 +154,35 @@
 #[case::offer_is_lost(
     "
     w send cut
-    c3 send job r3 publish-map 8000 3
+    c3 send request r3 publish-map 8000 3
     o2 wait METRICS => svc.gateway.crossed=1
     s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.returned=1
-    c4 send call r1 m1 done
+    c4 send callback r1 m1 done
     m1 expect r3
     m1 send 202
-    c5 send call r3 m1 done
+    c5 send callback r3 m1 done
     c3 expect 200 & drawn
     m2 expect silence"
 )]
 #[case::acceptance_is_lost(
     "
     w send back
-    c3 send job r3 publish-map 8000 3
+    c3 send request r3 publish-map 8000 3
     m2 expect r3
     m2 send 202
-    f9 send call r3 m2 started
+    f9 send callback r3 m2 started
     s expect log site link down site=b
     w send sound
     o3 wait METRICS => svc.gateway.resumed=1
-    f1 send call r3 m2 done
+    f1 send callback r3 m2 done
     c3 expect 200 & drawn
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
 #[case::other_site_is_slower_than_the_time_left(
     "
-    c3 send job r3 publish-map 700 3
+    c3 send request r3 publish-map 700 3
     m2 expect r3
     m2 send 202
     c3 expect HTTP/1.1 502
@@ -190,25 +190,25 @@
 )]
 #[case::runs_here_when_its_id_is_in_use_there(
     "
-    f1 send job r3
+    f1 send request r3
     m2 expect r3
     m2 send 202
-    f2 send call r3 m2 started
+    f2 send callback r3 m2 started
     r1 wait METRICS => svc.active=1
-    c3 send job r3 draw-map 8000
+    c3 send request r3 draw-map 8000
     o3 wait METRICS => svc.gateway.returned=1
-    c4 send call r1 m1 done
+    c4 send callback r1 m1 done
     m1 expect r3
     m1 send 202
-    c5 send call r3 m1 done
+    c5 send callback r3 m1 done
     c3 expect 200 & drawn"
 )]
 #[case::silent_peer_gets_nothing(
     "
     t send STOP
     s expect log site link down site=b
-    c3 send job r3 publish-map 8000 3
-    c4 send call r1 m1 done
+    c3 send request r3 publish-map 8000 3
+    c4 send callback r1 m1 done
     m1 expect r3
     t send CONT
     o3 wait METRICS => svc.gateway.crossed=0"
@@ -218,8 +218,8 @@
     r1 send raw PAUSE\\n
     r1 expect +OK
     o2 wait METRICS => svc.gateway.out.limit.b=0
-    c3 send job r3 publish-map 8000 3
-    c4 send call r1 m1 done
+    c3 send request r3 publish-map 8000 3
+    c4 send callback r1 m1 done
     m1 expect r3
     o3 wait METRICS => svc.gateway.crossed=0"
 )]
@@ -233,10 +233,10 @@
         &SITES,
         "
         o1 wait METRICS => svc.gateway.out.limit.b=2
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
         m1 send 202
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c1 expect 200
         o2 wait METRICS => svc.gateway.crossed=0",
     );
@@ -252,7 +252,7 @@
             "{call}
             t expect log site link rejected error={why}
             {FULL}{FORWARDED}
-            f1 send call r3 m2 done
+            f1 send callback r3 m2 done
             c3 expect 200 & drawn"
         ),
     );
@@ -268,7 +268,7 @@
             s send HUP
             s expect log the configuration is not reloaded
             {FORWARDED}
-            f1 send call r3 m2 done
+            f1 send callback r3 m2 done
             c3 expect 200 & drawn"
         ),
     );
@@ -287,8 +287,8 @@
             w send reset
             t expect log site link rejected
             o2 wait METRICS => svc.gateway.out.up.b=0
-            c3 send job r3 publish-map 8000 3
-            c4 send call r1 m1 done
+            c3 send request r3 publish-map 8000 3
+            c4 send callback r1 m1 done
             m1 expect r3
             o3 wait METRICS => svc.gateway.crossed=0"
         ),
@@ -306,7 +306,7 @@
             t send HUP
             t expect log the configuration is reloaded
             o3 wait METRICS => svc.gateway.out.limit.b=1
-            f1 send call r3 m2 done
+            f1 send callback r3 m2 done
             c3 expect 200 & drawn
             o4 wait METRICS => svc.gateway.out.up.b=0"
         ),
@@ -329,7 +329,7 @@
             p2 wait STATUS => +OK serving
             p3 wait METRICS => svc.gateway.out.up.b=1
             s send TERM
-            f1 send call r3 m2 done
+            f1 send callback r3 m2 done
             c3 expect 200 & drawn
             s expect exit 0"
         ),
@@ -351,7 +351,7 @@
             e send full m2:active
             u2 wait STATUS => +OK serving
             t send TERM
-            f1 send call r3 m2 done
+            f1 send callback r3 m2 done
             c3 expect 200 & drawn
             t expect exit 0
             t2 expect log listening for site links"
--- a/tests/server/gossip.rs
+++ b/tests/server/gossip.rs
@@ -17,11 +17,11 @@
             "n1 expect note
             {sent}
             s wait notes_ignored 1
-            c1 send job r1
+            c1 send request r1
             m1 expect r1
             m1 send 202
             n1 expect note
-            c2 send call r1 m1 done
+            c2 send callback r1 m1 done
             c1 expect 200
             s wait notes_sent 2"
         ),
@@ -34,7 +34,7 @@
     play(
         &NOTES,
         r#"n1 expect note
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
         m1 send 202
         s send config "balancers":2 => "balancers":300
@@ -42,7 +42,7 @@
         s send config "fields":["queue","x0"] => "fields":["eps"]
         s send HUP
         s expect log the configuration is reloaded
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c2 expect 200
         c1 expect 200 & drawn
         n1 expect silence
@@ -51,10 +51,10 @@
         s send config "fields":["eps"] => "fields":["queue","x0"]
         s send HUP
         n1 expect note
-        c1 send job r2
+        c1 send request r2
         m1 expect r2
         m1 send 202
-        c2 send call r2 m1 done
+        c2 send callback r2 m1 done
         c1 expect 200 & drawn
         s send TERM
         s expect exit 0"#,
--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -28,18 +28,18 @@
 #[rstest]
 #[case::idle_connections_are_handed_on(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect drawn",
     "
     s send TERM
     s expect exit 0
-    c1 send job r2
+    c1 send request r2
     m1 expect new r2
     m1 send 202
-    c2 send call r2 m1 done
+    c2 send callback r2 m1 done
     c2 expect 200
     c2 expect 200
     c1 expect 200 & drawn
@@ -47,30 +47,30 @@
 )]
 #[case::requests_are_migrated_with_their_clients(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
-    c2 send job r2 publish-map
+    c2 send request r2 publish-map
     m1 expect r2
     m1 send 202
-    c5 send call r2 m1 started
+    c5 send callback r2 m1 started
     c5 expect 200",
     "
     s send TERM
     s expect exit 0
     s expect log transactions_moved 2
     p3 wait METRICS => svc.active=2
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c3 expect 200
     c1 expect 200 & drawn
     c1 send GET /ready HTTP/1.1||
     c1 expect HTTP/1.1 200
-    c4 send call r2 m1 done
+    c4 send callback r2 m1 done
     c2 expect 200 & drawn"
 )]
 #[case::the_client_of_a_migrated_request_may_leave(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202",
     "
@@ -81,19 +81,19 @@
 )]
 #[case::a_request_being_sent_is_migrated_once_the_worker_has_accepted_it(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1",
     "
     s send TERM
     s expect log stopping
     m1 send 202
     s expect exit 0
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c1 expect drawn"
 )]
 #[case::attempts_of_a_migrated_request_stay_counted(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 500
     m1 expect r1
@@ -101,25 +101,25 @@
     "
     s send TERM
     s expect exit 0
-    c3 send call r1 m1 failed
+    c3 send callback r1 m1 failed
     m1 expect new r1
     m1 send 202
-    c3 send call r1 m1 failed
+    c3 send callback r1 m1 failed
     c1 expect HTTP/1.1 503
     p3 wait METRICS => svc.tries.draw-map=1"
 )]
 #[case::an_id_open_at_the_predecessor_is_in_use(
     "
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202",
     "
-    c2 send job r1
+    c2 send request r1
     c2 expect 409
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c1 expect drawn
     p3 wait METRICS => svc.errors.draw-map=1
-    c4 send job r1
+    c4 send request r1
     m1 expect new r1"
 )]
 #[case::silent_connections_are_served_by_the_successor(
@@ -137,10 +137,10 @@
     s2 send KILL
     s expect log the successor has exited
     o2 wait STATUS => +OK serving
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect drawn
     s2 send START
     d expect new GET /v1/endpoints
@@ -171,7 +171,7 @@
             d send 200 Transfer-Encoding: chunked
             d send full m1:active
             s wait pool_updates 1
-            c1 send job r1
+            c1 send request r1
             m1 expect r1
             {UPGRADE}
             s2 expect log serving clients
@@ -182,7 +182,7 @@
             d send full m1:active
             q1 wait STATUS => +OK serving
             p3 wait STATUS => -ERR replaced
-            c2 send job r1
+            c2 send request r1
             c2 expect 409
             m1 send 202
             s send TERM
@@ -191,7 +191,7 @@
             s2 expect exit 0
             s2 expect log transactions_adopted 1
             q2 wait METRICS => svc.active=1
-            c3 send call r1 m1 done
+            c3 send callback r1 m1 done
             c3 expect 200
             c1 expect 200 & drawn
             q3 wait METRICS => svc.ok.draw-map=1"
@@ -207,7 +207,7 @@
         &PLAIN,
         &format!(
             "{KNOWN}
-        c1 send job r1
+        c1 send request r1
         m1 expect r1
         m1 send 202
         c2 send GET /ready HTTP/1.1||
@@ -219,16 +219,16 @@
         s expect log of another build
         o1 wait STATUS => -ERR replaced
         c2 expect eof
-        v send call r1 m1
+        v send callback r1 m1
         c1 expect 200 & drawn
         v expect 3
         v close
         s expect log the successor has exited
         o2 wait STATUS => +OK serving
-        c3 send job r2
+        c3 send request r2
         m1 expect r2
         m1 send 202
-        c4 send call r2 m1 done
+        c4 send callback r2 m1 done
         c3 expect drawn"
         ),
     );
--- a/tests/server/lifecycle.rs
+++ b/tests/server/lifecycle.rs
@@ -14,29 +14,29 @@
     s expect log transactions_taken 0"
 )]
 #[case::requests_in_flight_are_answered_first(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     m1 send 202
     s send TERM
     s expect log stopping
-    c4 send call r1 m1 done
+    c4 send callback r1 m1 done
     c4 expect 200
     c1 expect 200 & Connection: close & drawn
     s expect exit 0
     s expect log answered_served 1"
 )]
 #[case::idle_connections_are_closed_and_callbacks_still_accepted(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     c2 send GET /ready HTTP/1.1||
     c2 expect 200
     s send TERM
     c2 expect eof
-    c3 send job r2
+    c3 send request r2
     c3 expect HTTP/1.1 503 & Retry-After & Connection: close
     c4 send GET /ready HTTP/1.1||
     c4 expect HTTP/1.1 503
-    c5 send call r1 m1 done
+    c5 send callback r1 m1 done
     c5 expect 200
     c1 expect drawn
     s expect exit 0
@@ -51,14 +51,14 @@
     c1 send raw Content-Length: 0\\r\\n\\r\\n
     m1 expect r1
     m1 send 202
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c1 expect 200 & Connection: close & drawn
     s expect exit 0"
 )]
 #[case::a_discovery_that_moves_meanwhile_is_followed(
     "d expect new since=41
     d send 200 Transfer-Encoding: chunked
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
     s send TERM
@@ -67,7 +67,7 @@
     s send HUP
     d2 expect new since=0
     d expect eof
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect 200 & drawn
     s expect exit 0"
 )]
--- a/tests/server/operator_interface.rs
+++ b/tests/server/operator_interface.rs
@@ -35,7 +35,7 @@
 #[test]
 fn stalled_operators_and_a_crowd_of_clients_keep_no_operator_out() {
     let mut scenario: String =
-        (1..=9).map(|n| format!("c{n} send job r{n}\ns wait transactions_taken {n}\n")).collect();
+        (1..=9).map(|n| format!("c{n} send request r{n}\ns wait transactions_taken {n}\n")).collect();
     scenario += &(10..40).map(|n| format!("c{n} send raw POST /dr\n")).collect::<String>();
     scenario += &(1..=12).map(|n| format!("o{n} send raw STAT\n")).collect::<String>();
     scenario += "o20 send raw STATUS\\n\no20 expect +OK\no1 expect eof\n";
@@ -44,11 +44,11 @@
 
 #[rstest]
 #[case::served_and_active(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     m1 send 202
     o1 wait METRICS => svc.active=1
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect 200
     o1 wait METRICS => svc.ok.draw-map=1
     o1 wait METRICS => svc.active=0
@@ -56,7 +56,7 @@
     o1 wait METRICS => svc.ok.publish-map=0"
 )]
 #[case::rejected_after_its_attempts(
-    "c1 send job r1 publish-map
+    "c1 send request r1 publish-map
     m1 expect r1
     m1 send 500
     m1 expect r1
@@ -68,28 +68,28 @@
     o1 wait METRICS => svc.tries.publish-map=3"
 )]
 #[case::an_id_in_use(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
-    c2 send job r1
+    c2 send request r1
     c2 expect 409
     o1 wait METRICS => svc.errors.draw-map=1
     o1 wait METRICS => svc.active=1"
 )]
 #[case::rejected_on_arrival(
-    "c9 send job r9
+    "c9 send request r9
     m1 expect r9
     m1 send 202
     c1 send GET /ready HTTP/1.1||
     c1 expect 200
     s send TERM
     c1 expect eof
-    c2 send job r1 publish-map
+    c2 send request r1 publish-map
     c2 expect HTTP/1.1 503 & Retry-After
     o1 wait METRICS => svc.shed.publish-map=1"
 )]
 #[case::nothing_is_an_attempt_before_its_last_byte_is_written(
-    "m1 close door
-    c1 send job r1 draw-map 600
+    "m1 close listener
+    c1 send request r1 draw-map 600
     c1 expect 503
     s wait flows_ended_connect_refused 1
     o1 wait METRICS => svc.tries.draw-map=0
@@ -112,7 +112,7 @@
 
 #[rstest]
 #[case::requests_in_flight_are_finished(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     m1 send 202
     c2 send GET /ready HTTP/1.1||
@@ -123,16 +123,16 @@
     o2 expect -ERR draining
     c3 send GET /ready HTTP/1.1||
     c3 expect HTTP/1.1 503
-    c4 send job r4
+    c4 send request r4
     m1 expect r4
     m1 send 202
     c2 expect eof
     o3 wait STATUS => -ERR draining
-    c5 send call r1 m1 done
+    c5 send callback r1 m1 done
     c5 expect 200
     c1 expect Connection: close & drawn
     c1 expect eof
-    c6 send call r4 m1 done
+    c6 send callback r4 m1 done
     c4 expect Connection: close & drawn
     o3 wait STATUS => -ERR drained"
 )]
@@ -152,16 +152,16 @@
     o3 expect +OK serving
     c1 send GET /ready HTTP/1.1||
     c1 expect HTTP/1.1 200
-    c1 send job r1
+    c1 send request r1
     m1 expect r1
     m1 send 202
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect drawn
-    c1 send job r2
+    c1 send request r2
     m1 expect r2"
 )]
 #[case::nothing_takes_back_a_stop(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     m1 send 202
     o1 send raw PAUSE\\n
@@ -172,7 +172,7 @@
     o2 expect -ERR this process is stopping
     o3 send raw PAUSE\\n
     o3 expect -ERR
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect drawn
     s expect exit 0"
 )]
--- a/tests/server/races.rs
+++ b/tests/server/races.rs
@@ -17,7 +17,7 @@
     play(
         &PLAIN,
         &format!(
-            "c1 send job r1
+            "c1 send request r1
             m1 expect r1
             {before}
             c1 send {}
@@ -38,7 +38,7 @@
             d send 200 Transfer-Encoding: chunked
             d send some m1:leaving
             s wait pool_updates 1
-            c1 send job r1
+            c1 send request r1
             c1 send {}
             c1 close
             s wait clients_left 1
@@ -53,19 +53,19 @@
 fn request_that_crosses_the_close_of_its_idle_connection_meets_no_reset() {
     play(
         &PLAIN,
-        "c1 send job r1
+        "c1 send request r1
         m1 expect r1
         m1 send 202
-        c2 send call r1 m1 done
+        c2 send callback r1 m1 done
         c1 expect HTTP/1.1 200
-        c3 send job r3
+        c3 send request r3
         m1 expect r3
         s send TERM
         c1 expect fin
-        c1 send job r2
-        c1 send job r4
+        c1 send request r2
+        c1 send request r4
         m1 send 202
-        c4 send call r3 m1 done
+        c4 send callback r3 m1 done
         c3 expect HTTP/1.1 200 & Connection: close
         c3 expect fin
         c3 close
@@ -80,13 +80,13 @@
     play(
         &PLAIN,
         &format!(
-            "c1 send job r1
+            "c1 send request r1
             m1 expect r1
             m1 send 202
             s send TERM
             s expect log stopping
             c1 send {}
-            c3 send call r1 m1 done
+            c3 send callback r1 m1 done
             c1 expect HTTP/1.1 200 & Connection: close
             c1 expect fin
             c1 close
@@ -102,17 +102,17 @@
 fn pipelined_request_states_no_more_time_than_its_client_waits() {
     play(
         &PLAIN,
-        "c1 send job r1 draw-map 8000
+        "c1 send request r1 draw-map 8000
         m1 expect r1
         m1 send 202
-        c3 send call r1 m1 started
-        c1 send job r2 draw-map 8500
+        c3 send callback r1 m1 started
+        c1 send request r2 draw-map 8500
         s expect log discovery lost
-        c3 send call r1 m1 done
+        c3 send callback r1 m1 done
         c1 expect HTTP/1.1 200
         m1 expect r2 & not X-Deadline-Ms: 8
         m1 send 202
-        c3 send call r2 m1 done
+        c3 send callback r2 m1 done
         c1 expect HTTP/1.1 200",
     );
 }
@@ -140,12 +140,12 @@
         &format!(
             "d expect new since=41
             d send 200 Transfer-Encoding: chunked
-            c1 send job r1
+            c1 send request r1
             m1 expect r1
             s send TERM
             s expect log stopping
             {next}
-            c3 send call r1 m1 done
+            c3 send callback r1 m1 done
             c1 expect HTTP/1.1 200 & Connection: close
             c1 expect fin
             s expect exit 0"
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -14,7 +14,7 @@
         &format!(
             r#"d expect new since=41
             d send 200 Transfer-Encoding: chunked
-            c1 send job r1
+            c1 send request r1
             m1 expect r1
             m1 send 202
             s send config {{d}} => {{d2}}
@@ -24,9 +24,9 @@
             d2 send 200 Transfer-Encoding: chunked
             d2 send line {{"version":3,"full":{full},"servers":[{{"id":"m1","state":"left"}},{{"id":"m2","addr":"{{m2}}","state":"active"}}]}}
             s wait pool_updates 1
-            c2 send job r2
+            c2 send request r2
             m2 expect r2
-            c3 send call r1 m1 done
+            c3 send callback r1 m1 done
             c1 expect 200 & drawn
             d2 close
             d2 expect new since=3"#
@@ -42,14 +42,14 @@
     play(
         &PLAIN,
         &format!(
-            "c1 send job r1
+            "c1 send request r1
             m1 expect r1
             m1 send 202
             {change}
             s send HUP
             s expect log the configuration is not reloaded
             s expect log {why}
-            c2 send call r1 m1 done
+            c2 send callback r1 m1 done
             c1 expect 200
             s send TERM
             s expect exit 0"
@@ -62,21 +62,21 @@
     "s send config \"max_retry_after_s\":2 => \"max_retry_after_s\":1
     s send HUP
     s expect log the configuration is reloaded
-    m1 close door
-    c1 send job r1 draw-map 900
+    m1 close listener
+    c1 send request r1 draw-map 900
     c1 expect 503 & Retry-After: 1.000"
 )]
 #[case::a_class_more_and_another_order(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     s send config \"grades\":[{ => \"grades\":[{\"name\":\"paint-map\",\"effect\":\"repeatable\"},{
     s send HUP
     s expect log the configuration is reloaded
-    c2 send job r2 paint-map
+    c2 send request r2 paint-map
     m1 expect new r2
-    c3 send call r2 m1 done
+    c3 send callback r2 m1 done
     c2 expect 200
-    c3 send call r1 m1 done
+    c3 send callback r1 m1 done
     c3 expect 200
     c3 expect 200
     c1 expect 200"
@@ -85,14 +85,14 @@
     "s send config \"sockets\":1024 => \"sockets\":14
     s send HUP
     s expect log the configuration is reloaded
-    c1 send job r1
-    c2 send job r2
-    c3 send job r3
-    c4 send job r4
-    c5 send job r5
-    c6 send job r6
+    c1 send request r1
+    c2 send request r2
+    c3 send request r3
+    c4 send request r4
+    c5 send request r5
+    c6 send request r6
     s wait transactions_taken 6
-    c7 send job r7
+    c7 send request r7
     c7 expect 503 & Retry-After: 0.500"
 )]
 #[case::what_cannot_change(
@@ -100,11 +100,11 @@
     s send config \"listen\":\"127.0.0.1:0\" => \"listen\":\"127.0.0.1:1\"
     s send HUP
     s expect log some keys change with a restart only keys=grades, listen
-    c1 send job r1
+    c1 send request r1
     m1 expect r1"
 )]
 #[case::many_signals_and_a_drain(
-    "c1 send job r1
+    "c1 send request r1
     m1 expect r1
     m1 send 202
     s send HUP
@@ -113,7 +113,7 @@
     s send HUP
     s expect log stopping
     s send HUP
-    c2 send call r1 m1 done
+    c2 send callback r1 m1 done
     c1 expect 200
     s expect exit 0"
 )]
--- a/tests/server/scenario/mod.rs
+++ b/tests/server/scenario/mod.rs
@@ -19,7 +19,7 @@
 //! operators of these.
 //!
 //! - `send TEXT`: a message; `|` ends a line of the head, `||` the head. `raw TEXT` is sent as it stands,
-//!   with `\r` and `\n`. Short forms: `job ID CLASS MS HEADERS`, `call ID FROM STATE RESULT`, `202 HEADERS`,
+//!   with `\r` and `\n`. Short forms: `request ID CLASS MS HEADERS`, `callback ID FROM STATE RESULT`, `202 HEADERS`,
 //!   and of discovery `line TEXT`, `full m1:active` and `some m1:leaving:-5` (started 5 s ago). `s send TERM`
 //!   signals the scheduler, `s send config OLD => NEW` changes its file; `{d2}` stands for an address.
 //!
@@ -28,7 +28,7 @@
 //! broadcasts, and `n1 expect silence` until it broadcasts nothing any more.
 //!
 //! `v` is a process of another build that replaces the scheduler, as far as stable frames go: `v send serving`,
-//! `v send call ID FROM`, `v send other`, and `v expect KIND` of a frame.
+//! `v send callback ID FROM`, `v send other`, and `v expect KIND` of a frame.
 //!
 //! In [`SITES`] the scheduler is the site `a`, and `t` is that of the site `b` (`t2`: one that replaces it), with
 //! the discovery `e`, the worker `m2`, clients `f1` .. and operators `r1` .. (of `t2`: `u1` ..). `w` is the wire on
@@ -37,7 +37,7 @@
 //!
 //! - `expect TEXT`: the next message holds each part, parts set apart by ` & ` (`not PART`: does not hold it); `expect new TEXT`: on a new
 //!   connection. Also `eof`, `fin` (the same, without a reset), `silence` (nothing has come), and for the scheduler `exit 0`, `exit killed` and `log TEXT`.
-//! - `close`: the connection; `close door`: the listener as well.
+//! - `close`: the connection; `close listener`: the listener as well.
 //! - `wait COUNTER N`: until the scheduler has counted that far; of an operator, `wait CALL => PART`: until an
 //!   answer to that call holds the part.
 
--- a/tests/server/scenario/stage.rs
+++ b/tests/server/scenario/stage.rs
@@ -103,7 +103,7 @@
             (_, "expect") => self.expect(actor, text),
             (_, "close") => {
                 self.connections.remove(actor);
-                if text == "door" {
+                if text == "listener" {
                     return self.close_door(actor);
                 }
                 Ok(())
@@ -265,11 +265,11 @@
             |i: usize, default| words.get(i).copied().filter(|word| !word.is_empty()).unwrap_or(default);
         match words[0] {
             "raw" => text.get(4..).unwrap_or_default().replace("\\r", "\r").replace("\\n", "\n").into_bytes(),
-            "job" => head_and_body(&format!(
+            "request" => head_and_body(&format!(
                 "POST /{}/o1?v=2 HTTP/1.1|X-Request-Id: {}|X-Tenant: acme|X-Deadline-Ms: {}|X-Cost-Hint: 10000|Idempotency-Key: k{}||map of {1}",
                 word(2, "draw-map"), word(1, ""), word(3, "8000"), word(4, "1"),
             )),
-            "call" => head_and_body(&format!(
+            "callback" => head_and_body(&format!(
                 r#"POST /callback HTTP/1.1||{{"id":"{}","from":"{}","state":"{}",{}}}"#,
                 word(1, ""), word(2, ""), word(3, ""), word(4, r#""result":"drawn""#),
             )),
@@ -282,7 +282,10 @@
             status if status.len() == 3 && status.parse::<u16>().is_ok() => {
                 head_and_body(&format!("HTTP/1.1 {status} X|{}||", text[3..].trim()))
             }
-            _ => head_and_body(text),
+            _ => {
+                assert!(text.contains("||"), "{text:?} is neither a short form nor a head");
+                head_and_body(text)
+            }
         }
     }
 }
