--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,7 +5,7 @@
 //! skipped, because a deployment may have more than this program knows; missing keys keep the defaults of
 //! [`Settings::default`]; a known key whose value cannot be read is an error that names both.
 //!
-//! - [`keys`]: each key of the wire page, with our term for it.
+//! - [`keys`]: each key of the wire page, with our term for it; the names of values are in the tables below.
 //! - [`key_values`]: typed access to the lines.
 //! - [`reconfigure`]: what follows when the settings change while the process runs.
 
@@ -39,6 +39,13 @@
     ("cell", DeduplicationScope::Cell),
 ];
 
+/// What the deployment calls the values of a load report that the decisions use.
+const LOAD_REPORT_MEANINGS: [(&str, LoadReportField); 3] = [
+    ("free_slots", LoadReportField::FreeSlots),
+    ("queue", LoadReportField::Queue),
+    ("free_memory", LoadReportField::FreeMemory),
+];
+
 /// Whether discovery must be polled, or sends changes by itself.
 const DISCOVERY_POLLED_VALUES: [(&str, bool); 2] = [("on_request", true), ("pushed", false)];
 
@@ -132,12 +139,8 @@
         keys::REPORT_NAME_X1 => values.text(keys::REPORT_MEANING_X1),
         other => other,
     };
-    match meaning {
-        "free_slots" => LoadReportField::FreeSlots,
-        "queue" => LoadReportField::Queue,
-        "free_memory" => LoadReportField::FreeMemory,
-        _ => LoadReportField::Other,
-    }
+    let field = LOAD_REPORT_MEANINGS.iter().find(|(known, _)| *known == meaning);
+    field.map_or(LoadReportField::Other, |(_, field)| *field)
 }
 
 /// Which scheduler this is, and of what.
