--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,13 +1,13 @@
 //! Reads a deployment's settings, written as lines of `path=value`, into [`Settings`].
 //!
 //! The simulator sends the settings in this form; the platform's file holds the same ones as nested JSON, which
-//! [`super::flatten`] turns into these lines. So there is one reader, and both programs decide alike. Unknown keys are
+//! `src/config/flatten.rs` turns into these lines. So there is one reader, and both programs decide alike. Unknown keys are
 //! skipped, because a deployment may have more than this program knows; missing keys keep the defaults of
 //! [`Settings::default`]; a known key whose value cannot be read is an error that names both.
 //!
-//! - [`keys`]: each key of the wire page, with our term for it; the names of values are in the tables below.
-//! - [`key_values`]: typed access to the lines.
-//! - [`reconfigure`]: what follows when the settings change while the process runs.
+//! - `keys`: each key of the wire page, with our term for it; the names of values are in the tables below.
+//! - `key_values`: typed access to the lines.
+//! - `reconfigure`: what follows when the settings change while the process runs.
 
 mod key_values;
 mod keys;
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -3,12 +3,12 @@
 //! It turns HTTP into messages for the engine, and the engine's final answers into HTTP. It decides which connections
 //! are open, not what becomes of a request: see `src/server/engine.rs` for that, and `src/scheduling` for the rules.
 //!
-//! - [`accept_loop`]: accepts connections, and evicts others where descriptors run short.
-//! - [`client_connection`]: the states of a connection and the one function that changes them. Start here.
-//! - [`request_handling`]: what a message that has arrived leads to.
-//! - [`request_parser`], [`callback_parser`]: what messages say; [`wire_names`]: their headers and fields.
-//! - [`response`]: status lines, headers, and how they are written.
-//! - [`closing`]: lingering closes, and the close of idle connections while the process drains.
+//! - `accept_loop`: accepts connections, and evicts others where descriptors run short.
+//! - `client_connection`: the states of a connection and the one function that changes them. Start here.
+//! - `request_handling`: what a message that has arrived leads to.
+//! - `request_parser`, `callback_parser`: what messages say; `wire_names`: their headers and fields.
+//! - `response`: status lines, headers, and how they are written.
+//! - `closing`: lingering closes, and the close of idle connections while the process drains.
 //! - [`connection_eviction`]: which connections are closed first when descriptors run short.
 //! - [`connection_handoff`]: connections and requests to and from another process during an upgrade.
 //!
--- a/src/server/http.rs
+++ b/src/server/http.rs
@@ -5,11 +5,11 @@
 //! strictly where two readings would let a request be smuggled past this side. It knows neither requests for work nor
 //! workers, sets no time limits of its own, and does not reconnect: the callers do.
 //!
-//! - [`connection`]: the socket, what has arrived on it, writes, and the ways to close it. Start here.
-//! - [`head_reader`], [`head`], [`headers`]: request and response heads; how a body is framed.
-//! - [`body_reader`]: bodies by length, in chunks or to the end of the connection.
-//! - [`arrivals`]: when the bytes that wait in the buffer arrived.
-//! - [`error`]: why a message cannot be read.
+//! - `connection`: the socket, what has arrived on it, writes, and the ways to close it. Start here.
+//! - `head_reader`, `head`, `headers`: request and response heads; how a body is framed.
+//! - `body_reader`: bodies by length, in chunks or to the end of the connection.
+//! - `arrivals`: when the bytes that wait in the buffer arrived.
+//! - `error`: why a message cannot be read.
 
 mod arrivals;
 mod body_reader;
--- a/src/simulator.rs
+++ b/src/simulator.rs
@@ -5,10 +5,10 @@
 //! [`crate::scheduling`] and actions into records; it decides nothing, has no clock and no random source.
 //! The program is `src/bin/chutesaddle-simulator.rs`.
 //!
-//! - [`host`]: the schedulers of the process, and which of them an event is for. Start here.
-//! - [`frame`]: where frames and records begin and end.
-//! - [`records`]: the codes and fields of the wire page, mapped to our types in one place.
-//! - [`error`]: what can be wrong with the input, with the frame, the offset and the record.
+//! - `host`: the schedulers of the process, and which of them an event is for. Start here.
+//! - `frame`: where frames and records begin and end.
+//! - `records`: the codes and fields of the wire page, mapped to our types in one place.
+//! - `error`: what can be wrong with the input, with the frame, the offset and the record.
 
 mod error;
 mod frame;
