--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -6,7 +6,7 @@
 use super::SiteForwarding;
 use crate::server::engine::Engine;
 use crate::server::messages::FinalAnswer;
-use crate::server::metrics::LinkFigures;
+use crate::server::metrics::LinkMetrics;
 use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
 
 /// Links that one site may have to this one: its own, and those of the processes that it replaces.
@@ -40,8 +40,8 @@
         let Some(closed) = self.links.remove(&link) else { return };
         let same_direction = |other: &SiteLink| other.site == closed.site && other.dialled == closed.dialled;
         let up = self.links.values().any(same_direction);
-        self.counters.gateway.link(&closed.site, closed.dialled, |figures| {
-            *figures = LinkFigures { up, room: 0, ..*figures };
+        self.counters.gateway.link(&closed.site, closed.dialled, |link| {
+            *link = LinkMetrics { up, slot_limit: 0, ..*link };
         });
     }
 }
