--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -87,7 +87,7 @@
         if forwarding.links.values().filter(same_direction).count() >= MAX_LINKS_PER_SITE {
             return;
         }
-        forwarding.counters.gateway.link(&site_link.site, dialled, |figures| figures.up = true);
+        forwarding.counters.gateway.link(&site_link.site, dialled, |link| link.up = true);
         forwarding.links.insert(link, site_link);
         self.notify_gateway(if dialled {
             GatewayEvent::OutboundLinkUp { link, site, incarnation }
