--- a/src/server/discovery.rs
+++ b/src/server/discovery.rs
@@ -19,7 +19,8 @@
 //!    0.1 s and at most 2 s, both longer in a large fleet ([`poll_backoff`]). With an agent on this machine the
 //!    delay is fixed and short.
 //!
-//! `discovery lost` is logged once for each loss. `pool_reconnects` counts polls, `pool_updates` the lists taken up.
+//! `discovery lost` is logged once for each loss. `pool_reconnects` counts the polls after the first, `pool_updates` the
+//! lists taken up.
 //!
 //! # Where to look
 //!
