--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,8 +1,9 @@
-//! Measurements with real processes on loopback. Each prints its progress on standard error, a table, and one last
+//! Benchmarks with real processes on loopback, run by `cargo measure`. Each prints its progress on standard error, a table, and one last
 //! line of JSON; it exits 1 if a promise is broken and 2 if it could not be made.
 
 mod gateway;
-mod price;
+mod gateway_price;
+mod sites;
 
 use std::process::ExitCode;
 
@@ -14,15 +15,15 @@
 #[command(name = "measure", version, after_help = "Example:\n  cargo measure gateway --seed 3 --seconds 20")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Two sites, one with too much work, over a wire that fails: with the gateway and without
+enum Measurement {
+    /// Two sites, one with too much work, over a network that fails: with the gateway and without
     Gateway(gateway::Arguments),
     /// What the gateway costs in CPU and latency while it is on and idle, against one that is off
-    GatewayPrice(price::Arguments),
+    GatewayPrice(gateway_price::Arguments),
 }
 
 fn main() -> ExitCode {
@@ -32,9 +33,9 @@
         Err(error) => return failed(&error),
     };
     let measured = LocalSet::new().block_on(&runtime, async {
-        match arguments.what {
-            What::Gateway(arguments) => gateway::run(&arguments).await,
-            What::GatewayPrice(arguments) => price::run(&arguments).await,
+        match arguments.measurement {
+            Measurement::Gateway(arguments) => gateway::run(&arguments).await,
+            Measurement::GatewayPrice(arguments) => gateway_price::run(&arguments).await,
         }
     });
     match measured {
@@ -44,7 +45,10 @@
     }
 }
 
+/// The measurement could not be made.
+const EXIT_NOT_MEASURED: u8 = 2;
+
 fn failed(error: &std::io::Error) -> ExitCode {
     eprintln!("error: the measurement could not be made: {error}");
-    ExitCode::from(2)
+    ExitCode::from(EXIT_NOT_MEASURED)
 }
