--- a/crates/gateway/tests/two_sites/drain_and_settings.rs
+++ b/crates/gateway/tests/two_sites/drain_and_settings.rs
@@ -13,11 +13,11 @@
     pair.offer_candidate(0, 2, Idempotency::Idempotent);
     assert_eq!(pair.sites[0].kept_local, [NotForwarded::NoPeerCapacity]);
     pair.run(ms(50));
-    assert!(pair.wires.iter().any(|wire| wire.from == 0), "the link kept_local while it is needed");
+    assert!(pair.test_links.iter().any(|test_link| test_link.from == 0), "the link stays while it is needed");
     pair.finish(1, &served());
     pair.run(ms(50));
     assert_eq!(pair.fate(0, 1).answers.len(), 1);
-    assert!(!pair.wires.iter().any(|wire| wire.from == 0), "and goes after that");
+    assert!(!pair.test_links.iter().any(|test_link| test_link.from == 0), "and goes after that");
 }
 
 #[test]
--- a/crates/gateway/tests/two_sites/granting.rs
+++ b/crates/gateway/tests/two_sites/granting.rs
@@ -41,12 +41,12 @@
 #[test]
 fn ignores_a_grant_of_another_incarnation() {
     let mut pair = TwoSites::with_capacity();
-    let link = pair.wires.iter().find(|wire| wire.from == 0).unwrap().link;
+    let link = pair.test_links.iter().find(|test_link| test_link.from == 0).unwrap().link;
     pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(99), limit: 1000, term: ms(400) });
     pair.restart(1);
     pair.dial(0);
     pair.sites[1].free = 0.0;
-    let link = pair.wires[0].link;
+    let link = pair.test_links[0].link;
     pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(2), limit: 1000, term: ms(400) });
     pair.offer_candidate(0, 1, Idempotency::Idempotent);
     assert_eq!(pair.sites[0].kept_local.last(), Some(&NotForwarded::NoPeerCapacity));
@@ -68,7 +68,7 @@
 #[test]
 fn forwards_nothing_to_a_silent_peer_after_the_term() {
     let mut pair = TwoSites::with_capacity();
-    pair.wires.iter_mut().for_each(|wire| wire.homeward.clear());
+    pair.test_links.iter_mut().for_each(|test_link| test_link.homeward.clear());
     pair.sites[1].gateway = Gateway::new(Config::default(), Incarnation(77)); // silent: it has no links
     pair.run(ms(500));
     pair.offer_candidate(0, 1, Idempotency::Idempotent);
--- a/crates/gateway/tests/two_sites/harness.rs
+++ b/crates/gateway/tests/two_sites/harness.rs
@@ -54,7 +54,7 @@
 }
 
 /// A link from one site to the other: messages under way in each direction, by when they arrive.
-pub(crate) struct Wire {
+pub(crate) struct TestLink {
     pub(crate) link: LinkId,
     pub(crate) from: usize,
     pub(crate) outward: VecDeque<(Duration, Message)>,
@@ -64,7 +64,7 @@
 pub(crate) struct TwoSites {
     pub(crate) now: Duration,
     pub(crate) sites: [Site; 2],
-    pub(crate) wires: Vec<Wire>,
+    pub(crate) test_links: Vec<TestLink>,
     pub(crate) links: u64,
     pub(crate) incarnations: u64,
     /// The socket takes nothing: no offer is written whole.
@@ -90,8 +90,8 @@
             kept_local: Vec::new(),
             accepted: 0,
         };
-        let (sites, wires, names) = ([site(0), site(1)], Vec::new(), BTreeMap::new());
-        TwoSites { now: ms(1), sites, wires, links: 0, incarnations: 10, stuck: false, names }
+        let (sites, test_links, names) = ([site(0), site(1)], Vec::new(), BTreeMap::new());
+        TwoSites { now: ms(1), sites, test_links, links: 0, incarnations: 10, stuck: false, names }
     }
 
     /// Both links up, and site 1 with free capacity.
@@ -108,7 +108,7 @@
         self.links += 1;
         let link = LinkId(self.links);
         let site = SiteId(0);
-        self.wires.push(Wire { link, from, outward: VecDeque::new(), homeward: VecDeque::new() });
+        self.test_links.push(TestLink { link, from, outward: VecDeque::new(), homeward: VecDeque::new() });
         let incarnations = [0, 1].map(|n| self.sites[n].gateway.incarnation());
         self.handle_event(to, Event::InboundLinkUp { link, site, incarnation: incarnations[from] });
         self.handle_event(from, Event::OutboundLinkUp { link, site, incarnation: incarnations[to] });
@@ -117,8 +117,8 @@
 
     /// Breaks the link that `from` has dialled; what is under way on it is lost.
     pub(crate) fn cut(&mut self, from: usize) {
-        let Some(at) = self.wires.iter().position(|wire| wire.from == from) else { return };
-        let link = self.wires.remove(at).link;
+        let Some(at) = self.test_links.iter().position(|test_link| test_link.from == from) else { return };
+        let link = self.test_links.remove(at).link;
         self.handle_event(from, Event::OutboundLinkDown(link));
         self.handle_event(1 - from, Event::InboundLinkDown(link));
     }
@@ -144,8 +144,9 @@
 
     pub(crate) fn send(&mut self, n: usize, link: LinkId, message: Message) {
         let at = self.now + ONE_WAY;
-        if let Some(wire) = self.wires.iter_mut().find(|wire| wire.link == link) {
-            let direction = if wire.from == n { &mut wire.outward } else { &mut wire.homeward };
+        if let Some(test_link) = self.test_links.iter_mut().find(|test_link| test_link.link == link) {
+            let direction =
+                if test_link.from == n { &mut test_link.outward } else { &mut test_link.homeward };
             direction.push_back((at, message));
         }
     }
@@ -187,7 +188,7 @@
             Action::SendCancel(link, id) => self.send(n, link, Message::Cancel(id)),
             Action::QueryStatus(link, ids) => self.send(n, link, Message::StatusQuery(ids)),
             Action::AcknowledgeOutcome(link, id) => self.send(n, link, Message::Acknowledge(id)),
-            Action::CloseLink(link) => self.wires.retain(|wire| wire.link != link),
+            Action::CloseLink(link) => self.test_links.retain(|test_link| test_link.link != link),
         }
     }
 
@@ -221,10 +222,12 @@
         while self.now < end {
             self.now += STEP;
             let mut due = Vec::new();
-            for wire in &mut self.wires {
-                for (direction, to) in [(&mut wire.outward, 1 - wire.from), (&mut wire.homeward, wire.from)] {
+            for test_link in &mut self.test_links {
+                for (direction, to) in
+                    [(&mut test_link.outward, 1 - test_link.from), (&mut test_link.homeward, test_link.from)]
+                {
                     while direction.front().is_some_and(|(at, _)| *at <= self.now) {
-                        due.extend(direction.pop_front().map(|(_, message)| (to, wire.link, message)));
+                        due.extend(direction.pop_front().map(|(_, message)| (to, test_link.link, message)));
                     }
                 }
             }
--- a/crates/replicated-register/src/register/tests.rs
+++ b/crates/replicated-register/src/register/tests.rs
@@ -37,54 +37,58 @@
 fn steps(world: &World) -> Vec<World> {
     let mut next = Vec::new();
     for index in 0..world.ballots.len() {
-        let (proposer, round) = &world.ballots[index];
-        let number = ballot(index, *proposer);
-        if round.is_none() {
+        if world.ballots[index].1.is_none() {
             let mut w = world.clone();
             w.ballots[index].1 = Some(Round::start());
             next.push(w);
             continue;
         }
-        for voter in 0..VOTERS {
-            let from = MemberId(voter);
-            match round {
-                Some(Round::Preparing(_)) => {
-                    // The question arrives; its answer is in flight from then on.
-                    let mut w = world.clone();
-                    if let Ok(promise) = w.acceptors[usize::from(voter)].prepare(number) {
-                        let reply = (index, from, promise.accepted);
-                        if !w.replies.contains(&reply) {
-                            w.replies.push(reply);
-                            w.replies.sort_by_key(|r| (r.0, r.1));
-                            next.push(w);
-                        }
-                    }
-                }
-                Some(Round::Accepting(value, _)) => {
-                    let mut w = world.clone();
-                    if w.acceptors[usize::from(voter)].accept(number, value.clone()).is_ok() {
-                        let chosen = w.ballots[index].1.as_mut().and_then(|r| r.accepted(from, 2).cloned());
-                        w.chosen.extend(chosen.filter(|value| !world.chosen.contains(value)));
-                        next.push(w);
-                    }
-                }
-                None => {}
+        next.extend((0..VOTERS).filter_map(|voter| question_arrives(world, index, voter)));
+        next.extend(answers_arrive(world, index));
+    }
+    next
+}
+
+/// A proposer's question arrives at a voter; `None` if that changes nothing.
+fn question_arrives(world: &World, index: usize, voter: u16) -> Option<World> {
+    let (proposer, round) = &world.ballots[index];
+    let (number, from) = (ballot(index, *proposer), MemberId(voter));
+    let mut w = world.clone();
+    match round.as_ref()? {
+        Round::Preparing(_) => {
+            // Its answer is in flight from then on.
+            let promise = w.acceptors[usize::from(voter)].prepare(number).ok()?;
+            let reply = (index, from, promise.accepted);
+            if w.replies.contains(&reply) {
+                return None;
             }
+            w.replies.push(reply);
+            w.replies.sort_by_key(|r| (r.0, r.1));
         }
-        // An answer arrives. Only the first of each acceptor is asked for.
-        for (_, from, vote) in world.replies.iter().filter(|reply| reply.0 == index) {
-            let mut w = world.clone();
-            let (proposer, Some(round)) = &mut w.ballots[index] else { continue };
-            if matches!(round, Round::Preparing(promises) if promises.contains_key(from)) {
-                continue;
-            }
-            if let Some(prepared) = round.promised(*from, vote.clone(), 2) {
-                let mut value = prepared.newest_vote.map(|vote| vote.value).unwrap_or_default();
-                let _ = value.apply(&command(*proposer));
-                *round = Round::Accepting(value, BTreeSet::new());
-            }
-            next.push(w);
+        Round::Accepting(value, _) => {
+            w.acceptors[usize::from(voter)].accept(number, value.clone()).ok()?;
+            let chosen = w.ballots[index].1.as_mut().and_then(|r| r.accepted(from, 2).cloned());
+            w.chosen.extend(chosen.filter(|value| !world.chosen.contains(value)));
+        }
+    }
+    Some(w)
+}
+
+/// An answer arrives at its proposer. Only the first of each acceptor is asked for.
+fn answers_arrive(world: &World, index: usize) -> Vec<World> {
+    let mut next = Vec::new();
+    for (_, from, vote) in world.replies.iter().filter(|reply| reply.0 == index) {
+        let mut w = world.clone();
+        let (proposer, Some(round)) = &mut w.ballots[index] else { continue };
+        if matches!(round, Round::Preparing(promises) if promises.contains_key(from)) {
+            continue;
+        }
+        if let Some(prepared) = round.promised(*from, vote.clone(), 2) {
+            let mut value = prepared.newest_vote.map(|vote| vote.value).unwrap_or_default();
+            let _ = value.apply(&command(*proposer));
+            *round = Round::Accepting(value, BTreeSet::new());
         }
+        next.push(w);
     }
     next
 }
--- a/crates/test-doubles/src/faulty_proxy.rs
+++ b/crates/test-doubles/src/faulty_proxy.rs
@@ -41,6 +41,7 @@
 
 /// Chunks under way in one direction, at most.
 const MOST_CHUNKS: usize = 1024;
+const CHUNK_BYTES: usize = 4096;
 
 impl FaultyProxy {
     /// A proxy without a target yet, with a delay drawn for each chunk from this range, each way.
@@ -89,11 +90,19 @@
         let Ok(far) = TcpStream::connect(target).await else { return };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let there = one_way(near_in, far_out, delay.clone(), seeds[0], self.state.subscribe(), |s| {
-            s != ProxyState::Partitioned
-        });
-        let back =
-            one_way(far_in, near_out, delay, seeds[1], self.state.subscribe(), |s| s == ProxyState::Healthy);
+        let outward = Direction {
+            delay: delay.clone(),
+            seed: seeds[0],
+            state: self.state.subscribe(),
+            carries: |state| state != ProxyState::Partitioned,
+        };
+        let back = Direction {
+            delay,
+            seed: seeds[1],
+            state: self.state.subscribe(),
+            carries: |state| state == ProxyState::Healthy,
+        };
+        let (there, back) = (outward.copy(near_in, far_out), back.copy(far_in, near_out));
         tokio::select! {
             () = async { tokio::join!(there, back); } => {}
             _ = resets.changed() => {}
@@ -101,38 +110,66 @@
     }
 }
 
-async fn one_way(
+/// What happens to the bytes of one connection in one direction.
+struct Direction {
+    delay: RangeInclusive<Duration>,
+    seed: u64,
+    state: watch::Receiver<ProxyState>,
+    /// Whether bytes pass in a state.
+    carries: fn(ProxyState) -> bool,
+}
+
+impl Direction {
+    /// Copies until one of the ends is closed.
+    async fn copy(self, from: OwnedReadHalf, to: OwnedWriteHalf) {
+        let (sender, chunks) = mpsc::channel(MOST_CHUNKS);
+        let Direction { delay, seed, state, carries } = self;
+        let read = read_chunks(from, sender, delay, seed);
+        let write = write_chunks(to, chunks, state, carries);
+        tokio::join!(read, write);
+    }
+}
+
+/// Bytes under way, and when they arrive.
+struct Chunk {
+    arrives_at: Instant,
+    bytes: Vec<u8>,
+}
+
+async fn read_chunks(
     mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+    sender: mpsc::Sender<Chunk>,
     delay: RangeInclusive<Duration>,
     seed: u64,
-    mut state: watch::Receiver<ProxyState>,
-    carries: impl Fn(ProxyState) -> bool,
 ) {
-    let (sender, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(MOST_CHUNKS);
-    let read = async move {
-        let mut random = StdRng::seed_from_u64(seed);
-        let mut last_arrival = Instant::now();
-        loop {
-            let mut bytes = vec![0; 4096];
-            let Ok(read @ 1..) = from.read(&mut bytes).await else { return };
-            bytes.truncate(read);
-            // In order, as on one connection.
-            last_arrival = last_arrival.max(Instant::now() + random.random_range(delay.clone()));
-            if sender.send((last_arrival, bytes)).await.is_err() {
-                return;
-            }
+    let mut random = StdRng::seed_from_u64(seed);
+    let mut arrives_at = Instant::now();
+    loop {
+        let mut bytes = vec![0; CHUNK_BYTES];
+        let Ok(read @ 1..) = from.read(&mut bytes).await else { return };
+        bytes.truncate(read);
+        // In order, as on one connection.
+        arrives_at = arrives_at.max(Instant::now() + random.random_range(delay.clone()));
+        if sender.send(Chunk { arrives_at, bytes }).await.is_err() {
+            return;
         }
-    };
-    let write = async move {
-        while let Some((at, bytes)) = chunks.recv().await {
-            sleep_until(at).await;
-            let _ = state.wait_for(|state| carries(*state)).await;
-            if to.write_all(&bytes).await.is_err() {
-                return;
-            }
+    }
+}
+
+async fn write_chunks(
+    mut to: OwnedWriteHalf,
+    mut chunks: mpsc::Receiver<Chunk>,
+    mut state: watch::Receiver<ProxyState>,
+    carries: fn(ProxyState) -> bool,
+) {
+    while let Some(chunk) = chunks.recv().await {
+        sleep_until(chunk.arrives_at).await;
+        // It fails only when the proxy is gone, and then nobody cares for the bytes.
+        let _ = state.wait_for(|state| carries(*state)).await;
+        if to.write_all(&chunk.bytes).await.is_err() {
+            return;
         }
-        let _ = to.shutdown().await;
-    };
-    tokio::join!(read, write);
+    }
+    // The other end may have closed before.
+    let _ = to.shutdown().await;
 }
--- a/crates/trace/tests/file.rs
+++ b/crates/trace/tests/file.rs
@@ -223,7 +223,7 @@
 fn checker_reports_each_arrival_without_exactly_one_answer() {
     let answer = |id| Record::Answered { id, kind: AnswerKind::Served, latency_us: 1 };
     let route = |attempt| Record::AttemptSent { id: 3, attempt, worker: 1 };
-    let crossing =
+    let forwarding =
         Record::Forwarding { id: 9, step: ForwardingStep::Forwarded, forwarded: 1, incarnation: 1 };
     let told = [
         (1, arrival(1, 0, 0, true)),
@@ -236,7 +236,7 @@
         (8, route(1)),
         (9, answer(3)),
         (10, Record::AttemptEnded { id: 3, attempt: 1, outcome: 0, free_slots: None, queued: None }),
-        (11, crossing),
+        (11, forwarding),
     ];
     let (mut checker, mut violations) = (Checker::default(), Vec::new());
     items(&mut open(&write(&header("n1", 0), &told)))
