--- a/src/scheduling/scheduler_share.rs
+++ b/src/scheduling/scheduler_share.rs
@@ -53,8 +53,8 @@
 
 /// How many requests of mean work may be granted on average in each interval, where the settings allow `allowed`.
 ///
-/// It is the largest mean m for which a Poisson count reaches x, [`GRANTED_FRACTION`] of [`collapse_threshold`], with no
-/// more than the odds of [`LN_COLLAPSE_ODDS`]: m - x + x ln(x / m) = `LN_COLLAPSE_ODDS`, solved from below.
+/// It is the largest mean m for which a Poisson count reaches x, `GRANTED_FRACTION` of [`collapse_threshold`], with no
+/// more than the odds of `LN_COLLAPSE_ODDS`: m - x + x ln(x / m) = `LN_COLLAPSE_ODDS`, solved from below.
 pub fn mean_grants_per_interval(allowed: f64) -> f64 {
     let most = GRANTED_FRACTION * collapse_threshold(allowed);
     let step = |mean: f64| most * ((mean - LN_COLLAPSE_ODDS) / most - 1.0).exp();
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -3,7 +3,7 @@
 //! All that happens on the network reaches it as an [`EngineMessage`] through its [`EngineQueue`]; the
 //! messages know no protocol, so that another frontend can stand beside HTTP. It notifies the dispatcher
 //! ([`crate::scheduling`]) of events, performs the actions that the dispatcher decides on, keeps the clock and
-//! the timers, and gives each request one [`FinalAnswer`](crate::server::messages::FinalAnswer). It decides
+//! the timers, and gives each request one [`FinalAnswer`]. It decides
 //! nothing about placement, admission or retries, and it does no I/O: tasks of their own do, and report back
 //! through the queue.
 //!
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -54,9 +54,9 @@
 /// A client's request, as the frontend submits it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Index into [`Settings::classes`].
+    /// Index into [`Settings::classes`](crate::scheduling::Settings::classes).
     pub class: usize,
-    /// Index into [`Settings::tenants`].
+    /// Index into [`Settings::tenants`](crate::scheduling::Settings::tenants).
     pub tenant: usize,
     /// When its client stops waiting.
     pub deadline: Instant,
