--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -21,7 +21,7 @@
 use crate::load_state::{LoadMonitor, LoadState};
 use crate::{Action, Config, Event, ForwardedRequestId, Incarnation, LinkId, LocalRequestId, SiteId, Time};
 use inbound::Offer;
-use links::{InboundLink, OutboundLink, PeerSite};
+use links::{InboundLink, OutboundLink, PeerProcess, PeerSite};
 pub use statistics::Statistics;
 
 /// The gateway of one process.
@@ -166,7 +166,7 @@
                 self.on_link(link, id, Transition::Status(status), actions);
             }
             Event::InboundLinkUp { link, site, incarnation } => {
-                self.inbound_link_up(now, link, site, incarnation, actions);
+                self.inbound_link_up(now, link, PeerProcess { site, incarnation }, actions);
             }
             Event::InboundLinkDown(link) => self.inbound_link_down(link),
             Event::RequestOffered { link, forwarded, epoch, slots, time_left, keep_outcome } => {
--- a/crates/gateway/src/gateway/links.rs
+++ b/crates/gateway/src/gateway/links.rs
@@ -21,6 +21,13 @@
     pub(super) listed: bool,
 }
 
+/// The process at the other end of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct PeerProcess {
+    pub(super) site: SiteId,
+    pub(super) incarnation: Incarnation,
+}
+
 /// A link on which requests are forwarded.
 #[derive(Debug)]
 pub(super) struct OutboundLink {
@@ -138,10 +145,10 @@
         &mut self,
         now: Time,
         link: LinkId,
-        site: SiteId,
-        incarnation: Incarnation,
+        peer: PeerProcess,
         actions: &mut Vec<Action>,
     ) {
+        let PeerProcess { site, incarnation } = peer;
         let is_same_peer = |link: &InboundLink| (link.site, link.incarnation) == (site, incarnation);
         let replaced: Vec<LinkId> =
             self.inbound_links.iter().filter(|(_, link)| is_same_peer(link)).map(|(id, _)| *id).collect();
--- a/crates/replicated-register/src/voter.rs
+++ b/crates/replicated-register/src/voter.rs
@@ -19,7 +19,7 @@
 use crate::message::Message;
 use crate::register::{Acceptor, Ballot, Vote};
 use crate::{Config, MemberId, Time};
-use operation::{ConfirmationRequest, Operation, QueuedChange, Task};
+use operation::{ConfirmationRequest, Operation, QueuedChange, Task, VoteReport};
 pub use stage::VoterStage;
 
 /// Changes that wait for their turn at a voter.
@@ -229,7 +229,9 @@
                 outputs.push(Output::Send(from, reply));
             }
             Message::StageReply(incarnation, stage) => {
-                self.stage_reported(now, from, incarnation, stage, outputs);
+                if incarnation == self.incarnation {
+                    self.stage_reported(now, from, stage, outputs);
+                }
             }
             Message::Prepare(ballot) => self.prepare_requested(from, ballot, outputs),
             Message::Accept(ballot, value) => self.accept_requested(from, ballot, value, outputs),
@@ -237,7 +239,9 @@
             Message::Chosen(vote) => self.begin_epoch(now, vote, outputs),
             Message::Promise(promise) => self.promised(now, from, promise, outputs),
             Message::Accepted(ballot) => self.accepted(now, from, ballot, outputs),
-            Message::VoteReply(number, vote) => self.vote_reported(now, from, number, vote, outputs),
+            Message::VoteReply(number, vote) => {
+                self.vote_reported(now, from, VoteReport { number, vote }, outputs);
+            }
             Message::Nack { ballot, seen } => self.nacked(now, ballot, seen),
             Message::ConfirmationRequest(number, known) => {
                 let request = ConfirmationRequest { learner: from, number, known };
--- a/crates/replicated-register/src/voter/operation.rs
+++ b/crates/replicated-register/src/voter/operation.rs
@@ -47,6 +47,14 @@
     pub(super) votes: BTreeMap<MemberId, Option<Vote>>,
 }
 
+/// An acceptor's answer to such a question.
+#[derive(Debug)]
+pub(super) struct VoteReport {
+    /// The number of the question.
+    pub(super) number: u64,
+    pub(super) vote: Option<Vote>,
+}
+
 /// A change or a confirmation under way.
 #[derive(Debug)]
 pub(super) struct Operation {
--- a/crates/replicated-register/src/voter/proposer.rs
+++ b/crates/replicated-register/src/voter/proposer.rs
@@ -12,7 +12,7 @@
 use crate::register::{Ballot, Promise, Round, Vote};
 use crate::{MemberId, Time};
 
-use super::operation::{Attempt, Operation, Task, VoteQuery};
+use super::operation::{Attempt, Operation, Task, VoteQuery, VoteReport};
 use super::{Decision, Output, Voter};
 
 /// A retry is put off by this fraction of the retry time, drawn anew each time, so that proposers that met do not meet
@@ -65,7 +65,7 @@
         operation.query = Some(VoteQuery { number, votes: BTreeMap::new() });
         self.send_to_others(&Message::VoteQuery(number), outputs);
         let own_vote = self.state.acceptor.accepted().cloned();
-        self.vote_reported(now, self.id, number, own_vote, outputs);
+        self.vote_reported(now, self.id, VoteReport { number, vote: own_vote }, outputs);
     }
 
     /// Phase 1 of a ballot.
@@ -173,8 +173,7 @@
         &mut self,
         now: Time,
         from: MemberId,
-        number: u64,
-        vote: Option<Vote>,
+        report: VoteReport,
         outputs: &mut Vec<Output>,
     ) {
         let electorate = self.electorate();
@@ -184,8 +183,10 @@
         let Some(operation) = self.operation.as_mut().filter(|operation| operation.attempt.is_none()) else {
             return;
         };
-        let Some(query) = operation.query.as_mut().filter(|query| query.number == number) else { return };
-        query.votes.insert(from, vote);
+        let Some(query) = operation.query.as_mut().filter(|query| query.number == report.number) else {
+            return;
+        };
+        query.votes.insert(from, report.vote);
         if query.votes.len() < electorate.majority() {
             return;
         }
--- a/crates/replicated-register/src/voter/stage.rs
+++ b/crates/replicated-register/src/voter/stage.rs
@@ -95,16 +95,15 @@
         self.config.voters.contains(&self.id) && self.state.stage < VoterStage::Active
     }
 
-    /// Takes another first voter's report, if it answers a question of this incarnation.
+    /// Takes another first voter's report, which answers a question of this incarnation.
     pub(super) fn stage_reported(
         &mut self,
         now: Time,
         from: MemberId,
-        incarnation: u64,
         stage: VoterStage,
         outputs: &mut Vec<Output>,
     ) {
-        if incarnation != self.incarnation || !self.config.voters.contains(&from) {
+        if !self.config.voters.contains(&from) {
             return;
         }
         self.reported_stages.insert(from, stage);
