--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -67,7 +67,7 @@
             SiteLinkEvent::RoundTripChanged { link, round_trip } => {
                 if let Some(known) = forwarding.links.get(&link) {
                     let metrics = &forwarding.counters.gateway;
-                    metrics.link(&known.site, known.dialled, |figures| figures.round_trip = round_trip);
+                    metrics.link(&known.site, known.dialled, |link| link.round_trip = round_trip);
                 }
                 self.notify_gateway(GatewayEvent::RoundTripMeasured(link, round_trip));
             }
