--- a/crates/gateway/tests/two_sites/property.rs
+++ b/crates/gateway/tests/two_sites/property.rs
@@ -2,6 +2,7 @@
 //! one run at the other site at most, none for what came back, and no more accepted than was granted.
 
 use std::cell::Cell;
+use std::collections::BTreeSet;
 
 use chutesaddle_gateway::*;
 use proptest::prelude::*;
@@ -94,9 +95,11 @@
     // Everything ends by the deadline, whatever is cut.
     pair.run(TIME_LEFT + ms(100));
     for n in 0..2 {
+        let mut seen = BTreeSet::new();
         for (id, fate) in &pair.sites[n].fates {
             coverage.add(fate);
             check_fate(n, *id, fate)?;
+            prop_assert!(seen.insert(id));
         }
         prop_assert!(pair.sites[n].gateway.statistics().outbound_open == 0);
     }
--- a/src/scheduling/overdue.rs
+++ b/src/scheduling/overdue.rs
@@ -52,7 +52,7 @@
     pub(crate) fn check_overdue(&mut self) {
         let limits = self.start_limits();
         let mut checked = Vec::new();
-        let mut hopeless = Vec::new();
+        let mut too_late = Vec::new();
         for (&id, tracked) in &self.requests.all {
             for (index, attempt) in tracked.attempts.iter().enumerate() {
                 let Some(worker) = self.fleet.workers.get(&attempt.worker) else { continue };
@@ -60,12 +60,12 @@
                     continue;
                 }
                 checked.push(self.check_attempt(tracked, index, worker, &limits));
-                if self.is_hopeless(tracked, attempt, worker) {
-                    hopeless.push(id);
+                if self.is_too_late(tracked, attempt, worker) {
+                    too_late.push(id);
                 }
             }
         }
-        for id in hopeless {
+        for id in too_late {
             self.give_final_answer(id);
         }
         for attempt in checked {
@@ -144,7 +144,7 @@
     }
 
     /// Whether a request whose attempt has not started can no longer earn anything, and may be rejected.
-    fn is_hopeless(&self, tracked: &TrackedRequest, attempt: &Attempt, worker: &Worker) -> bool {
+    fn is_too_late(&self, tracked: &TrackedRequest, attempt: &Attempt, worker: &Worker) -> bool {
         if attempt.started_at.is_some() || tracked.is_closed() {
             return false;
         }
--- a/src/scheduling/round.rs
+++ b/src/scheduling/round.rs
@@ -1,4 +1,4 @@
-//! A scheduling round: queued requests are ordered, the hopeless given up, and the rest placed as far as slots go.
+//! A scheduling round: queued requests are ordered, those that are too late given up, and the rest placed as far as slots go.
 //!
 //! Rounds come in short intervals against the tightest latency objective, and early when a slot becomes free. A round
 //! takes from the top of the queue as many requests as known free slots hold; what is not placed stays and gains
--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -20,6 +20,7 @@
 mod closing;
 pub mod connection_eviction;
 pub mod connection_handoff;
+mod connection_state;
 mod request_handling;
 mod request_parser;
 mod response;
--- a/src/server/frontend/client_connection.rs
+++ b/src/server/frontend/client_connection.rs
@@ -5,15 +5,14 @@
 
 use std::time::Duration;
 
-use bytes::Bytes;
 use tokio::task::yield_now;
 use tokio::time::{timeout_at, Instant};
 
 use super::connection_eviction::EvictionClass;
+use super::connection_state::{ConnectionState, Message};
 use super::response::Response;
 use super::Frontend;
-use crate::server::http::{Connection, Head, HttpError};
-use crate::server::messages::MigratedRequest;
+use crate::server::http::{Connection, HttpError};
 
 /// A connection that is idle between two messages for longer is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -38,30 +37,6 @@
     }
 }
 
-/// Where a client connection stands.
-pub(super) enum ConnectionState {
-    /// Nothing of a message has arrived: the connection is new, or idle between two messages.
-    Idle,
-    /// A message has begun to arrive.
-    ReceivingMessage,
-    /// A message has arrived whole; its response is not written yet.
-    AwaitingAnswer(Message),
-    /// The last response is written, or this side closes an idle connection: what still arrives is read and dropped.
-    Lingering,
-    /// Another process is to serve it.
-    HandingOver,
-    /// Another process is to answer the request on it, and to serve it then if `keep_alive`.
-    HandingOverRequest { migrated: Box<MigratedRequest>, keep_alive: bool },
-    /// It is closed by being dropped: the client has gone, or nothing is owed on it.
-    Closed,
-}
-
-/// A message that has arrived whole.
-pub(super) struct Message {
-    pub(super) head: Head,
-    pub(super) body: Bytes,
-}
-
 impl Frontend {
     /// Serves a connection until it is closed or another process has it.
     pub(super) async fn serve(&self, client: ClientConnection) {
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -8,8 +8,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::client_connection::{ClientConnection, ConnectionState};
+use super::client_connection::ClientConnection;
 use super::connection_eviction::EvictionClass;
+use super::connection_state::ConnectionState;
 use super::request_handling::RequestEnd;
 use super::{Frontend, InProgress};
 use crate::server::engine_queue::PendingAnswer;
--- a/src/server/frontend/request_handling.rs
+++ b/src/server/frontend/request_handling.rs
@@ -6,8 +6,9 @@
 use bytes::Bytes;
 use tokio::time::{sleep_until, Instant};
 
-use super::client_connection::{ClientConnection, ConnectionState, Message};
+use super::client_connection::ClientConnection;
 use super::connection_eviction::EvictionClass;
+use super::connection_state::{ConnectionState, Message};
 use super::request_parser::{self, ParsedRequest};
 use super::response::Response;
 use super::{callback_parser, Frontend, InProgress};
--- a/src/server/frontend/response.rs
+++ b/src/server/frontend/response.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tokio::time::timeout;
 
-use super::client_connection::ConnectionState;
+use super::connection_state::ConnectionState;
 use super::Frontend;
 use crate::server::frontend::request_parser::RequestError;
 use crate::server::http::{Connection, HttpError};
--- a/src/server/peers/site_links/dialer.rs
+++ b/src/server/peers/site_links/dialer.rs
@@ -10,7 +10,8 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::handshake::EstablishedLink;
-use super::{Direction, LinkEnd, SiteLinkSettings, SiteLinks};
+use super::links::{Direction, LinkEnd, SiteLinks};
+use super::settings::SiteLinkSettings;
 
 /// The lifetime of the link to one peer. The loop in [`Dialer::run`] is the only place where it changes.
 ///
--- a/src/server/peers/site_links/frames.rs
+++ b/src/server/peers/site_links/frames.rs
@@ -11,7 +11,7 @@
 
 use super::dialer::DialledAddress;
 use super::handshake::EstablishedLink;
-use super::{Direction, LinkEnd, SiteLinks, READ_BYTES};
+use super::links::{Direction, LinkEnd, SiteLinks, READ_BYTES};
 use crate::server::peers::site_messages::{LinkInbox, LinkOutbox, SiteLinkEvent};
 
 /// How long the last frame of a link, which says why it ends, may take to be written.
--- a/src/server/peers/site_links/handshake.rs
+++ b/src/server/peers/site_links/handshake.rs
@@ -7,7 +7,8 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout_at;
 
-use super::{Direction, LinkEnd, SiteLinkSettings, SiteLinks, READ_BYTES};
+use super::links::{Direction, LinkEnd, SiteLinks, READ_BYTES};
+use super::settings::SiteLinkSettings;
 
 /// A stream with a link on it.
 pub(super) struct EstablishedLink<S> {
--- a/src/server/peers/site_links/listener.rs
+++ b/src/server/peers/site_links/listener.rs
@@ -11,7 +11,8 @@
 use tokio::time::sleep;
 
 use super::handshake::EstablishedLink;
-use super::{Direction, LinkEnd, SiteLinkSettings, SiteLinks};
+use super::links::{Direction, LinkEnd, SiteLinks};
+use super::settings::SiteLinkSettings;
 use crate::server::lifecycle::Phase;
 
 /// Connections that may be in their handshake at a time; one more is closed at once.
--- a/src/server/workers/attempt.rs
+++ b/src/server/workers/attempt.rs
@@ -9,6 +9,7 @@
 
 mod cancellation;
 mod exchange;
+mod result;
 mod state;
 
 use std::cell::Cell;
@@ -22,27 +23,13 @@
 use crate::server::messages::{AttemptCommand, RequestPayload};
 use crate::server::metrics::{ClassCounters, Counters};
 use crate::server::workers::attempt::exchange::{Exchange, ExchangeResult};
+pub use crate::server::workers::attempt::result::AttemptResult;
 use crate::server::workers::attempt::state::{AttemptEvent, AttemptState};
 use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// How long a response is read once the engine needs it no more, so that the connection can be pooled.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How an attempt has ended.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AttemptResult {
-    /// The end.
-    pub end: AttemptEnd,
-    /// The load report of the response, as its header has it.
-    pub load_report: Option<String>,
-}
-
-impl AttemptResult {
-    fn without_report(end: AttemptEnd) -> Self {
-        AttemptResult { end, load_report: None }
-    }
-}
-
 /// An attempt before it runs.
 pub struct AttemptTask {
     /// Where the request goes.
--- a/src/server/workers/attempt/exchange.rs
+++ b/src/server/workers/attempt/exchange.rs
@@ -11,8 +11,8 @@
 use crate::server::http::{Connection, Head, HttpError};
 use crate::server::messages::RequestPayload;
 use crate::server::metrics::Counter;
+use crate::server::workers::attempt::result::AttemptResult;
 use crate::server::workers::attempt::state::{AttemptEvent, AttemptState};
-use crate::server::workers::attempt::AttemptResult;
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
