--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Whether this process takes work, and everything that changes that: start, PAUSE, RESUME, upgrade, SIGTERM.
 //!
 //! [`Lifecycle`] owns the one [`Phase`] of the process. Nobody else sets it: the modules below only report a
-//! [`LifecycleEvent`], and [`Phase::after`] decides what follows. The frontend asks here whether a request is admitted
+//! [`LifecycleEvent`], and `Phase::after` decides what follows. The frontend asks here whether a request is admitted
 //! and whether idle connections are to be closed; gossip and the site links watch the phase.
 //!
 //! | module | question it answers |
@@ -10,12 +10,14 @@
 //! | [`handover_frames`] | what the two processes of an upgrade send each other, and in which bytes |
 //! | [`peer_processes`] | which processes of an upgrade are linked, and which requests are open there |
 //! | [`operator_interface`] | how STATUS, METRICS, PAUSE and RESUME come in |
+//! | [`operator_file`] | how the operator's own file is read |
 //! | [`reload`] | what SIGHUP changes while requests are in flight |
 //!
 //! The order of start-up and of exit is in `src/cli/serve.rs`; crossing events are listed in `docs/races.md`.
 
 pub mod handover;
 pub mod handover_frames;
+pub mod operator_file;
 pub mod operator_interface;
 pub mod peer_processes;
 pub mod reload;
@@ -41,7 +43,7 @@
 /// After SIGTERM the platform waits for the longest deadline, but for no more than this, and a little longer.
 const MAX_STOP_WAIT: Duration = Duration::from_secs(3);
 
-/// What the process does about clients; see [`Phase::after`] for the transitions.
+/// What the process does about clients; see `Phase::after` for the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// A new process that does not serve yet.
