--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -221,7 +221,7 @@
     );
 }
 
-/// A healthy worker may reset one connection. Two resets with no answer between them are a fault.
+/// A healthy worker may reset one connection. Two resets with no notification between them are a fault.
 #[test]
 fn ejects_worker_after_two_consecutive_resets() {
     let mut scheduler = TestScheduler::new(settings(), fleet(1));
@@ -247,7 +247,7 @@
     assert_eq!(dispatched(&scheduler.run(0.1)).len(), 3);
     scheduler.run(2.0); // every worker is late with its start
     scheduler.send(Event::RequestReceived(request(10, 1, scheduler.now)));
-    assert_eq!(dispatched(&scheduler.run(0.3)).len(), 1, "lateness of most of the fleet ejects no worker");
+    assert_eq!(dispatched(&scheduler.run(0.3)).len(), 1, "lateness does not eject the whole fleet");
 }
 
 #[test]
@@ -310,7 +310,7 @@
 
 #[test]
 fn each_of_many_schedulers_sends_only_its_share() {
-    // If each of ten schedulers filled every worker's queue, the queues would be ten times too long.
+    // If each of ten schedulers filled every worker's queue, they would be ten times too long together.
     let dispatched_by_one_of = |scheduler_count| {
         let mut settings = settings();
         settings.scheduler_count = scheduler_count;
