--- a/src/scheduling/action.rs
+++ b/src/scheduling/action.rs
@@ -39,7 +39,7 @@
     Probe(WorkerId),
     /// Send all other schedulers a gossip message of at most 256 bytes; it may get lost.
     BroadcastGossip(Vec<u8>),
-    /// Watch the endpoint list from now on.
+    /// Watch the endpoint list from now on. Only the simulator heeds it; see `endpoint_update.rs`.
     WatchEndpointList,
 }
 
--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -19,14 +19,14 @@
 /// A failure leaves this fraction of a worker's stability, where schedulers are few.
 const STABILITY_AFTER_FAILURE: f64 = 0.7;
 /// A worker with a stability below this is ejected.
-const MIN_STABILITY: f64 = 0.3;
+const EJECTION_STABILITY: f64 = 0.3;
 /// This many resets with no notification between eject a worker; one may happen to a sound one.
 const EJECTING_RESETS: u32 = 2;
 /// After a rejection a worker gets nothing for this time per slot.
 const REJECTION_BACKOFF_PER_SLOT_S: f64 = 0.1;
 /// ln: one run shows a worker in slow start to be this much faster or slower at the most (a factor of three).
 const MAX_LOG_GAIN: f64 = 1.1;
-/// The least run time that is told from none.
+/// A shorter run time counts as this: its logarithm is taken.
 const MIN_RUN_TIME_S: f64 = 1e-4;
 
 /// What counts of an attempt that has ended.
@@ -38,7 +38,7 @@
     sent_at: f64,
     started_at: Option<f64>,
     locality: Option<Locality>,
-    /// Nothing was expected of it any more.
+    /// It was overdue, or being cancelled.
     was_abandoned: bool,
     /// The latency objective was met.
     met_objective: bool,
@@ -62,8 +62,8 @@
     pub(crate) fn attempt_progressed(&mut self, id: RequestId, attempt: usize, fraction: f64) {
         let Some(tracked) = self.requests.all.get_mut(&id) else { return };
         let Some(attempt) = tracked.attempts.get_mut(attempt) else { return };
-        let is_news = attempt.is_in_flight() && fraction > attempt.progress;
-        if !is_news {
+        let is_new_progress = attempt.is_in_flight() && fraction > attempt.progress;
+        if !is_new_progress {
             return;
         }
         attempt.progress = fraction;
@@ -135,7 +135,7 @@
     /// Releases what the attempt held, and moves the worker's stability; ejects the worker where that calls for it.
     fn judge_worker(&mut self, attempt: &EndedAttempt) {
         let now = self.now;
-        // What is seldom used is judged on less: one failure stands for those that other schedulers meet there.
+        // With many schedulers each sees few attempts of a worker, so one failure counts for those that the others see.
         let schedulers = (self.settings.scheduler_count as f64 / FEW_SCHEDULERS as f64).max(1.0);
         let Some(worker) = self.fleet.workers.get_mut(&attempt.worker) else { return };
         worker.release_capacity(&attempt.request, attempt.started_at.is_some());
@@ -160,12 +160,12 @@
         worker.consecutive_resets += u32::from(was_reset);
         let is_connection_failure = attempt.outcome == AttemptOutcome::ConnectFailed
             || was_reset && worker.consecutive_resets >= EJECTING_RESETS;
-        let is_unstable = worker.stability < MIN_STABILITY;
+        let is_unstable = worker.stability < EJECTION_STABILITY;
         self.record_cancelled_wait(attempt);
         if is_connection_failure {
             self.eject(attempt.worker, EjectionReason::ConnectionFailure);
         } else if is_unstable {
-            self.eject(attempt.worker, EjectionReason::Lateness);
+            self.eject(attempt.worker, EjectionReason::LateOrUnstable);
         }
     }
 
@@ -243,7 +243,7 @@
         if ended.client_answered || tracked.is_closed() {
             self.close(id);
         } else if self.is_out_of_attempts(tracked) {
-            self.give_final_answer(id); // the client had better know now
+            self.give_final_answer(id); // no further attempt is possible
         } else {
             self.requests.enqueue(id);
         }
--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -43,7 +43,7 @@
         state.reset_candidates();
     }
 
-    /// Takes one event and appends what is to be done. News of a request or an attempt that is over is ignored.
+    /// Takes one event and appends what is to be done. Events about a request or an attempt that is over are ignored.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         if now.is_finite() {
--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -1,4 +1,7 @@
-//! What a new endpoint list changes, and when discovery is polled again after a failure.
+//! What a new endpoint list changes, and, in the simulator, when discovery is polled again after a failure.
+//!
+//! On real sockets `src/server/discovery.rs` polls and watches by itself: the engine ignores `Action::WatchEndpointList` and never
+//! hands in `Event::DiscoveryFailed`.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::endpoint::WorkerInfo;
--- a/src/scheduling/event.rs
+++ b/src/scheduling/event.rs
@@ -22,7 +22,7 @@
     pub load: LoadReport,
 }
 
-/// What happened, in order. News of a request or an attempt that is over is ignored.
+/// What happened, in order. Events about a request or an attempt that is over are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list, or changes to it.
--- a/src/scheduling/hedging.rs
+++ b/src/scheduling/hedging.rs
@@ -1,7 +1,8 @@
 //! Hedging: whether an overdue attempt is given up for another one at another worker.
 //!
 //! Where the settings allow two attempts in flight, the second one is a hedged request: the first answer counts. Else the
-//! overdue attempt is cancelled, and the request is sent on only after the outcome of that is known (`retry.rs`).
+//! overdue attempt is cancelled; when its end arrives, `continue_request` in `attempt_progress.rs` queues the request again, and
+//! `retry.rs` limits the workers. Where neither is allowed, the attempt is only abandoned.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::RequestId;
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -1,7 +1,7 @@
 //! Estimates of how loaded the workers are: who holds how many slots, how many are free, whether the fleet is full.
 //!
-//! What other schedulers hold is told by load reports, by listed weights or by gossip, whatever the settings allow, and
-//! fades to the usual load between two of them. Nothing is decided here.
+//! What other schedulers hold is known from load reports, listed weights or gossip, as the settings allow; between two of these the
+//! estimate decays to the usual load. Nothing is decided here.
 
 use crate::scheduling::action::CapacitySummary;
 use crate::scheduling::gossip::WorkerKey;
--- a/src/scheduling/load_shedding.rs
+++ b/src/scheduling/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which queued requests are given up because they cannot be served in time.
 //!
-//! Two rules: a request that can no longer start early enough is given up before its objective has passed, because it
-//! would only take a slot (`plan_round` in `round.rs`); and when the whole queue takes too long to clear, the
+//! Two rules: a request that can no longer finish within [`MAX_OBJECTIVE_STRETCH`] times its objective is given up, unless an
+//! answer after the objective still earns something (`plan_round` in `round.rs`); and when the whole queue takes too long to clear, the
 //! requests of lowest priority are shed (Eq. 2 of the paper).
 
 use crate::scheduling::identifiers::RequestId;
--- a/src/scheduling/outlier_detection.rs
+++ b/src/scheduling/outlier_detection.rs
@@ -2,15 +2,18 @@
 //!
 //! | a worker | what follows |
 //! | --- | --- |
-//! | refuses a connection, or two connections are reset with no notification between | ejected |
+//! | cannot be connected to, or breaks a connection while a request is written | ejected |
+//! | resets two connections, or reports two requests `lost`, with no notification between | ejected |
 //! | is late to start or to progress an attempt (`overdue.rs`) | ejected, unless most of the fleet is ejected |
 //! | loses its stability: failures, timeouts, resets, missed objectives | ejected, unless most of the fleet is ejected |
 //! | answers a health check, or an attempt there progresses or succeeds | readmitted, on probation |
 //!
 //! An ejected worker gets no requests. Its backoff doubles with each ejection, until a request has succeeded there; when
 //! it is over a health check is sent, or, where probes are not allowed, the worker is readmitted. On probation a worker is
-//! opened slot by slot and gets only idempotent requests until one has succeeded (`placement.rs`). One reset, or a pooled
-//! connection that was closed already, does not eject: sound workers show both.
+//! opened slot by slot (`free_slots` in `load_estimate.rs`) and gets only idempotent requests until one has succeeded. One reset does
+//! not eject by itself, nor does a pooled connection that was closed already: sound workers show both. But where there are many
+//! schedulers (14 and more) one failure takes the stability below its limit. The limits are in `attempt_progress.rs`,
+//! `judge_worker`; what counts as which outcome is in `src/server/attempt_end.rs`.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::WorkerId;
@@ -35,7 +38,7 @@
     /// A connection failed, or was reset twice with no notification between.
     ConnectionFailure,
     /// It was late, or its stability is low.
-    Lateness,
+    LateOrUnstable,
 }
 
 struct BackoffBounds {
--- a/src/scheduling/overdue.rs
+++ b/src/scheduling/overdue.rs
@@ -19,7 +19,8 @@
 use crate::scheduling::timer::Timer;
 use crate::scheduling::worker::Worker;
 
-/// Nothing is overdue before this: pauses and the network take that long.
+/// No run is overdue before this, and no start before [`START_RUN_TIME_FACTOR`] times this: pauses and the network take
+/// that long.
 const MIN_OVERDUE_S: f64 = 0.4;
 /// A start is overdue after this many usual start delays ...
 const START_DELAY_FACTOR: f64 = 1.8;
@@ -34,8 +35,9 @@
 struct StartLimits {
     /// After this the worker is late.
     overdue_s: f64,
-    /// Where load is not seen, an attempt is replaced after this already; infinite where nothing is replaced so.
-    unseen_load_s: f64,
+    /// Where only capacity probes show load, an attempt that has not started is replaced after this. Infinite where load
+    /// reports show it: there it is not replaced at all.
+    replace_unstarted_s: f64,
 }
 
 /// What an attempt in flight has come to.
@@ -70,7 +72,7 @@
         }
         for attempt in checked {
             if attempt.is_overdue {
-                self.eject(attempt.worker, EjectionReason::Lateness);
+                self.eject(attempt.worker, EjectionReason::LateOrUnstable);
             }
             if attempt.is_to_be_replaced {
                 self.replace_overdue_attempt(attempt.request, attempt.attempt);
@@ -84,12 +86,12 @@
     fn start_limits(&self) -> StartLimits {
         let by_run_time_s = START_RUN_TIME_FACTOR * MIN_OVERDUE_S.max(self.mean_run_time_s());
         let by_start_delay_s = START_DELAY_FACTOR * self.mean_start_delay_s();
-        let unseen_load_s = if self.relies_on_probes() {
+        let replace_unstarted_s = if self.relies_on_probes() {
             IMMEDIATE_ANSWER_S + 2.0 * self.settings.event_interval_s
         } else {
             f64::INFINITY
         };
-        StartLimits { overdue_s: by_run_time_s.max(by_start_delay_s), unseen_load_s }
+        StartLimits { overdue_s: by_run_time_s.max(by_start_delay_s), replace_unstarted_s }
     }
 
     fn check_attempt(
@@ -102,10 +104,10 @@
         let attempt = &tracked.attempts[index];
         let silent_s = self.silent_s(attempt, worker);
         let overdue_s = self.overdue_limit_s(tracked, attempt, worker, limits);
-        // A late start means overload where queues are not seen; where nothing is seen, it is time to move on.
+        // Where own traffic does not show free slots, a late start may mean overload: another limit holds.
         let is_start_awaited = attempt.started_at.is_none();
         let replace_after_s =
-            if is_start_awaited && !self.sees_free_slots() { limits.unseen_load_s } else { overdue_s };
+            if is_start_awaited && !self.sees_free_slots() { limits.replace_unstarted_s } else { overdue_s };
         CheckedAttempt {
             request: tracked.request.id,
             attempt: index,
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -1,7 +1,8 @@
 //! Placement: which worker a request goes to, in three steps.
 //!
-//! 1. Eligibility ([`SchedulerState::is_eligible`]): the rules of the service. A draining, ejected or rejecting worker
-//!    gets nothing, nor one that could run the request twice or collapse in slow start.
+//! 1. Eligibility: `is_eligible` has the rules of the service, for capacity probes too: no draining worker, none that could run
+//!    the request twice or collapse in slow start. `is_available` also leaves out ejected and rejecting workers, those on
+//!    probation, and those that failed the request.
 //! 2. Score ([`SchedulerState::score`]): how good an eligible worker is; less is better. Urgent requests go to the worker
 //!    that finishes first, bulk to the roomiest that still meets the objective.
 //! 3. Draw ([`draw_best`]): the best of a few candidates that are drawn at random by their room. All schedulers know of
@@ -31,7 +32,7 @@
 /// A worker counts as free if this part of the slots that the request needs is.
 const MIN_FREE_PART: f64 = 0.5;
 /// A low stability raises a score tenfold at the most.
-const MIN_STABILITY: f64 = 0.1;
+const MIN_SCORE_STABILITY: f64 = 0.1;
 /// Candidates drawn at the least: the power of two choices.
 const MIN_SAMPLE: usize = 2;
 /// The weight in the draw of a worker where the request must wait.
@@ -137,7 +138,8 @@
 
     // ---- Eligibility ----
 
-    /// Whether a worker may be sent the request at all. Draining workers get nothing: their grace is not used up.
+    /// Whether a worker may be sent the request at all. Draining workers get nothing, even within the drain
+    /// grace (`drain_grace_s`).
     pub(crate) fn is_eligible(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
         if !tracked.is_open() || self.now >= tracked.request.deadline {
             return false;
@@ -276,7 +278,7 @@
     /// worker instead, and of these to the faster one; but not where overload is not seen: there all would meet at the
     /// fast ones, which the draw prefers already.
     fn score(&self, worker: &Worker, outlook: &Outlook, context: &PlacementContext) -> f64 {
-        let score = outlook.finish_s / worker.stability.max(MIN_STABILITY);
+        let score = outlook.finish_s / worker.stability.max(MIN_SCORE_STABILITY);
         let is_bulk = !context.is_urgent
             && !context.round.is_mostly_urgent
             && score < SAFE_OBJECTIVE_FRACTION * context.slack_s;
--- a/src/scheduling/request_table.rs
+++ b/src/scheduling/request_table.rs
@@ -52,7 +52,7 @@
     pub sent_at: f64,
     /// When it started to run; where starts are not reported, when it was sent.
     pub started_at: Option<f64>,
-    /// When the worker last told of it; at first, when it was sent.
+    /// When the worker last notified this scheduler of it; at first, when it was sent.
     pub last_notified_at: f64,
     /// The fraction that is done.
     pub progress: f64,
--- a/src/scheduling/scheduler_share.rs
+++ b/src/scheduling/scheduler_share.rs
@@ -24,8 +24,8 @@
 /// more schedulers would have none.
 pub const MIN_FIXED_SHARES: usize = 3;
 
-/// The requests of mean work at which a worker in slow start collapses, where the settings allow it `allowed` (the
-/// operators' standing test).
+/// The requests of mean work at which a worker in slow start collapses, where the settings allow it `allowed` (rule of
+/// the operators' standing test, see docs/capacity.md).
 pub fn collapse_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
--- a/src/scheduling/slow_start.rs
+++ b/src/scheduling/slow_start.rs
@@ -5,8 +5,8 @@
 //! its age; that it has shown more does not count. Nobody sees the sum, so each scheduler keeps to an allowance of its
 //! own, worked out from settings, endpoint list and its own index:
 //!
-//! - with few schedulers a fixed share of the worker's budget,
-//! - with many whole requests, granted at random by interval. A grant is worth a request of mean work, whatever its
+//! - with up to nine schedulers ([`scheduler_share::fixed_shares_suffice`]) a fixed share of the worker's budget,
+//! - with more of them whole requests, granted at random by interval. A grant is worth a request of mean work, whatever its
 //!   class: counted in the class at hand, classes of little work would be granted too often. Each scheduler's intervals
 //!   have their own phase, so that no window meets the grants of two intervals of all schedulers.
 
--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -10,6 +10,9 @@
 //! Because one task owns all of this state, an event is handled completely before the next one is looked at.
 //! What may happen in either order is listed in `docs/races.md`.
 //!
+//! `TrackedRequest`, `Attempt`, `RequestTable` and `Timer` exist here and in [`crate::scheduling`]: here they hold what is on
+//! sockets (who waits for the answer, the tasks of attempts, wall-clock timers), there what decisions depend on.
+//!
 //! | module | question it answers |
 //! | --- | --- |
 //! | `requests` | how a request begins, and what a disconnected client or a passed deadline does |
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -23,7 +23,7 @@
 use crate::server::workers::endpoint::WorkerEndpoint;
 
 /// How an attempt ended, with the load that its worker reported along with it.
-pub(super) struct Ending {
+pub(super) struct EndWithLoad {
     pub(super) end: AttemptEnd,
     pub(super) load: LoadReport,
 }
@@ -88,12 +88,12 @@
             Some(header) => self.load_of(&load_report::from_header(&header)),
             None => LoadReport::default(),
         };
-        self.attempt_ended(id, attempt, Ending { end, load });
+        self.attempt_ended(id, attempt, EndWithLoad { end, load });
     }
 
     /// Notifies the dispatcher of the end of an attempt, once.
-    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: usize, ending: Ending) {
-        let Ending { end, load } = ending;
+    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: usize, ending: EndWithLoad) {
+        let EndWithLoad { end, load } = ending;
         let Some(request) = self.requests.get_mut(id) else { return };
         let client_answered = !request.is_waiting();
         let Some(ended) = request.attempts.get_mut(attempt).filter(|attempt| attempt.is_open()) else {
--- a/src/server/engine/callbacks.rs
+++ b/src/server/engine/callbacks.rs
@@ -4,14 +4,14 @@
 //! worker accepted the request (202), twice, or for an attempt that is over; and in an upgrade it may arrive
 //! at a process that does not have the request, which passes it on.
 
-use super::attempts::Ending;
+use super::attempts::EndWithLoad;
 use super::Engine;
 use crate::scheduling::{Event, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{CallbackEvent, CallbackRelay, FinalAnswer, WorkerCallback};
 
-/// A callback that was passed on so often belongs to no process.
+/// A callback that was relayed this often is dropped.
 const MAX_RELAYS: u8 = 8;
 
 /// The attempt that a callback is about.
@@ -26,7 +26,7 @@
     pub(super) fn callback(&mut self, callback: WorkerCallback, relay: Option<CallbackRelay>) {
         self.counters.callbacks.add();
         let request = self.requests.id_of(&callback.request_name);
-        if request.is_none() && self.pass_on(&callback, relay) {
+        if request.is_none() && self.relay_callback(&callback, relay) {
             self.counters.callbacks_passed_on.add();
             return;
         }
@@ -62,14 +62,16 @@
             (CallbackEvent::Progress(fraction), true) => {
                 self.notify_dispatcher(Event::AttemptProgressed { request, attempt, fraction });
             }
-            (CallbackEvent::Ended(end), true) => self.attempt_ended(request, attempt, Ending { end, load }),
+            (CallbackEvent::Ended(end), true) => {
+                self.attempt_ended(request, attempt, EndWithLoad { end, load })
+            }
             (CallbackEvent::Completed(result), true) => {
                 self.answer(request, FinalAnswer::Served(result));
-                self.attempt_ended(request, attempt, Ending { end: AttemptEnd::Completed, load });
+                self.attempt_ended(request, attempt, EndWithLoad { end: AttemptEnd::Completed, load });
             }
             (CallbackEvent::Completed(result), false) => {
-                // A worker has completed what was cancelled or timed out there. The client gets the result,
-                // and the dispatcher cancels whatever else is open.
+                // A worker has completed what was cancelled or timed out there, and the client gets the result. For the
+                // dispatcher that is the same as a client that waits no more: it closes the request and cancels the rest.
                 if self.answer(request, FinalAnswer::Served(result)) {
                     self.notify_dispatcher(Event::ClientDisconnected(request));
                     self.forget_if_done(request);
@@ -81,11 +83,11 @@
         }
     }
 
-    /// Passes on a callback for a request that is not open here; false if there is no process to pass it to.
+    /// Relays a callback for a request that is not open here; false if there is no process to relay it to.
     ///
     /// A migrated request is open at the other process, or will be within the next frames. So a callback for
     /// it may even go back to the process that it came from.
-    fn pass_on(&self, callback: &WorkerCallback, relay: Option<CallbackRelay>) -> bool {
+    fn relay_callback(&self, callback: &WorkerCallback, relay: Option<CallbackRelay>) -> bool {
         let relays = relay.map_or(0, |relay| relay.relays);
         if relays >= MAX_RELAYS {
             return false;
--- a/src/server/engine/clock.rs
+++ b/src/server/engine/clock.rs
@@ -7,7 +7,7 @@
 /// Unix time that cannot run backwards: one reading of the wall clock, and monotonic time from then on.
 ///
 /// The dispatcher compares it with the start times of workers and takes a time of 0 or less for long ago.
-/// Seconds since the start of this process would make workers that have just started look warmed up.
+/// Seconds since the start of this process would make workers that have just started look past their slow start.
 pub(super) struct Clock {
     started: Instant,
     started_unix_s: f64,
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -1,6 +1,9 @@
 //! Migration of requests to the process that replaces this one in an upgrade, and from the one that it
 //! replaces.
 //!
+//! The words: a process *hands over* in an upgrade as a whole, idle connections included; a request *migrates*; the
+//! receiving side *takes over*.
+//!
 //! A request migrates with all that is known of it, because none may fail only because the process that
 //! accepted it exits. It waits until no attempt of it is being sent or cancelled: that state is in a socket
 //! and cannot be written down. Requests that are at another site, or came from one, stay: they end with the
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -1,6 +1,6 @@
 //! The work that this process sent to workers within the overload window.
 //!
-//! A worker that is warming up collapses when it is sent too much within that window, by whichever process.
+//! A worker in slow start collapses when it is sent too much within that window, by whichever process.
 //! So a process that joins in an upgrade is notified of these sends (see [`super::migration`]). What this
 //! process itself counts against a worker is the dispatcher's business.
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The notices for a process that joins, oldest first.
+    /// The `WorkSent` frames for a process that joins, oldest first.
     pub(super) fn frames(&self) -> impl Iterator<Item = HandoverFrame> + '_ {
         self.0.iter().map(|send| HandoverFrame::WorkSent {
             worker_name: send.worker_name.clone(),
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -31,7 +31,7 @@
         /// Counts the request as active.
         active: GaugeGuard,
     },
-    /// It has its answer; or another process is to give it, and answers its notices.
+    /// It has its answer; or another process is to give it, and handles its callbacks.
     Answered,
     /// It closed its connection before the answer.
     Disconnected,
@@ -80,7 +80,7 @@
     pub(super) may_have_run: bool,
     /// What it has to do with other sites.
     pub(super) forwarding: ForwardingState,
-    /// What it was worth when the dispatcher received it; below 0 where it is beyond its tenant's quota.
+    /// Its priority by Eq. 1 when the dispatcher received it; below 0 where it is over its tenant's quota, and until then.
     pub(super) priority: f64,
 }
 
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use super::attempt_state::AttemptChange;
-use super::attempts::Ending;
+use super::attempts::EndWithLoad;
 use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
 use super::Engine;
@@ -54,7 +54,7 @@
         self.requests.insert(id, TrackedRequest::new(submitted, reply, active));
         self.timers.set(deadline, Timer::Deadline(id));
         if self.bind_to_other_site(id) {
-            return; // one with its key may have run at another site: the dispatcher here must not run it too
+            return; // a request with this idempotency key may have run at another site, so it must not run here
         }
         self.notify_dispatcher(event);
         self.record_priority(id);
@@ -96,14 +96,15 @@
     }
 
     /// The deadline of a request has passed: its running attempts are over, and the dispatcher gives the final
-    /// answer, which the answer slack still covers. Attempts that are being cancelled end in their own way.
+    /// answer, which the answer slack still covers. Attempts that are being cancelled end in their own way. The dispatcher has a
+    /// timer of its own for the same deadline, two event intervals earlier; this one ends what is still on a socket.
     pub(super) fn deadline_passed(&mut self, id: RequestId) {
         let attempts = self.requests.get(id).map_or(0, |request| request.attempts.len());
         for attempt in 0..attempts {
             let Some(expired) = self.requests.attempt_mut(id, attempt) else { return };
             if expired.is_running() {
                 expired.change(AttemptChange::Cancel);
-                let ending = Ending { end: AttemptEnd::DeadlinePassed, load: LoadReport::default() };
+                let ending = EndWithLoad { end: AttemptEnd::DeadlinePassed, load: LoadReport::default() };
                 self.attempt_ended(id, attempt, ending);
             }
         }
--- a/src/server/frontend/client_connection.rs
+++ b/src/server/frontend/client_connection.rs
@@ -43,7 +43,7 @@
         self.serve_from(client, ConnectionState::Idle).await;
     }
 
-    /// Serves a connection that stands at `state`. All transitions but that into `state` are here.
+    /// Serves a connection from `state` on. All transitions are here; only the first state comes from the caller.
     pub(super) async fn serve_from(&self, mut client: ClientConnection, mut state: ConnectionState) {
         loop {
             state = match state {
@@ -126,7 +126,7 @@
 }
 
 /// What follows when this side closes an idle connection. A client that has had a response may be sending its next
-/// request, and is to find the connection closed, not reset. Before that nothing is owed.
+/// request, and must see an orderly close (FIN), not a reset. Before its first response the connection may be dropped.
 fn closed_by_us(client: &ClientConnection) -> ConnectionState {
     if client.answered {
         return ConnectionState::Lingering;
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -40,8 +40,9 @@
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 /// After PAUSE a request is rejected if its message was complete later than this, whenever it began.
 const PAUSE_COMPLETION: Duration = Duration::from_millis(1900);
-/// After SIGTERM the platform waits for the longest deadline, but for no more than this, and a little longer.
-const MAX_STOP_WAIT: Duration = Duration::from_secs(3);
+/// After SIGTERM the platform waits for the longest deadline, but for no more than this and 0.7 s, before it kills the process.
+/// The process sets itself no limit: this only shortens the deadlines of late messages ([`Lifecycle::answer_deadline`]).
+const PLATFORM_STOP_WAIT: Duration = Duration::from_secs(3);
 
 /// What the process does about clients; see `Phase::after` for the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -218,7 +219,7 @@
         if self.phase() != Phase::Stopping || !admission_is_over {
             return None;
         }
-        Some(self.drain_began.get() + longest_deadline.min(MAX_STOP_WAIT) + STOP_ADMISSION / 2)
+        Some(self.drain_began.get() + longest_deadline.min(PLATFORM_STOP_WAIT) + STOP_ADMISSION / 2)
     }
 
     /// Takes an event: the only function that changes the phase.
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -183,7 +183,10 @@
             (HandoverFrame::RequestOpened(id), _) => self.peers.request_opened(peer, id),
             (HandoverFrame::RequestClosed(id), _) => self.peers.request_closed(peer, id),
             (HandoverFrame::Request { request, read_ahead, keep_alive }, Some(socket)) => {
-                self.adopt_request(peer, AdoptedRequest { request, socket, read_ahead, keep_alive });
+                self.receive_migrated_request(
+                    peer,
+                    AdoptedRequest { request, socket, read_ahead, keep_alive },
+                );
             }
             (HandoverFrame::Callback { callback, relays }, _) => {
                 let relay = CallbackRelay { from: peer, relays };
@@ -218,7 +221,7 @@
 
     /// Takes over a request of the predecessor. It is in the engine's queue before the next frame is read, which may
     /// be a callback for it.
-    fn adopt_request(&self, peer: PeerProcessId, adopted: AdoptedRequest) {
+    fn receive_migrated_request(&self, peer: PeerProcessId, adopted: AdoptedRequest) {
         let AdoptedRequest { request, socket, read_ahead, keep_alive } = adopted;
         self.peers.request_closed(peer, request.payload.name.clone());
         let Some(stream) = adopt_socket(socket) else { return };
