--- a/crates/gateway/tests/two_sites/property.rs
+++ b/crates/gateway/tests/two_sites/property.rs
@@ -18,7 +18,7 @@
     /// A request of a site waits in vain; its key by number, or none.
     Wants(usize, u8),
     /// One site is full and the other idle for so long that requests may be forwarded.
-    Crowd(usize),
+    Overload(usize),
     Run(u16),
     Cut(usize),
     Dial(usize),
@@ -55,7 +55,7 @@
         6 => (n(), prop_oneof![Just(0u8), Just(0), Just(10), 0..11u8]).prop_map(|(n, free)| Step::Free(n, free)),
         8 => (n(), 0..6u8).prop_map(|(n, key)| Step::Wants(n, key)),
         6 => (1..120u16).prop_map(Step::Run),
-        3 => n().prop_map(Step::Crowd),
+        3 => n().prop_map(Step::Overload),
         2 => n().prop_map(Step::Cut),
         4 => n().prop_map(Step::Dial),
         4 => (n(), 0..4u8).prop_map(|(n, how)| Step::Finish(n, how)),
@@ -120,7 +120,7 @@
             let idempotency = keys.get(usize::from(key)).map_or(Idempotency::Idempotent, |key| keyed(key));
             pair.offer_candidate(n, *requests, idempotency);
         }
-        Step::Crowd(n) => {
+        Step::Overload(n) => {
             (pair.sites[n].free, pair.sites[1 - n].free) = (0.0, 10.0);
             pair.run(ms(1300));
         }
--- a/crates/gateway/tests/two_sites/routing.rs
+++ b/crates/gateway/tests/two_sites/routing.rs
@@ -50,8 +50,8 @@
 #[test]
 fn forwards_early_what_would_be_late_behind_the_backlog() {
     let mut pair = TwoSites::with_capacity();
-    let crowd = SiteLoad { slots: 10.0, free: 0.0, waiting: 4, backlog: ms(2000) };
-    pair.handle_event(0, Event::LoadMeasured(crowd));
+    let overloaded = SiteLoad { slots: 10.0, free: 0.0, waiting: 4, backlog: ms(2000) };
+    pair.handle_event(0, Event::LoadMeasured(overloaded));
     let mut candidates: Vec<Candidate> =
         (0..4).map(|n| pair.candidate(0, n, Idempotency::Idempotent)).collect();
     candidates.iter_mut().for_each(|candidate| candidate.start_in = ms(1200));
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -1,7 +1,7 @@
 //! The operator interface: STATUS, METRICS, PAUSE and RESUME over a listener of its own.
 //!
 //! Each connection carries one command line and gets one answer, `+OK` or `-ERR`; `docs/operating.md` lists them. The
-//! interface has descriptors of its own, so that no crowd of clients can keep an operator out. It asks for changes; whether
+//! interface has descriptors of its own, so that no number of clients can keep an operator out. It asks for changes; whether
 //! they are made is decided in [`super::Lifecycle`], and the metrics are written in [`crate::server::metrics`].
 
 use std::collections::VecDeque;
