--- a/tests/server/scenario/stage.rs
+++ b/tests/server/scenario/stage.rs
@@ -33,15 +33,19 @@
     site_wire: Option<SiteWire>,
     datagrams: HashMap<String, UdpSocket>,
     other_build: Option<OtherBuild>,
-    /// Sockets that keep the ports of closed listeners bound; they do not listen.
-    closed_doors: Vec<TcpSocket>,
+    /// Sockets that keep the listeners' ports bound once they are closed; they do not listen.
+    _reserved_ports: Vec<TcpSocket>,
 }
 
 impl Stage {
     pub(super) fn new(world: &World) -> Self {
-        let listeners = ["d", "d2", "e", "m1", "m2"]
-            .map(|name| (name.to_owned(), TcpListener::bind("127.0.0.1:0").unwrap()));
-        let listeners = HashMap::from(listeners);
+        let mut listeners = HashMap::new();
+        let mut reserved_ports = Vec::new();
+        for name in ["d", "d2", "e", "m1", "m2"] {
+            let reserved = reserve_port();
+            listeners.insert(name.to_owned(), TcpListener::bind(reserved.local_addr().unwrap()).unwrap());
+            reserved_ports.push(reserved);
+        }
         let addresses: HashMap<String, String> = listeners
             .iter()
             .map(|(name, listener)| (name.clone(), listener.local_addr().unwrap().to_string()))
@@ -73,7 +77,7 @@
             site_wire,
             datagrams,
             other_build: None,
-            closed_doors: Vec::new(),
+            _reserved_ports: reserved_ports,
         }
     }
 
@@ -104,7 +108,7 @@
             (_, "close") => {
                 self.connections.remove(actor);
                 if text == "listener" {
-                    return self.close_door(actor);
+                    self.listeners.remove(actor).ok_or("no listener")?;
                 }
                 Ok(())
             }
@@ -112,18 +116,6 @@
         }
     }
 
-    /// Refuses connections from now on. The port stays bound: another listener that got it would accept them.
-    fn close_door(&mut self, actor: &str) -> Step {
-        self.listeners.remove(actor);
-        let address =
-            self.addresses.get(actor).and_then(|address| address.parse().ok()).ok_or("no listener")?;
-        let reserved = TcpSocket::new_v4().map_err(|e| e.to_string())?;
-        reserved.set_reuseaddr(true).map_err(|e| e.to_string())?;
-        reserved.bind(address).map_err(|e| e.to_string())?;
-        self.closed_doors.push(reserved);
-        Ok(())
-    }
-
     pub(super) fn logs(&self) -> String {
         self.processes.iter().map(|(name, process)| format!("{name}:\n{}", process.log())).collect()
     }
@@ -315,3 +307,12 @@
     assert!(text.contains(old), "no {old:?} in {path}");
     std::fs::write(path, text.replace(old, new)).map_err(text_of)
 }
+
+/// A port that no other listener gets for as long as the socket lives: one that got a closed listener's port would accept what
+/// was meant for nobody. With address reuse a second socket may listen on it, as this one does not.
+fn reserve_port() -> TcpSocket {
+    let socket = TcpSocket::new_v4().unwrap();
+    socket.set_reuseaddr(true).unwrap();
+    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    socket
+}
