--- a/src/scheduling.rs
+++ b/src/scheduling.rs
@@ -1,27 +1,28 @@
-//! The scheduling decisions, without sockets and without a clock.
+//! Scheduling decisions as a deterministic state machine that does no I/O and reads no clock.
 //!
-//! The caller hands a [`Dispatcher`] each [`Event`] with the time, and carries out the [`Action`]s that come back. The
-//! same settings, seed and events give the same actions, so that any decision can be replayed.
+//! The caller passes each [`Event`] with its time to a [`Dispatcher`] and carries out the returned [`Action`]s. The
+//! same settings, seed and events produce the same actions, so any decision can be replayed.
 //!
-//! | question | file |
+//! | topic | file |
 //! | --- | --- |
-//! | what happens at an event? | `dispatcher.rs`: one line for each |
-//! | who is admitted, with what priority (Eq. 1)? | `admission.rs`, `quota.rs` |
-//! | when is the queue served, and who is shed (Eq. 2)? | `round.rs`, `load_shedding.rs` |
-//! | which worker gets a request, and why does one get none? | `placement.rs`, `affinity.rs`, `capacity_probe.rs` |
-//! | may it be sent again? | `retry.rs` |
-//! | when is an attempt overdue, and is it hedged or cancelled? | `overdue.rs`, `hedging.rs` |
-//! | how does a request end? | `final_answer.rs` |
-//! | who is ejected and readmitted? | `outlier_detection.rs`; after which faults: `attempt_progress.rs`, `judge_worker` |
-//! | how much may a worker get that has just started? | `slow_start.rs`, `scheduler_share.rs`, `recent_sends.rs` |
-//! | what does the start, progress or end of an attempt mean for its worker and its request? | `attempt_progress.rs` |
-//! | what does a new endpoint list change? | `endpoint_update.rs` |
-//! | what do schedulers tell each other? | `gossip.rs`, `gossip_broadcast.rs` |
-//! | what goes to the next process in an upgrade? | `handover.rs` |
+//! | event handling, one match arm per event | `dispatcher.rs` |
+//! | admission and request priority (Eq. 1) | `admission.rs`, `quota.rs` |
+//! | scheduling rounds and load shedding (Eq. 2) | `round.rs`, `load_shedding.rs` |
+//! | choice of a worker | `placement.rs`, `affinity.rs`, `capacity_probe.rs` |
+//! | retries | `retry.rs` |
+//! | overdue attempts, hedging and cancellation | `overdue.rs`, `hedging.rs` |
+//! | final answers | `final_answer.rs` |
+//! | ejection and readmission of workers | `outlier_detection.rs`, `judge_worker` in `attempt_progress.rs` |
+//! | slow start of new workers | `slow_start.rs`, `scheduler_share.rs`, `recent_sends.rs` |
+//! | effects of an attempt's start, progress and end | `attempt_progress.rs` |
+//! | endpoint list updates | `endpoint_update.rs` |
+//! | gossip between schedulers | `gossip.rs`, `gossip_broadcast.rs` |
+//! | handover to another process in an upgrade | `handover.rs` |
 //!
-//! Rules use estimates (`run_time_estimate.rs`, `load_estimate.rs`, `water_filling.rs`), and both use records that decide
-//! nothing: `state.rs`, `fleet.rs`, `worker.rs`, `request_table.rs`, `statistics.rs`. Times are seconds as `f64`, as the
-//! simulator's traces are compared to the bit. [`docs/design.md`](../../docs/design.md) gives the reasons.
+//! These rules use estimates (`run_time_estimate.rs`, `load_estimate.rs`, `water_filling.rs`). Rules and estimates read
+//! data that makes no decisions of its own: `state.rs`, `fleet.rs`, `worker.rs`, `request_table.rs`, `statistics.rs`.
+//! Times are seconds as `f64` because the simulator's traces are compared bit for bit.
+//! [`docs/design.md`](../../docs/design.md) gives the rationale.
 
 mod action;
 mod admission;
--- a/src/scheduling/action.rs
+++ b/src/scheduling/action.rs
@@ -1,57 +1,57 @@
-//! What the decisions ask the caller to do.
+//! Actions that the dispatcher asks its caller to carry out.
 
 use crate::scheduling::identifiers::{RequestId, WorkerId};
 
-/// What the caller is to do, in order.
+/// An action for the caller. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt to a worker, until the client stops waiting.
+    /// Send an attempt to a worker; it times out at the request's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
         /// The worker.
         worker: WorkerId,
     },
-    /// Final answer: rejected, a retry by the client is harmless.
+    /// Final answer: the request was rejected, and the client can safely retry it.
     Reject {
         /// The request.
         request: RequestId,
         /// How long the client should wait before it retries.
         retry_after_s: f64,
     },
-    /// Final answer: failed, it may have run.
+    /// Final answer: the request failed and may have been executed.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// Index of the attempt, counted from 0.
         attempt: usize,
     },
-    /// Send [`Event::TimerExpired`](crate::scheduling::Event::TimerExpired) with this tag later.
+    /// Schedule an [`Event::TimerExpired`](crate::scheduling::Event::TimerExpired) with this tag.
     SetTimer {
-        /// In how long.
+        /// Delay until the timer expires.
         after_s: f64,
-        /// Given back unchanged; see [`Timer`](crate::scheduling::Timer).
+        /// Returned unchanged in the event; see [`Timer`](crate::scheduling::Timer).
         tag: u64,
     },
     /// Send a capacity probe to a worker.
     Probe(WorkerId),
-    /// Send all other schedulers a gossip message of at most 256 bytes; it may get lost.
+    /// Send a gossip message of at most 256 bytes to all other schedulers; delivery is best effort.
     BroadcastGossip(Vec<u8>),
-    /// Watch the endpoint list from now on. Only the simulator heeds it; see `endpoint_update.rs`.
+    /// Start watching the endpoint list. Only the simulator acts on this; see `endpoint_update.rs`.
     WatchEndpointList,
 }
 
-/// The capacity of the workers that are in service, for whoever may forward requests to another site.
+/// Capacity of the workers in service, used to decide whether to forward requests to another site.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacitySummary {
-    /// Slots of the workers that are in service.
+    /// Total slots of the workers in service.
     pub slots: f64,
-    /// Of these, the ones estimated free.
+    /// Estimated number of free slots.
     pub free: f64,
-    /// Queued requests.
+    /// Number of queued requests.
     pub waiting: usize,
-    /// Seconds that the slots need to work through the queue.
+    /// Estimated time to clear the queue with these slots, in seconds.
     pub backlog_s: f64,
 }
--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: which requests are taken on, and with what priority.
+//! Admission control: decides whether a new request is accepted, and computes its priority.
 //!
-//! A request is rejected at once if its class is unknown, or if the fleet is full and its priority is below the mean.
-//! Everything else is queued; what the queue cannot serve in time is shed by `load_shedding.rs`.
+//! A request is rejected immediately if its class is unknown, or if the fleet is full and its priority is below the
+//! mean. All others are queued; `load_shedding.rs` sheds those that the queue cannot serve in time.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::affinity::WeightedWorker;
@@ -20,28 +20,28 @@
 const QUOTA_COEFFICIENT: f64 = 0.3;
 /// Weight of the class's priority weight in Eq. 1 (delta); the paper has the user group here.
 const PRIORITY_COEFFICIENT: f64 = 2.0;
-/// What a request over quota, or past its objective, loses of its priority: more than Eq. 1 comes to, so that it comes
-/// after all others.
-pub(crate) const DEPRIORITIZATION: f64 = 5.0;
-/// The least latency objective, against division by zero.
+/// Subtracted from the priority of a request that is over quota or too late for its objective. Larger than any value of
+/// Eq. 1, so that such requests are served last.
+pub(crate) const PRIORITY_PENALTY: f64 = 5.0;
+/// Lower bound of the latency objective; prevents division by zero.
 const MIN_OBJECTIVE_S: f64 = 1e-3;
-/// How often overdue attempts are looked for.
+/// Interval between two checks for overdue attempts.
 pub(crate) const OVERDUE_CHECK_INTERVAL_S: f64 = 0.1;
 
 impl SchedulerState {
-    /// Decides whether a new request is taken on. A request whose number is known already is ignored.
+    /// Accepts or rejects a new request. A request whose id is already tracked is ignored.
     pub(crate) fn admit(&mut self, request: Request) {
         if self.requests.all.contains_key(&request.id) {
             return;
         }
-        let time_left_s = request.deadline - self.now;
-        if request.class >= self.settings.classes.len() || !time_left_s.is_finite() {
-            self.act(Action::Reject { request: request.id, retry_after_s: 0.0 });
+        let time_to_deadline_s = request.deadline - self.now;
+        if request.class >= self.settings.classes.len() || !time_to_deadline_s.is_finite() {
+            self.emit(Action::Reject { request: request.id, retry_after_s: 0.0 });
             return;
         }
         let work = self.estimated_work(&request);
         self.record_arrival(&request, work);
-        let first_asked_at = self.first_asked_at(request.class, request.deadline);
+        let first_requested_at = self.first_requested_at(request.class, request.deadline);
         let objective_s =
             latency_objective_s(&self.settings.classes[request.class], work).max(MIN_OBJECTIVE_S);
         let priority = self.admission_priority(&request);
@@ -49,17 +49,18 @@
         let is_below_mean = priority < self.statistics.priority.fleet_value_or(self.now, priority);
         if self.is_fleet_full() && is_below_mean {
             let retry_after_s = self.settings.max_retry_after_s.min(objective_s);
-            self.act(Action::Reject { request: request.id, retry_after_s });
+            self.emit(Action::Reject { request: request.id, retry_after_s });
             return;
         }
         let draw = uniform_draw(self.seed ^ u64::from(request.id.0));
         let ignores_affinity = self.affinity.explores(self.now, draw);
-        let mut tracked = TrackedRequest::new(request, work, objective_s, first_asked_at, priority);
+        let mut tracked = TrackedRequest::new(request, work, objective_s, first_requested_at, priority);
         tracked.uses_affinity &= !ignores_affinity;
         self.track(tracked);
     }
 
-    /// The work of a request in seconds on a standard core: the client's hint, else the mean.
+    /// Estimated work of a request in seconds on a standard core: the client's hint, or else the geometric mean
+    /// over recent requests.
     fn estimated_work(&self, request: &Request) -> f64 {
         let hint = request.estimated_work_s.filter(|work| work.is_finite() && *work > 0.0);
         hint.unwrap_or_else(|| {
@@ -86,19 +87,22 @@
         });
     }
 
-    /// When the client first asked. Its retries have less time left than its first attempt, and the objective counts from
-    /// that one: it is recognised by the longest time left that the class has shown.
-    fn first_asked_at(&mut self, class: usize, deadline: f64) -> f64 {
-        let time_left_s = deadline - self.now;
-        let longest_s = &mut self.statistics.longest_time_left_s[class];
-        *longest_s = longest_s.max(time_left_s.min(self.settings.classes[class].deadline_s));
-        (deadline - *longest_s).min(self.now)
+    /// Estimates when the client first sent this request, which is when the latency objective starts to count.
+    ///
+    /// A client's retry keeps the deadline of its first try and so has less time left. The longest time to the deadline
+    /// observed for the class is taken to be that of a first try.
+    fn first_requested_at(&mut self, class: usize, deadline: f64) -> f64 {
+        let time_to_deadline_s = deadline - self.now;
+        let max_time_s = &mut self.statistics.max_time_to_deadline_s[class];
+        *max_time_s = max_time_s.max(time_to_deadline_s.min(self.settings.classes[class].deadline_s));
+        (deadline - *max_time_s).min(self.now)
     }
 
-    /// Eq. 1 of the paper: the latency objective, the tenant's quota and the class's weight, each against the extreme of
-    /// all. A request over its tenant's quota comes after all others.
+    /// Eq. 1 of the paper: a weighted sum of the latency objective, the tenant's quota and the class's priority weight,
+    /// each normalized by the extreme value over all classes or tenants. A request over its tenant's quota is penalized
+    /// so that it is served last.
     fn admission_priority(&mut self, request: &Request) -> f64 {
-        let is_inside_quota = self.take_quota(request.tenant);
+        let is_within_quota = self.consume_quota(request.tenant);
         let class = &self.settings.classes[request.class];
         let bounds = self.settings.scoring_bounds();
         let tenant = self.settings.tenants.get(request.tenant);
@@ -107,19 +111,19 @@
             * (bounds.min_latency_objective_s / class.latency_objective_s.max(MIN_OBJECTIVE_S))
             + QUOTA_COEFFICIENT * (quota_per_s / bounds.max_quota_per_s)
             + PRIORITY_COEFFICIENT * (class.priority_weight / bounds.max_priority_weight);
-        if is_inside_quota {
+        if is_within_quota {
             priority
         } else {
-            priority - DEPRIORITIZATION * (1.0 - self.settings.weight_over_quota)
+            priority - PRIORITY_PENALTY * (1.0 - self.settings.weight_over_quota)
         }
     }
 
-    /// Tracks a request from now on, whether it is new or comes from another process of this scheduler.
+    /// Starts tracking a request, which is either new or taken over from another process of this scheduler.
     pub(crate) fn track(&mut self, tracked: TrackedRequest) {
         let id = tracked.request.id;
-        let time_left_s = tracked.request.deadline - self.now;
-        // Two event intervals early, so that the answer is in time even if the timer comes late.
-        let deadline_in_s = (time_left_s - 2.0 * self.settings.event_interval_s).max(0.0);
+        let time_to_deadline_s = tracked.request.deadline - self.now;
+        // Two event intervals early, so that the answer is on time even if the timer fires late.
+        let deadline_in_s = (time_to_deadline_s - 2.0 * self.settings.event_interval_s).max(0.0);
         self.set_timer(deadline_in_s, Timer::Deadline(id));
         self.fleet.hold_capacity_of(&tracked);
         self.requests.add(tracked);
@@ -131,27 +135,27 @@
         }
     }
 
-    /// When a request of this class must start to meet its objective, on a worker like most.
+    /// Latest time at which a request of this class can start on an average worker and still meet its objective.
     pub(crate) fn latest_start(&self, class: usize, estimated_work_s: Option<f64>, deadline: f64) -> f64 {
-        let longest_s = self.statistics.longest_time_left_s[class];
+        let max_time_s = self.statistics.max_time_to_deadline_s[class];
         let class = &self.settings.classes[class];
         let work = estimated_work_s.unwrap_or(class.latency_objective_s);
         let objective_s = latency_objective_s(class, work);
-        (deadline - longest_s).min(self.now) + objective_s - work * self.fleet_run_time_ratio()
+        (deadline - max_time_s).min(self.now) + objective_s - work * self.fleet_run_time_ratio()
     }
 
-    /// Queued requests that were sent nowhere yet, with the time by which each must start to meet its objective.
+    /// Queued requests without any attempt, each with the latest start time that still meets its objective.
     pub(crate) fn unsent_requests(&self) -> impl Iterator<Item = (RequestId, f64)> + '_ {
         let unsent =
             self.requests.queued().filter(|tracked| !tracked.is_closed() && tracked.attempts.is_empty());
         unsent.map(|tracked| {
             let run_time_s = tracked.work * self.fleet_run_time_ratio();
-            (tracked.request.id, tracked.first_asked_at + tracked.objective_s - run_time_s)
+            (tracked.request.id, tracked.first_requested_at + tracked.objective_s - run_time_s)
         })
     }
 }
 
-/// The latency objective of a request with this much work, within its class's deadline.
+/// Latency objective of a request with this estimated work, capped at the deadline of its class.
 fn latency_objective_s(class: &RequestClass, work: f64) -> f64 {
     (class.latency_objective_s + class.objective_per_work * work).min(class.deadline_s)
 }
--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -9,7 +9,7 @@
 use crate::scheduling::load_estimate::FEW_SCHEDULERS;
 use crate::scheduling::outlier_detection::EjectionReason;
 use crate::scheduling::request::{AttemptOutcome, Request};
-use crate::scheduling::request_table::AttemptChange;
+use crate::scheduling::request_table::AttemptTransition;
 use crate::scheduling::state::SchedulerState;
 
 /// An attempt that started later than this, or than two rounds, was queued at its worker.
@@ -118,7 +118,7 @@
         let met_objective = self.now <= tracked.objective_ends_at();
         let attempt = tracked.attempts.get_mut(ended.attempt).filter(|attempt| attempt.is_in_flight())?;
         let was_abandoned = attempt.is_abandoned();
-        attempt.advance(AttemptChange::End(ended.outcome));
+        attempt.advance(AttemptTransition::End(ended.outcome));
         Some(EndedAttempt {
             worker: attempt.worker,
             outcome: ended.outcome,
--- a/src/scheduling/capacity_probe.rs
+++ b/src/scheduling/capacity_probe.rs
@@ -48,7 +48,7 @@
             if let Some(worker) = self.fleet.workers.get_mut(&target.worker) {
                 worker.probe_sent_at = self.now;
             }
-            self.act(Action::Probe(target.worker));
+            self.emit(Action::Probe(target.worker));
         }
         let Some(tracked) = self.requests.all.get_mut(&id) else { return };
         let is_repeated = tracked.probe_rounds > 0;
--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -1,6 +1,7 @@
-//! The dispatcher: one scheduler's decisions, by the events that the caller hands in.
+//! The dispatcher: entry point for all scheduling decisions of one scheduler.
 //!
-//! [`Dispatcher::handle`] has one line for each event; the rules are in the files that are named for their questions.
+//! [`Dispatcher::handle`] maps each event to its handler; the handlers are methods of `SchedulerState`, one file per
+//! topic.
 
 use crate::scheduling::action::{Action, CapacitySummary};
 use crate::scheduling::event::Event;
@@ -10,21 +11,21 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::timer::Timer;
 
-/// A round lasts this part of the tightest latency objective.
-const ROUND_PER_OBJECTIVE: f64 = 0.06;
-/// The tightest objective counts as no longer than this for the length of a round.
+/// Length of a round as a fraction of the tightest latency objective.
+const ROUND_OBJECTIVE_FRACTION: f64 = 0.06;
+/// Upper bound of the objective from which the length of a round is derived.
 const MAX_ROUND_OBJECTIVE_S: f64 = 1.0;
-/// A round lasts at least this long.
+/// Minimum length of a round.
 const MIN_ROUND_S: f64 = 1e-3;
 
-/// Decides for one scheduler. The same settings, seed and events give the same actions.
+/// Makes the scheduling decisions of one scheduler. The same settings, seed and events give the same actions.
 #[derive(Default)]
 pub struct Dispatcher {
     state: SchedulerState,
 }
 
 impl Dispatcher {
-    /// A dispatcher that has seen nothing yet. The seed only breaks ties, so that schedulers differ.
+    /// Creates a dispatcher without any workers or requests. The seed makes the random draws of schedulers differ.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let state = SchedulerState { next_round_at: f64::INFINITY, seed, ..SchedulerState::default() };
         let mut dispatcher = Dispatcher { state };
@@ -32,8 +33,8 @@
         dispatcher
     }
 
-    /// Applies other settings. Classes, tenants, zones and kinds keep their numbers; requests and all that was learned
-    /// stay.
+    /// Replaces the settings. Requests and learned statistics are retained, so classes, tenants, zones and kinds must
+    /// keep their indices.
     pub fn configure(&mut self, settings: Settings) {
         let state = &mut self.state;
         state.settings = Settings { scheduler_count: settings.scheduler_count.max(1), ..settings };
@@ -43,7 +44,7 @@
         state.reset_candidates();
     }
 
-    /// Takes one event and appends what is to be done. Events about a request or an attempt that is over are ignored.
+    /// Handles one event and appends the resulting actions. Events for finished requests or attempts are ignored.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         if now.is_finite() {
@@ -59,7 +60,7 @@
             Event::AttemptProgressed { request, attempt, fraction } => {
                 state.attempt_progressed(request, attempt, fraction);
             }
-            Event::ResponseStarted { request, .. } => state.requests.stream_response(request),
+            Event::ResponseStarted { request, .. } => state.requests.start_streaming(request),
             Event::AttemptEnded(ended) => state.attempt_ended(ended),
             Event::ClientDisconnected(request) => state.close(request),
             Event::TimerExpired(tag) => Self::timer_expired(state, tag),
@@ -78,7 +79,7 @@
         match Timer::from_tag(tag) {
             Some(Timer::Round) => state.run_round(),
             Some(Timer::OverdueCheck) => state.check_overdue(),
-            Some(Timer::DiscoveryRetry) => state.act(Action::WatchEndpointList),
+            Some(Timer::DiscoveryRetry) => state.emit(Action::WatchEndpointList),
             Some(Timer::Gossip) => state.broadcast_gossip(),
             Some(Timer::Deadline(request)) => state.give_final_answer(request),
             None => {}
@@ -96,53 +97,53 @@
         }
     }
 
-    /// A message that is broadcast may come back to its sender, which ignores it.
+    /// Stores a gossip message of another scheduler; a broadcast that returns to its sender is ignored.
     fn gossip_received(state: &mut SchedulerState, from: usize, bytes: &[u8]) {
         if from != state.settings.scheduler_index {
             state.gossip.receive(state.now, from, state.settings.scheduler_count, bytes);
         }
     }
 
-    /// How many of the listed workers are ejected.
+    /// Number of listed workers that are currently ejected.
     pub fn ejected_count(&self) -> usize {
         self.state.fleet.ejected.len()
     }
 
-    /// What another process of this scheduler should know from its start.
+    /// Exports the learned state for another process of this scheduler, so that it need not learn anew.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState::new(&self.state.statistics, &self.state.affinity, &self.state.fleet)
     }
 
-    /// Hands a request over to another process of this scheduler: nothing of it is left here.
+    /// Removes a request and returns its record, for handover to another process of this scheduler.
     pub fn hand_over(&mut self, id: RequestId) -> Option<RequestRecord> {
         let tracked = self.state.requests.remove(id)?;
         self.state.fleet.release_capacity_of(&tracked);
         Some(RequestRecord(tracked))
     }
 
-    /// The priority of a request by Eq. 1; below 0 where it is over its tenant's quota.
+    /// Priority of a request by Eq. 1; below 0 if the request is over its tenant's quota.
     pub fn priority(&self, id: RequestId) -> Option<f64> {
         self.state.requests.all.get(&id).map(|tracked| tracked.priority)
     }
 
-    /// The capacity of the workers in service, and the queue in front of it.
+    /// Summarizes the capacity of the workers in service and the queue.
     pub fn capacity_summary(&self) -> CapacitySummary {
         self.state.capacity_summary()
     }
 
-    /// Queued requests that were sent nowhere yet, with the time by which each must start to meet its objective.
-    pub fn waiting_requests(&self) -> impl Iterator<Item = (RequestId, f64)> + '_ {
+    /// Queued requests without any attempt, each with the latest start time that still meets its objective.
+    pub fn unsent_requests(&self) -> impl Iterator<Item = (RequestId, f64)> + '_ {
         self.state.unsent_requests()
     }
 
-    /// When a request of this class must start to meet its objective, on a worker like most.
+    /// Latest time at which a request of this class can start on an average worker and still meet its objective.
     pub fn latest_start(&self, class: usize, estimated_work_s: Option<f64>, deadline: f64) -> f64 {
         self.state.latest_start(class, estimated_work_s, deadline)
     }
 }
 
-/// A round is short against the tightest latency objective, but lasts two event intervals at the least.
+/// A round is short compared with the tightest latency objective, but lasts at least two event intervals.
 fn round_interval_s(settings: &Settings) -> f64 {
     let objective_s = settings.scoring_bounds().min_latency_objective_s.min(MAX_ROUND_OBJECTIVE_S);
-    (ROUND_PER_OBJECTIVE * objective_s).max(2.0 * settings.event_interval_s).max(MIN_ROUND_S)
+    (ROUND_OBJECTIVE_FRACTION * objective_s).max(2.0 * settings.event_interval_s).max(MIN_ROUND_S)
 }
--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -36,7 +36,7 @@
         }
         self.broadcast_gossip();
         if from_cache && self.settings.discovery_polled {
-            self.act(Action::WatchEndpointList);
+            self.emit(Action::WatchEndpointList);
         }
         self.schedule_round(0.0);
     }
--- a/src/scheduling/event.rs
+++ b/src/scheduling/event.rs
@@ -1,4 +1,4 @@
-//! What the caller tells the decisions: new requests, listed workers, and how attempts went.
+//! Events that the caller passes to the dispatcher: new requests, endpoint lists, attempt progress and outcomes.
 //!
 //! Times are seconds on the caller's clock, which must not run backwards.
 
@@ -12,88 +12,88 @@
 pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
-    /// Its attempt, counted from 0 in the order of [`Action::Dispatch`](crate::scheduling::Action::Dispatch).
+    /// Index of the attempt, counted from 0 in the order of [`Action::Dispatch`](crate::scheduling::Action::Dispatch).
     pub attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The client has its final answer already.
+    /// Whether the client already has its final answer.
     pub client_answered: bool,
-    /// The worker's load, where reported.
+    /// The worker's load, as far as it was reported.
     pub load: LoadReport,
 }
 
-/// What happened, in order. Events about a request or an attempt that is over are ignored.
+/// An input to the dispatcher. Events for finished requests or attempts are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or changes to it.
+    /// A complete or partial endpoint list was received.
     WorkersListed {
-        /// The entries are a complete snapshot: a worker that is absent has left.
+        /// Whether the list is a complete snapshot: workers missing from it have left.
         complete_snapshot: bool,
-        /// It is the copy found at start, which answers no call to discovery.
+        /// Whether the list is the cached copy read at startup rather than a response from discovery.
         from_cache: bool,
-        /// The entries.
+        /// The listed workers.
         entries: Vec<WorkerInfo>,
     },
-    /// A call to discovery failed, or the watch ended.
+    /// A discovery call failed, or the watch ended.
     DiscoveryFailed,
-    /// A client request has arrived.
+    /// A client request arrived.
     RequestReceived(Request),
-    /// An attempt has started to run at its worker.
+    /// An attempt started to run at its worker.
     AttemptStarted {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// An attempt has made progress.
+    /// A worker reported progress of an attempt.
     AttemptProgressed {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// Index of the attempt.
         attempt: usize,
-        /// The fraction that is done, from 0 to 1.
+        /// Completed fraction, from 0 to 1.
         fraction: f64,
     },
-    /// A streamed response has begun; the client owns the attempt from here.
+    /// A streamed response started. The attempt now belongs to the client: no other answer can be given.
     ResponseStarted {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The client has disconnected.
+    /// The client disconnected.
     ClientDisconnected(RequestId),
-    /// A timer of [`Action::SetTimer`](crate::scheduling::Action::SetTimer) is due.
+    /// A timer set by [`Action::SetTimer`](crate::scheduling::Action::SetTimer) expired; carries its tag.
     TimerExpired(u64),
-    /// What another process of this same scheduler, which this one replaces, has learned.
+    /// Learned state was received from the predecessor process of this scheduler.
     StateLearned(Box<LearnedState>),
-    /// A request that another process of this same scheduler had accepted, with its attempts so far.
+    /// A request accepted by another process of this scheduler was handed over, with its attempts.
     RequestTakenOver(Box<RequestRecord>),
-    /// Another process of this same scheduler, which replaces this one or is replaced by it, has sent work to a worker.
+    /// The predecessor or successor process of this scheduler sent a request to a worker.
     SentByOtherProcess {
         /// The worker.
         worker: WorkerId,
-        /// The class of the request.
+        /// Class index of the request.
         class: usize,
-        /// The estimated work in seconds.
+        /// Estimated work in seconds on a standard core.
         work: f64,
     },
-    /// A gossip message of another scheduler, as it came.
+    /// A gossip message was received, still encoded.
     GossipReceived {
-        /// Its number, as [`Settings::scheduler_index`](crate::scheduling::Settings::scheduler_index).
+        /// [`Settings::scheduler_index`](crate::scheduling::Settings::scheduler_index) of the sender.
         from: usize,
-        /// At most 256 bytes.
+        /// The encoded message, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// A capacity probe has ended.
+    /// A capacity probe ended.
     ProbeEnded {
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: AttemptOutcome,
-        /// The worker's load, where reported.
+        /// The worker's load, as far as it was reported.
         load: LoadReport,
     },
 }
--- a/src/scheduling/final_answer.rs
+++ b/src/scheduling/final_answer.rs
@@ -1,14 +1,15 @@
-//! The final answer: how a request ends here, at its deadline at the latest, and what becomes of its attempts.
+//! Final answers: every request gets one by its deadline at the latest, and attempts still in flight are cancelled.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::RequestId;
-use crate::scheduling::request_table::{AttemptChange, RequestChange};
+use crate::scheduling::request_table::{AttemptTransition, RequestTransition};
 use crate::scheduling::state::SchedulerState;
 
 impl SchedulerState {
-    /// The only place that gives a final answer: rejected where a retry by the client is harmless, else failed.
+    /// Answers an open request: rejected if the client can safely retry it, failed otherwise.
     ///
-    /// The deadline timer of each request ends here, so that every request is answered whatever else went wrong.
+    /// This is the only place that answers a tracked request. Its deadline timer ends up here too, so every request is
+    /// answered whatever else goes wrong.
     pub(crate) fn give_final_answer(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.all.get(&id) else { return };
         if !tracked.is_open() {
@@ -20,23 +21,23 @@
         } else {
             Action::Fail(id)
         };
-        self.act(answer);
+        self.emit(answer);
         self.close(id);
     }
 
-    /// Closes a request that has its answer or whose client is gone: attempts in flight are cancelled where that is
-    /// allowed, and the request is forgotten once they have ended.
+    /// Closes a request that was answered or whose client disconnected. Attempts in flight are cancelled if the
+    /// settings allow it, and the request is removed once all of them have ended.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.all.get_mut(&id) else { return };
-        tracked.advance(RequestChange::Close);
+        tracked.advance(RequestTransition::Close);
         if self.settings.cancellation_allowed {
             for (index, attempt) in tracked.attempts.iter_mut().enumerate() {
                 if attempt.is_in_flight() {
-                    attempt.advance(AttemptChange::Abandon);
+                    attempt.advance(AttemptTransition::Abandon);
                     self.actions.push(Action::Cancel { request: id, attempt: index });
                 }
             }
         }
-        self.requests.forget_if_over(id);
+        self.requests.remove_if_finished(id);
     }
 }
--- a/src/scheduling/gossip_broadcast.rs
+++ b/src/scheduling/gossip_broadcast.rs
@@ -24,7 +24,7 @@
         let workers = self.fleet.workers.values().filter(|worker| worker.slots.held_here >= 1.0);
         let held = workers.map(held_here).collect();
         if let Some(message) = self.gossip.next_message(self.now, held) {
-            self.act(Action::BroadcastGossip(message));
+            self.emit(Action::BroadcastGossip(message));
         }
         self.set_timer(gossip::INTERVAL_S, Timer::Gossip);
     }
--- a/src/scheduling/hedging.rs
+++ b/src/scheduling/hedging.rs
@@ -21,7 +21,7 @@
         if self.settings.hedging_allowed {
             self.requests.enqueue(id);
         } else if self.settings.cancellation_allowed {
-            self.act(Action::Cancel { request: id, attempt });
+            self.emit(Action::Cancel { request: id, attempt });
         }
     }
 
--- a/src/scheduling/identifiers.rs
+++ b/src/scheduling/identifiers.rs
@@ -1,11 +1,11 @@
-//! Numbers by which the caller and the decisions name requests and workers.
+//! Identifiers of requests and workers, shared by the dispatcher and its caller.
 
 use serde::{Deserialize, Serialize};
 
-/// A client request, as the caller numbers it; never reused while the dispatcher lives.
+/// Identifies a client request. Assigned by the caller and never reused during the dispatcher's lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u32);
 
-/// A worker; the same id after its process restarts. The number itself carries no meaning.
+/// Identifies a worker; unchanged when its process restarts. The number is opaque.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub u64);
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -98,7 +98,7 @@
     pub(crate) fn fill_level(&self) -> f64 {
         let is_filled = |worker: &&Worker| !worker.is_ejected() && !self.is_in_slow_start(worker);
         let load = |worker: &Worker| WorkerLoad {
-            held: worker.slots.held_here + worker.slots.held_by_others,
+            reserved: worker.slots.held_here + worker.slots.held_by_others,
             slots: self.fleet.slots_of(worker),
         };
         let loads: Vec<_> = self.fleet.ready_workers().filter(is_filled).map(load).collect();
--- a/src/scheduling/outlier_detection.rs
+++ b/src/scheduling/outlier_detection.rs
@@ -105,7 +105,7 @@
             }
             worker.health = Health::Ejected { next_check_at: self.now + worker.ejection_backoff_s };
             if self.settings.capacity_probes_allowed {
-                self.act(Action::Probe(id));
+                self.emit(Action::Probe(id));
             } else {
                 self.readmit(id);
             }
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -336,7 +336,7 @@
         worker.last_dispatched_at = self.now;
         let (class, work) = (tracked.request.class, tracked.work);
         self.count_sent_work(worker_id, class, work);
-        self.act(Action::Dispatch { request: id, worker: worker_id });
+        self.emit(Action::Dispatch { request: id, worker: worker_id });
     }
 }
 
--- a/src/scheduling/request.rs
+++ b/src/scheduling/request.rs
@@ -1,56 +1,56 @@
-//! A client request as the caller hands it in, and how an attempt of it can end.
+//! Client requests, and the possible outcomes of an attempt.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::identifiers::RequestId;
 
-/// A client request that this scheduler must now answer exactly once.
+/// A client request, which the scheduler must answer exactly once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its number.
+    /// Identifier assigned by the caller.
     pub id: RequestId,
     /// Index into [`Settings::classes`](crate::scheduling::Settings::classes).
     pub class: usize,
     /// Index into [`Settings::tenants`](crate::scheduling::Settings::tenants).
     pub tenant: usize,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting for an answer.
     pub deadline: f64,
-    /// Slots it holds while it runs.
+    /// Slots that the request occupies while it runs.
     pub slots: f64,
-    /// Memory it holds while it runs; 0 where it is not tracked.
+    /// Memory that the request occupies while it runs; 0 if memory is not tracked.
     pub memory: f64,
-    /// Its expected work in seconds on a standard core, if the client gave a hint.
+    /// The client's estimate of the work in seconds on a standard core, if it gave one.
     pub estimated_work_s: Option<f64>,
-    /// The data that it needs, if it names any: requests with the same key need the same.
+    /// Identifies the data that the request needs, if any; requests with the same key need the same data.
     pub affinity_key: Option<u64>,
 }
 
 /// How an attempt or a capacity probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The worker served the request.
     Succeeded,
-    /// Answered with an error; it may have run.
+    /// The worker answered with an error; the attempt may have been executed.
     Failed,
-    /// Rejected by the worker before it began; it never ran.
+    /// The worker rejected the attempt without executing it.
     RejectedByWorker,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the attempt may have been executed.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established, so the attempt was not executed.
     ConnectFailed,
-    /// The connection was reset; it may have run.
+    /// The connection was reset; the attempt may have been executed.
     ConnectionReset,
-    /// A pooled connection was closed already when it was used again. The attempt may have run all the same, but this
-    /// tells nothing of the worker's health.
+    /// The pooled connection was already closed when it was reused. The attempt may still have been executed, but this
+    /// says nothing about the worker's health.
     StaleConnection,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
--- a/src/scheduling/request_table.rs
+++ b/src/scheduling/request_table.rs
@@ -1,9 +1,9 @@
-//! The requests that this scheduler must answer, their attempts, and the queue of those that wait for a worker.
+//! The requests that this scheduler must answer, their attempts, and the queue of requests waiting for a worker.
 //!
-//! Requests and attempts are handed over in an upgrade. Their stored forms, `StoredRequest` and `StoredAttempt`, have
-//! fields by position, so their order stays.
+//! Requests and attempts are handed over in an upgrade. `StoredRequest` and `StoredAttempt` are serialized by field
+//! position, so their fields must not be reordered.
 //!
-//! | lifetime | states | changed by |
+//! | state machine | states | transitions |
 //! | --- | --- | --- |
 //! | request | [`RequestPhase`]: open, streaming, closed | [`TrackedRequest::advance`] |
 //! | attempt | [`AttemptState`]: in flight, abandoned, ended | [`Attempt::advance`] |
@@ -16,31 +16,31 @@
 use crate::scheduling::identifiers::{RequestId, WorkerId};
 use crate::scheduling::request::{AttemptOutcome, Request};
 
-/// The progress of an attempt that has reported none.
+/// Progress of an attempt for which none has been reported.
 const NO_PROGRESS: f64 = -1.0;
 
-/// How far an attempt has come.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
-    /// It was sent and has not ended.
+    /// The attempt was sent and has not ended.
     InFlight,
-    /// It has not ended, but nothing more is expected of it: it is overdue, or it was cancelled.
+    /// The attempt has not ended but no result is expected, because it is overdue or was cancelled.
     Abandoned,
-    /// It has ended.
+    /// The attempt has ended.
     Ended {
-        /// It may have run.
+        /// Whether the attempt may have been executed.
         may_have_run: bool,
-        /// The worker answered with an error.
+        /// Whether the worker answered with an error.
         failed: bool,
     },
 }
 
-/// What happens to an attempt.
+/// A state transition of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum AttemptChange {
-    /// It is overdue, or it is being cancelled.
+pub(crate) enum AttemptTransition {
+    /// The attempt is overdue or is being cancelled.
     Abandon,
-    /// It has ended in this way.
+    /// The attempt ended with this outcome.
     End(AttemptOutcome),
 }
 
@@ -50,14 +50,14 @@
 pub(crate) struct Attempt {
     pub worker: WorkerId,
     pub sent_at: f64,
-    /// When it started to run; where starts are not reported, when it was sent.
+    /// When the attempt started to run, once reported; the send time if the worker does not report starts.
     pub started_at: Option<f64>,
-    /// When the worker last notified this scheduler of it; at first, when it was sent.
+    /// When the worker last sent a notification about the attempt; initially the send time.
     pub last_notified_at: f64,
-    /// The fraction that is done.
+    /// Completed fraction, or [`NO_PROGRESS`].
     pub progress: f64,
     pub state: AttemptState,
-    /// How close the worker was to the data that the request needs.
+    /// How close the worker was to the data that the request needs, if it needs any.
     pub locality: Option<Locality>,
 }
 
@@ -75,22 +75,25 @@
         }
     }
 
-    /// The one place where an attempt's state changes. What has ended stays as it ended.
-    pub(crate) fn advance(&mut self, change: AttemptChange) {
+    /// Applies a transition; the only place that changes `state`. An attempt that has ended keeps its outcome.
+    pub(crate) fn advance(&mut self, change: AttemptTransition) {
         self.state = match (self.state, change) {
-            (AttemptState::InFlight | AttemptState::Abandoned, AttemptChange::Abandon) => {
+            (AttemptState::InFlight | AttemptState::Abandoned, AttemptTransition::Abandon) => {
                 AttemptState::Abandoned
             }
-            (AttemptState::InFlight | AttemptState::Abandoned, AttemptChange::End(outcome)) => {
+            (AttemptState::InFlight | AttemptState::Abandoned, AttemptTransition::End(outcome)) => {
                 AttemptState::Ended {
                     may_have_run: !outcome.proves_not_executed(),
                     failed: outcome == AttemptOutcome::Failed,
                 }
             }
-            (ended @ AttemptState::Ended { .. }, AttemptChange::Abandon | AttemptChange::End(_)) => ended,
+            (ended @ AttemptState::Ended { .. }, AttemptTransition::Abandon | AttemptTransition::End(_)) => {
+                ended
+            }
         };
     }
 
+    /// Whether the attempt has not ended; abandoned attempts are still in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         matches!(self.state, AttemptState::InFlight | AttemptState::Abandoned)
     }
@@ -99,7 +102,7 @@
         self.state == AttemptState::Abandoned
     }
 
-    /// Whether it may have run: so does each that has not ended.
+    /// Whether the attempt may have been executed; always true until it has ended.
     pub(crate) fn may_have_run(&self) -> bool {
         match self.state {
             AttemptState::InFlight | AttemptState::Abandoned => true,
@@ -107,13 +110,13 @@
         }
     }
 
-    /// Whether the worker answered it with an error.
+    /// Whether the worker answered with an error.
     pub(crate) fn has_failed(&self) -> bool {
         matches!(self.state, AttemptState::Ended { failed: true, .. })
     }
 }
 
-/// How an attempt is handed over.
+/// Serialized form of an [`Attempt`] in a handover.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoredAttempt {
     worker: WorkerId,
@@ -164,23 +167,23 @@
     }
 }
 
-/// How far a request has come.
+/// Phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestPhase {
-    /// Its final answer is owed.
+    /// The request awaits its final answer.
     Open,
-    /// A streamed response has begun: the client owns the attempt, and no other answer is given.
+    /// A streamed response has started: the attempt belongs to the client, and no other answer is given.
     Streaming,
-    /// It has its final answer, or its client is gone. It is forgotten once no attempt is in flight.
+    /// The request was answered, or its client disconnected. It is removed once no attempt is in flight.
     Closed,
 }
 
-/// What happens to a request.
+/// A phase transition of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestChange {
-    /// A streamed response has begun.
-    StreamResponse,
-    /// It has its final answer, or its client is gone.
+pub(crate) enum RequestTransition {
+    /// A streamed response has started.
+    StartStreaming,
+    /// The request was answered, or its client disconnected.
     Close,
 }
 
@@ -191,20 +194,20 @@
     pub request: Request,
     /// Estimated work in seconds on a standard core.
     pub work: f64,
-    /// Latency objective in seconds, counted from `first_asked_at`.
+    /// Latency objective in seconds, counted from `first_requested_at`.
     pub objective_s: f64,
-    /// When the client first asked, by the time left to its deadline.
-    pub first_asked_at: f64,
-    /// Eq. 1; below 0 where it is over its tenant's quota.
+    /// When the client first sent the request, estimated from its deadline.
+    pub first_requested_at: f64,
+    /// Priority by Eq. 1; below 0 if the request is over its tenant's quota.
     pub priority: f64,
     pub attempts: Vec<Attempt>,
-    /// Affinity counts in its placement.
+    /// Whether its placement takes affinity into account.
     pub uses_affinity: bool,
-    /// Rounds of capacity probes sent for it since it arrived.
+    /// Number of rounds of capacity probes sent for this request.
     pub probe_rounds: i32,
-    /// When the next round of capacity probes may be sent.
+    /// Earliest time of the next round of capacity probes.
     pub next_probe_at: f64,
-    /// It waits in the queue for a worker.
+    /// Whether the request waits in the queue for a worker.
     pub queued: bool,
     pub phase: RequestPhase,
 }
@@ -214,7 +217,7 @@
         request: Request,
         work: f64,
         objective_s: f64,
-        first_asked_at: f64,
+        first_requested_at: f64,
         priority: f64,
     ) -> Self {
         let uses_affinity = request.affinity_key.is_some();
@@ -222,7 +225,7 @@
             request,
             work,
             objective_s,
-            first_asked_at,
+            first_requested_at,
             priority,
             attempts: Vec::new(),
             uses_affinity,
@@ -233,14 +236,14 @@
         }
     }
 
-    /// The one place where a request's phase changes. What is closed stays closed.
-    pub(crate) fn advance(&mut self, change: RequestChange) {
+    /// Applies a transition; the only place that changes `phase`. A closed request stays closed.
+    pub(crate) fn advance(&mut self, change: RequestTransition) {
         self.phase = match (self.phase, change) {
-            (RequestPhase::Open | RequestPhase::Streaming, RequestChange::StreamResponse) => {
+            (RequestPhase::Open | RequestPhase::Streaming, RequestTransition::StartStreaming) => {
                 RequestPhase::Streaming
             }
-            (RequestPhase::Open | RequestPhase::Streaming, RequestChange::Close) => RequestPhase::Closed,
-            (RequestPhase::Closed, RequestChange::StreamResponse | RequestChange::Close) => {
+            (RequestPhase::Open | RequestPhase::Streaming, RequestTransition::Close) => RequestPhase::Closed,
+            (RequestPhase::Closed, RequestTransition::StartStreaming | RequestTransition::Close) => {
                 RequestPhase::Closed
             }
         };
@@ -250,7 +253,7 @@
         self.phase == RequestPhase::Closed
     }
 
-    /// Whether its final answer is owed.
+    /// Whether the request awaits its final answer.
     pub(crate) fn is_open(&self) -> bool {
         self.phase == RequestPhase::Open
     }
@@ -264,19 +267,19 @@
         self.attempts.iter().any(|attempt| attempt.is_in_flight() && attempt.worker == worker)
     }
 
-    /// When its latency objective ends.
+    /// Time by which the request must finish to meet its latency objective.
     pub(crate) fn objective_ends_at(&self) -> f64 {
-        self.first_asked_at + self.objective_s
+        self.first_requested_at + self.objective_s
     }
 }
 
-/// How a request is handed over.
+/// Serialized form of a [`TrackedRequest`] in a handover.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoredRequest {
     request: Request,
     work: f64,
     objective_s: f64,
-    first_asked_at: f64,
+    first_requested_at: f64,
     priority: f64,
     attempts: Vec<Attempt>,
     uses_affinity: bool,
@@ -293,7 +296,7 @@
             request: tracked.request,
             work: tracked.work,
             objective_s: tracked.objective_s,
-            first_asked_at: tracked.first_asked_at,
+            first_requested_at: tracked.first_requested_at,
             priority: tracked.priority,
             attempts: tracked.attempts,
             uses_affinity: tracked.uses_affinity,
@@ -317,7 +320,7 @@
             request: stored.request,
             work: stored.work,
             objective_s: stored.objective_s,
-            first_asked_at: stored.first_asked_at,
+            first_requested_at: stored.first_requested_at,
             priority: stored.priority,
             attempts: stored.attempts,
             uses_affinity: stored.uses_affinity,
@@ -329,11 +332,11 @@
     }
 }
 
-/// The requests by number, and the queue of those that wait for a worker.
+/// All tracked requests by id, and the queue of requests waiting for a worker.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     pub all: BTreeMap<RequestId, TrackedRequest>,
-    /// In the order in which they came; may name requests that were placed or closed since.
+    /// In order of arrival. May contain requests that have been placed or closed; see [`Self::prune_queue`].
     pub queue: Vec<RequestId>,
 }
 
@@ -345,14 +348,14 @@
         self.all.insert(tracked.request.id, tracked);
     }
 
-    /// Removes a request with its attempts.
+    /// Removes and returns a request with its attempts.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
         let tracked = self.all.remove(&id)?;
         self.queue.retain(|queued| *queued != id);
         Some(tracked)
     }
 
-    /// Puts a request back in the queue, unless it is closed or there already.
+    /// Puts a request back in the queue, unless it is closed or already queued.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         let Some(tracked) = self.all.get_mut(&id) else { return };
         if !tracked.is_closed() && !tracked.queued {
@@ -361,36 +364,36 @@
         }
     }
 
-    /// Abandons an attempt: nothing more is expected of it.
+    /// Marks an attempt as abandoned.
     pub(crate) fn abandon(&mut self, id: RequestId, attempt: usize) {
         let tracked = self.all.get_mut(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.attempts.get_mut(attempt)) {
-            attempt.advance(AttemptChange::Abandon);
+            attempt.advance(AttemptTransition::Abandon);
         }
     }
 
-    /// The client owns a response that has begun to stream.
-    pub(crate) fn stream_response(&mut self, id: RequestId) {
+    /// Marks a request as answered by a streamed response that has started.
+    pub(crate) fn start_streaming(&mut self, id: RequestId) {
         if let Some(tracked) = self.all.get_mut(&id) {
-            tracked.advance(RequestChange::StreamResponse);
+            tracked.advance(RequestTransition::StartStreaming);
         }
     }
 
-    /// Forgets a request that is closed and has no attempt in flight.
-    pub(crate) fn forget_if_over(&mut self, id: RequestId) {
-        let is_over = |tracked: &TrackedRequest| tracked.is_closed() && !tracked.has_attempt_in_flight();
-        if self.all.get(&id).is_some_and(is_over) {
+    /// Removes a request if it is closed and has no attempt in flight.
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = |tracked: &TrackedRequest| tracked.is_closed() && !tracked.has_attempt_in_flight();
+        if self.all.get(&id).is_some_and(is_finished) {
             self.all.remove(&id);
         }
     }
 
-    /// Removes requests from the queue that were placed or closed.
-    pub(crate) fn drop_placed(&mut self) {
+    /// Removes placed and closed requests from the queue.
+    pub(crate) fn prune_queue(&mut self) {
         let all = &self.all;
         self.queue.retain(|id| all.get(id).is_some_and(|tracked| tracked.queued && !tracked.is_closed()));
     }
 
-    /// The queued requests, in the order in which they came.
+    /// The queued requests in order of arrival.
     pub(crate) fn queued(&self) -> impl Iterator<Item = &TrackedRequest> {
         self.queue.iter().filter_map(|id| self.all.get(id)).filter(|tracked| tracked.queued)
     }
--- a/src/scheduling/state.rs
+++ b/src/scheduling/state.rs
@@ -1,7 +1,7 @@
-//! What the decisions work on: settings, workers, requests, statistics, and the actions of the event at hand.
+//! The state of one scheduler: settings, workers, requests, statistics and the pending actions.
 //!
-//! Data only. Each rule is an `impl SchedulerState` in the file that is named for its question; rules use estimates, and
-//! estimates use nothing but this data.
+//! This file holds only data. The rules are `impl SchedulerState` blocks in the files named after their topic. Rules
+//! use estimates, and estimates depend only on this state.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::affinity::AffinityStatistics;
@@ -14,49 +14,49 @@
 use crate::scheduling::timer::Timer;
 use crate::scheduling::token_bucket::TokenBucket;
 
-/// All that a scheduler's decisions depend on.
+/// Everything that a scheduler's decisions depend on.
 #[derive(Default)]
 pub(crate) struct SchedulerState {
     pub settings: Settings,
-    /// Makes the draws of schedulers differ.
+    /// Makes the random draws of schedulers differ.
     pub seed: u64,
-    /// The time of the event at hand, in seconds on the caller's clock.
+    /// Time of the current event, in seconds on the caller's clock.
     pub now: f64,
-    /// Time between two scheduling rounds.
+    /// Interval between two scheduling rounds.
     pub round_interval_s: f64,
     pub fleet: Fleet,
     pub requests: RequestTable,
     pub statistics: TrafficStatistics,
     pub affinity: AffinityStatistics,
     pub gossip: GossipState,
-    /// By tenant: this scheduler's share of the quota.
+    /// This scheduler's share of each tenant's quota, indexed by tenant.
     pub quotas: Vec<TokenBucket>,
-    /// The workers that a round considers: all ready ones, or those that answered a capacity probe lately.
+    /// The workers that a round considers: all ready workers, or those that recently answered a capacity probe.
     pub candidates: Vec<WorkerId>,
-    /// Where in the fleet's candidate order the next capacity probe goes.
+    /// Position in the fleet's candidate order of the next worker to probe for capacity.
     pub next_probe_position: usize,
-    /// When the next round is due; infinite while no timer is set for one.
+    /// When the next round is due; infinite if no timer is set.
     pub next_round_at: f64,
-    /// A timer is set for the next overdue check.
+    /// Whether a timer is set for the next overdue check.
     pub overdue_check_scheduled: bool,
     pub next_gossip_at: f64,
-    /// Polls of discovery that failed since the last list.
+    /// Discovery polls that have failed since the last endpoint list.
     pub failed_polls: u32,
-    /// What the caller is to do, in order.
+    /// Actions for the caller, in order.
     pub actions: Vec<Action>,
 }
 
 impl SchedulerState {
-    /// Adds an action for the caller.
-    pub(crate) fn act(&mut self, action: Action) {
+    /// Appends an action for the caller.
+    pub(crate) fn emit(&mut self, action: Action) {
         self.actions.push(action);
     }
 
     pub(crate) fn set_timer(&mut self, after_s: f64, timer: Timer) {
-        self.act(Action::SetTimer { after_s, tag: timer.tag() });
+        self.emit(Action::SetTimer { after_s, tag: timer.tag() });
     }
 
-    /// Makes sure that a round comes within this time, if any request is queued.
+    /// Ensures that a round runs within this time, if any request is queued.
     pub(crate) fn schedule_round(&mut self, after_s: f64) {
         let is_sooner = self.now + after_s < self.next_round_at;
         if is_sooner && !self.requests.queue.is_empty() {
--- a/src/scheduling/statistics.rs
+++ b/src/scheduling/statistics.rs
@@ -1,58 +1,58 @@
-//! What a scheduler has observed of its traffic.
+//! Statistics of the traffic that a scheduler has observed.
 //!
-//! The record is handed over in an upgrade: fields are stored by position, so their order stays.
+//! They are handed over in an upgrade, serialized by field position, so fields must not be reordered.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::decaying_mean::{DecayingMean, WORKER_TIME_CONSTANT_S};
 use crate::scheduling::fleet::SlotSums;
 
-/// Keeps a share of the traffic from dividing by zero.
+/// Lower bound of the reserved slots in [`TrafficStatistics::traffic_share`]; prevents division by zero.
 const MIN_SLOTS: f64 = 1e-9;
 
-/// What a scheduler has observed of its traffic; all of it decays except [`Self::longest_time_left_s`].
+/// Statistics of the observed traffic. All of them decay except [`Self::max_time_to_deadline_s`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TrafficStatistics {
-    /// ln(run time / estimated work) over all workers.
+    /// ln(run time / estimated work), over all workers.
     pub log_run_time_ratio: DecayingMean,
-    /// ln of the estimated work: places the complexity classes.
+    /// ln(estimated work); determines the boundaries of the complexity classes.
     pub log_work: DecayingMean,
-    /// From dispatch to start, in seconds.
+    /// Delay from dispatch to start, in seconds.
     pub start_delay: DecayingMean,
-    /// The same of the last seconds, with attempts that were cancelled before they started.
+    /// Delay from dispatch to start over the last few seconds; includes attempts cancelled before they started.
     pub recent_start_delay: DecayingMean,
-    /// ln(speed shown / least speed by the settings) of workers in slow start.
+    /// ln(observed speed / minimum speed from the settings) of workers in slow start.
     pub log_slow_start_gain: DecayingMean,
-    /// Fraction of the workers that were probed or sent a request and had no slot free.
+    /// Fraction of workers without a free slot, among those probed or sent a request.
     pub busy_fraction: DecayingMean,
-    /// Priority of the requests by Eq. 1.
+    /// Request priority by Eq. 1.
     pub priority: DecayingMean,
-    /// Slots that this scheduler held at the workers when lists came.
-    pub held_here: DecayingMean,
-    /// Slots that all schedulers held at the workers when lists came.
-    pub held_by_all: DecayingMean,
+    /// Slots reserved by this scheduler, sampled at each endpoint list.
+    pub reserved_here: DecayingMean,
+    /// Slots reserved by all schedulers, sampled at each endpoint list.
+    pub reserved_by_all: DecayingMean,
     /// Estimated work of all requests.
     pub work: DecayingMean,
-    /// By class: the longest time to the deadline, which a client's first attempt has.
-    pub longest_time_left_s: Vec<f64>,
-    /// By class: estimated work.
+    /// Longest observed time to the deadline by class; a client's first try has this much time left, its retries less.
+    pub max_time_to_deadline_s: Vec<f64>,
+    /// Estimated work by class.
     pub work_by_class: Vec<DecayingMean>,
 }
 
 impl TrafficStatistics {
-    /// Makes room for this many classes; what is known of them stays.
+    /// Resizes the statistics by class; retains those of existing classes.
     pub(crate) fn resize(&mut self, classes: usize) {
-        self.longest_time_left_s.resize(classes, 0.0);
+        self.max_time_to_deadline_s.resize(classes, 0.0);
         self.work_by_class.resize(classes, DecayingMean::default());
     }
 
-    /// The fraction of the traffic that comes to this scheduler, from what it and all hold at the workers.
+    /// Updates and returns this scheduler's fraction of the traffic, by the slots reserved here and by all schedulers.
     ///
-    /// `expected` counts as one more list: an even share of all slots. The shares of all schedulers sum to one.
-    pub(crate) fn traffic_share(&mut self, now: f64, held: SlotSums, expected: SlotSums) -> f64 {
-        self.held_here.add(now, WORKER_TIME_CONSTANT_S, held.held_here, 1.0);
-        self.held_by_all.add(now, WORKER_TIME_CONSTANT_S, held.held_by_all, 1.0);
-        let held_by_all = (self.held_by_all.sum + expected.held_by_all).max(MIN_SLOTS);
-        (self.held_here.sum + expected.held_here) / held_by_all
+    /// `expected`, an even share of all slots, counts like one more sample. The fractions of all schedulers sum to 1.
+    pub(crate) fn traffic_share(&mut self, now: f64, reserved: SlotSums, expected: SlotSums) -> f64 {
+        self.reserved_here.add(now, WORKER_TIME_CONSTANT_S, reserved.held_here, 1.0);
+        self.reserved_by_all.add(now, WORKER_TIME_CONSTANT_S, reserved.held_by_all, 1.0);
+        let reserved_by_all = (self.reserved_by_all.sum + expected.held_by_all).max(MIN_SLOTS);
+        (self.reserved_here.sum + expected.held_here) / reserved_by_all
     }
 }
--- a/src/scheduling/timer.rs
+++ b/src/scheduling/timer.rs
@@ -1,45 +1,45 @@
-//! The timers that the decisions set, and the tags by which the caller gives them back.
+//! The dispatcher's timers, and the tags that identify them to the caller.
 
 use crate::scheduling::identifiers::RequestId;
 
-/// Tags of request deadlines are this number plus the request's.
-const DEADLINE_TAG: u64 = 1 << 32;
+/// The tag of a request's deadline is this value plus the request id.
+const DEADLINE_TAG_BASE: u64 = 1 << 32;
 
-/// A timer of the decisions.
+/// A timer set by the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The next scheduling round is due.
     Round,
-    /// Attempts and ejected workers are to be looked over.
+    /// Overdue attempts and ejected workers must be checked.
     OverdueCheck,
     /// Discovery may be polled again.
     DiscoveryRetry,
     /// The next gossip message is due.
     Gossip,
-    /// A request must have its final answer.
+    /// The deadline of a request is near: it must get its final answer.
     Deadline(RequestId),
 }
 
 impl Timer {
-    /// The tag that stands for this timer outside.
+    /// The tag of this timer in actions and events.
     pub fn tag(self) -> u64 {
         match self {
             Timer::Round => 0,
             Timer::OverdueCheck => 1,
             Timer::DiscoveryRetry => 2,
             Timer::Gossip => 3,
-            Timer::Deadline(request) => DEADLINE_TAG + u64::from(request.0),
+            Timer::Deadline(request) => DEADLINE_TAG_BASE + u64::from(request.0),
         }
     }
 
-    /// The timer of a tag; `None` if no timer has it.
+    /// The timer with this tag, or `None` if the tag is unknown.
     pub fn from_tag(tag: u64) -> Option<Self> {
         match tag {
             0 => Some(Timer::Round),
             1 => Some(Timer::OverdueCheck),
             2 => Some(Timer::DiscoveryRetry),
             3 => Some(Timer::Gossip),
-            tag if tag >= DEADLINE_TAG => Some(Timer::Deadline(RequestId(tag as u32))),
+            tag if tag >= DEADLINE_TAG_BASE => Some(Timer::Deadline(RequestId(tag as u32))),
             _ => None,
         }
     }
--- a/src/scheduling/token_bucket.rs
+++ b/src/scheduling/token_bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket, by which a tenant's quota is kept.
+//! A token bucket that enforces a tenant's quota.
 
 use crate::scheduling::random::poisson_upper_bound;
 
-/// Seconds of a quota that may come at once.
+/// Allowed burst, in seconds' worth of the quota.
 const QUOTA_BURST_S: f64 = 2.0;
 
-/// Requests left inside a quota.
+/// The requests that a tenant may still send within its quota.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     rate_per_s: f64,
@@ -20,7 +20,7 @@
         TokenBucket { rate_per_s, capacity, tokens: capacity, refilled_at: 0.0 }
     }
 
-    /// Changes the rate; tokens beyond the new capacity are lost.
+    /// Changes the rate and the capacity; tokens beyond the new capacity are discarded.
     pub(crate) fn set_rate(&mut self, rate_per_s: f64) {
         let new = TokenBucket::full(rate_per_s);
         self.rate_per_s = new.rate_per_s;
@@ -28,7 +28,7 @@
         self.tokens = self.tokens.min(new.capacity);
     }
 
-    /// Takes a token; false if none is left.
+    /// Takes a token; returns false if none is left.
     pub(crate) fn take(&mut self, now: f64) -> bool {
         let refill = self.rate_per_s * (now - self.refilled_at).max(0.0);
         self.tokens = (self.tokens + refill).min(self.capacity);
--- a/src/server/engine/site_forwarding/candidates.rs
+++ b/src/server/engine/site_forwarding/candidates.rs
@@ -86,7 +86,7 @@
         let now_s = self.clock.at(now);
         let candidates: Vec<Candidate> = self
             .dispatcher
-            .waiting_requests()
+            .unsent_requests()
             .filter_map(|(id, latest_start_s)| {
                 self.candidate(id, Urgency { start_in_s: latest_start_s - now_s, rejected: false })
             })
