--- a/src/scheduling/load_shedding.rs
+++ b/src/scheduling/load_shedding.rs
@@ -35,12 +35,12 @@
     pub(crate) fn shed_excess(&self, queue: &mut Vec<QueuedRequest>) -> Vec<RequestId> {
         let own_slots = poisson_upper_bound(self.fleet.ready_slots() / self.settings.scheduler_count as f64);
         let work_per_s = own_slots / self.fleet_run_time_ratio();
-        let control_s = self.round_interval_s + self.mean_start_delay_s();
+        let control_delay_s = self.round_interval_s + self.mean_start_delay_s();
         let terms = |queued: &QueuedRequest| {
             let tracked = &self.requests.all[&queued.id];
             Eq2Terms {
                 clearing_time_s: tracked.work / work_per_s,
-                objective_s: tracked.objective_s + control_s,
+                objective_s: tracked.objective_s + control_delay_s,
             }
         };
         let mut sums = Eq2Terms { clearing_time_s: 0.0, objective_s: 0.0 };
--- a/src/scheduling/round.rs
+++ b/src/scheduling/round.rs
@@ -22,7 +22,7 @@
 /// The queue of a round, sorted by descending priority, and the requests to drop.
 struct RoundPlan {
     queue: Vec<QueuedRequest>,
-    expired: Vec<RequestId>,
+    dropped: Vec<RequestId>,
 }
 
 impl SchedulerState {
@@ -33,9 +33,9 @@
         }
         self.next_round_at = f64::INFINITY;
         self.requests.prune_queue();
-        let RoundPlan { mut queue, mut expired } = self.plan_round();
-        expired.extend(self.shed_excess(&mut queue));
-        for id in expired {
+        let RoundPlan { mut queue, mut dropped } = self.plan_round();
+        dropped.extend(self.shed_excess(&mut queue));
+        for id in dropped {
             self.give_final_answer(id);
         }
         let context = self.round_context(&queue);
@@ -49,14 +49,14 @@
     fn plan_round(&self) -> RoundPlan {
         let fastest_ratio = self.fastest_run_time_ratio();
         let mut queue = Vec::with_capacity(self.requests.queue.len());
-        let mut expired = Vec::new();
+        let mut dropped = Vec::new();
         for &id in &self.requests.queue {
             let tracked = &self.requests.all[&id];
             let latest_start =
                 tracked.first_requested_at + tracked.objective_s - tracked.work * fastest_ratio;
             let is_late = self.now > latest_start + (MAX_OBJECTIVE_STRETCH - 1.0) * tracked.objective_s;
             if is_late && !self.has_value_when_late(tracked) {
-                expired.push(id);
+                dropped.push(id);
                 continue;
             }
             let is_urgent = self.now > latest_start - 2.0 * self.round_interval_s - self.mean_start_delay_s();
@@ -64,7 +64,7 @@
             queue.push(QueuedRequest { id, priority, is_urgent: !is_late && is_urgent });
         }
         queue.sort_by(|a, b| b.priority.total_cmp(&a.priority).then(a.id.cmp(&b.id)));
-        RoundPlan { queue, expired }
+        RoundPlan { queue, dropped }
     }
 
     /// Ratio of run time to estimated work on the fastest kind of worker.
@@ -96,7 +96,7 @@
     /// Limits the round to the requests that may be placed, and returns how many slots they may take in total.
     ///
     /// If free slots are known from this scheduler's own traffic, its attempts in flight are limited to its share of
-    /// the slots plus one standard deviation, because a request that is still queued can be sent to any worker.
+    /// the slots plus one standard deviation, because a request that stays queued can still be sent to any worker.
     /// Otherwise the candidates are the workers that recently answered a capacity probe.
     fn prepare_candidates(&mut self, queue: &mut Vec<QueuedRequest>) -> f64 {
         if self.sees_free_slots() {
--- a/src/scheduling/token_bucket.rs
+++ b/src/scheduling/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::scheduling::random::poisson_upper_bound;
 
-/// Allowed burst, in seconds' worth of the quota.
+/// Burst allowance, in seconds of the quota's rate.
 const QUOTA_BURST_S: f64 = 2.0;
 
 /// The requests that a tenant may still send within its quota.
