--- a/src/server/frontend/client_connection.rs
+++ b/src/server/frontend/client_connection.rs
@@ -137,7 +137,7 @@
 /// Reads a message; a client that waits for it is told to go on (RFC 9110, 10.1.1).
 async fn read_message(connection: &mut Connection) -> Result<Message, HttpError> {
     let head = connection.request_head().await?;
-    if head.expects_continue() && !connection.has_input() && !head.is_too_long() {
+    if head.expects_continue() && !connection.has_input() && !head.declares_oversized_body() {
         connection.write(&[b"HTTP/1.1 100 Continue\r\n\r\n"]).await?;
     }
     let body = connection.body(&head).await?;
--- a/src/server/http.rs
+++ b/src/server/http.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 on one connection: heads parsed where they lie, bounded bodies, gathered writes.
+//! HTTP/1.1 over a single connection: zero-copy head parsing, bounded bodies and vectored writes.
 //!
-//! Both sides of the scheduler use it: the frontend reads requests of clients, `src/server/workers` and
-//! `src/server/discovery` read responses. It follows RFC 9112 (message syntax and framing) and RFC 9110 (semantics),
-//! strictly where two readings would let a request be smuggled past this side. It knows neither requests for work nor
-//! workers, sets no time limits of its own, and does not reconnect: the callers do.
+//! The frontend uses it to read client requests; `src/server/workers` and `src/server/discovery` use it to read
+//! responses. It follows RFC 9112 (message syntax and framing) and RFC 9110 (semantics) and rejects ambiguous framing,
+//! which could be used for request smuggling. It knows nothing about jobs or workers. Timeouts and reconnects are up to
+//! the caller.
 //!
-//! - `connection`: the socket, what has arrived on it, writes, and the ways to close it. Start here.
-//! - `head_reader`, `head`, `headers`: request and response heads; how a body is framed.
-//! - `body_reader`: bodies by length, in chunks or to the end of the connection.
-//! - `arrivals`: when the bytes that wait in the buffer arrived.
-//! - `error`: why a message cannot be read.
+//! - `connection`: the socket, its read buffer, writes and closing. Start here.
+//! - `head_reader`, `head`, `headers`: request and response heads, and body framing.
+//! - `body_reader`: bodies framed by length, in chunks, or by the end of the connection.
+//! - `arrivals`: receive times of buffered bytes.
+//! - `error`: errors while reading a message.
 
 mod arrivals;
 mod body_reader;
@@ -24,7 +24,7 @@
 pub use head::Head;
 pub use headers::Headers;
 
-/// The longest head, and the longest trailer section of a chunked body.
+/// Maximum size of a message head, and of one line in the trailer section of a chunked body.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest body that the protocol allows.
+/// Maximum size of a message body, set by the protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/src/server/http/body_reader.rs
+++ b/src/server/http/body_reader.rs
@@ -1,22 +1,22 @@
-//! Reads bodies from a connection: by length, in chunks (RFC 9112, 7.1), or to the end of the connection.
+//! Reads message bodies: by length, in chunks (RFC 9112, section 7.1), or until the connection is closed.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use super::head::Framing;
 use super::{Connection, Head, HttpError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// The longest line that frames a chunk, its extensions included.
+/// Maximum length of a chunk-size line, including chunk extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 impl Connection {
-    /// Reads the whole body that belongs to `head`.
+    /// Reads the whole body of the message with this `head`.
     ///
     /// # Errors
-    /// [`HttpError::BodyTooLong`] as soon as it is known to be over [`MAX_BODY_BYTES`].
+    /// Returns [`HttpError::BodyTooLong`] as soon as the body is known to exceed [`MAX_BODY_BYTES`].
     pub async fn body(&mut self, head: &Head) -> Result<Bytes, HttpError> {
         match head.framing {
-            Framing::Length(_) if head.is_too_long() => Err(HttpError::BodyTooLong),
-            Framing::Length(length) => self.take(length).await,
+            Framing::Length(_) if head.declares_oversized_body() => Err(HttpError::BodyTooLong),
+            Framing::Length(length) => self.read_exact(length).await,
             Framing::Chunked => self.chunked_body().await,
             Framing::UntilClose => self.body_until_close().await,
         }
@@ -39,18 +39,20 @@
         Ok(self.buffer.split().freeze())
     }
 
-    /// Reads the next chunk of a chunked body, of `limit` bytes at most; `None` after the last one.
+    /// Reads the next chunk of a chunked body. Returns `None` after the last one.
     ///
     /// # Errors
-    /// [`HttpError::BodyTooLong`] for a longer one.
+    /// Returns [`HttpError::BodyTooLong`] if the chunk has more than `limit` bytes.
     pub async fn chunk(&mut self, limit: usize) -> Result<Option<Bytes>, HttpError> {
         let (start, length) = loop {
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete(found)) => break found,
                 Ok(httparse::Status::Partial) if self.buffer.len() < MAX_CHUNK_LINE_BYTES => {
-                    self.receive_more().await?;
+                    self.receive_some().await?;
+                }
+                Ok(httparse::Status::Partial) | Err(_) => {
+                    return Err(HttpError::Malformed("invalid chunk size"));
                 }
-                Ok(httparse::Status::Partial) | Err(_) => return Err(HttpError::Malformed("chunk")),
             }
         };
         let length = usize::try_from(length).ok().filter(|length| *length <= limit);
@@ -60,14 +62,14 @@
             self.skip_trailer().await?;
             return Ok(None);
         }
-        let chunk = self.take(length).await?;
-        if self.take(2).await?.as_ref() != b"\r\n" {
-            return Err(HttpError::Malformed("chunk"));
+        let chunk = self.read_exact(length).await?;
+        if self.read_exact(2).await?.as_ref() != b"\r\n" {
+            return Err(HttpError::Malformed("chunk data not followed by CRLF"));
         }
         Ok(Some(chunk))
     }
 
-    /// Skips the trailer section of a chunked body (RFC 9112, 7.1.2).
+    /// Skips the trailer section of a chunked body (RFC 9112, section 7.1.2).
     async fn skip_trailer(&mut self) -> Result<(), HttpError> {
         let mut searched_bytes = 0;
         loop {
@@ -84,19 +86,19 @@
                 return Err(HttpError::HeadTooLong);
             }
             searched_bytes = self.buffer.len();
-            self.receive_more().await?;
+            self.receive_some().await?;
         }
     }
 
-    /// Takes the next bytes, waiting for them where they have not arrived.
-    async fn take(&mut self, length: usize) -> Result<Bytes, HttpError> {
+    /// Takes the next `length` bytes, waiting until they have been received.
+    async fn read_exact(&mut self, length: usize) -> Result<Bytes, HttpError> {
         while self.buffer.len() < length {
-            self.receive_more().await?;
+            self.receive_some().await?;
         }
         Ok(self.buffer.split_to(length).freeze())
     }
 
-    async fn receive_more(&mut self) -> Result<(), HttpError> {
+    async fn receive_some(&mut self) -> Result<(), HttpError> {
         if self.receive().await? == 0 {
             return Err(HttpError::Truncated);
         }
--- a/src/server/http/connection.rs
+++ b/src/server/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: the socket, what has arrived on it and is not taken yet, writes, and the ways to close it.
+//! A connection: the socket, its read buffer, writes and closing.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -15,37 +15,38 @@
 use super::arrivals::Arrivals;
 use super::MAX_HEAD_BYTES;
 
-/// How often to look for a close behind bytes that are left unread: an attempt must not begin 0.1 s after it.
+/// How often to check for a close behind unread bytes. No attempt may start 0.1 s or more after the client has closed
+/// its connection.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Buffer space reserved before each read.
 const READ_BYTES: usize = 4096;
 
-/// One connection and what has arrived on it and is not taken yet.
+/// A TCP connection with its read buffer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// What has arrived and is not taken yet.
+    /// Bytes received and not consumed yet.
     pub(super) buffer: BytesMut,
-    /// When something was last received.
+    /// When [`Connection::receive`] last returned.
     last_received: Rc<Cell<Instant>>,
     arrivals: Arrivals,
-    /// How often a head was parsed.
+    /// Number of times the head parser has run.
     pub(super) head_parses: u32,
 }
 
-/// What is left of a connection that another process is to serve.
+/// The state of a connection that is handed over to another process.
 pub struct ConnectionParts {
-    /// Its socket.
+    /// The socket.
     pub socket: OwnedFd,
-    /// What was read from it and not taken.
+    /// Bytes received and not consumed.
     pub read_ahead: Bytes,
 }
 
 impl Connection {
-    /// A connection that is up.
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> Self {
-        // Messages are small and waited for, so the system is not to hold them back to fill packets. Where it refuses,
-        // the connection is slower and still good.
+        // Messages are small and latency matters, so Nagle's algorithm is turned off. If that fails, the connection is
+        // slower but still usable.
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -56,53 +57,54 @@
         }
     }
 
-    /// Connects; the caller bounds the wait.
+    /// Connects to `address`, without a timeout of its own.
     ///
     /// # Errors
-    /// As the system reports them.
+    /// Returns any I/O error of the connect.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         TcpStream::connect(address).await.map(Connection::new)
     }
 
-    /// A connection on which another process has read this much.
+    /// Wraps a connection from which another process has already received `read_ahead`.
     pub fn with_read_ahead(stream: TcpStream, read_ahead: &[u8]) -> Self {
         let mut connection = Connection { buffer: BytesMut::from(read_ahead), ..Connection::new(stream) };
         connection.arrivals.record(read_ahead.len(), Instant::now());
         connection
     }
 
-    /// Takes the connection apart, for another process to serve.
+    /// Splits the connection into its socket and buffered bytes, to hand it over to another process.
     ///
     /// # Errors
-    /// As the system reports them.
+    /// Returns an error if the socket cannot be deregistered from the runtime.
     pub fn into_parts(self) -> io::Result<ConnectionParts> {
         let socket = self.stream.into_std()?.into();
         Ok(ConnectionParts { socket, read_ahead: self.buffer.freeze() })
     }
 
-    /// When the last byte of the message that was last taken had arrived here. What a client sends ahead waits in the
-    /// buffer while its time runs.
+    /// When the last byte of the most recently read message was received. This can be long before the message was read:
+    /// pipelined messages wait in the buffer while their deadlines run.
     pub fn message_received_at(&mut self) -> Instant {
-        self.arrivals.taken_at(self.buffer.len()).unwrap_or_else(|| self.last_received.get())
+        self.arrivals.last_taken_received_at(self.buffer.len()).unwrap_or_else(|| self.last_received.get())
     }
 
-    /// When something was last received; the cell follows as more arrives.
+    /// The time of the last receive, in a shared cell that is updated by later ones.
     pub fn last_received(&self) -> Rc<Cell<Instant>> {
         Rc::clone(&self.last_received)
     }
 
-    /// How often a head was parsed here: it must not depend on the segments in which a head arrives.
+    /// Number of times the head parser has run on this connection. It must not grow with the number of segments that a
+    /// head arrives in.
     pub fn head_parses(&self) -> u32 {
         self.head_parses
     }
 
-    /// Whether a message has begun to arrive.
+    /// Whether received bytes are waiting in the buffer.
     pub fn has_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether nothing at all is there to read: neither bytes nor the other side's end.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether the connection is open and has nothing to read: neither bytes nor the peer's close.
+    pub fn is_open_and_idle(&self) -> bool {
         if self.has_input() {
             return false;
         }
@@ -110,19 +112,19 @@
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Receives what has arrived, without waiting for more; false if that is nothing.
+    /// Receives bytes that are already available, without waiting. Returns false if there are none.
     pub fn receive_available(&mut self) -> bool {
         self.buffer.reserve(READ_BYTES);
-        // An error counts as nothing: it comes back at the next read.
+        // Errors are treated as no data: the next read returns them again.
         let read = self.stream.try_read_buf(&mut self.buffer).unwrap_or(0);
         self.arrivals.record(read, Instant::now());
         read > 0
     }
 
-    /// Waits for bytes and receives them; 0 at the other side's end.
+    /// Waits for bytes and receives them into the buffer. Returns 0 once the peer has closed its side.
     ///
     /// # Errors
-    /// As the system reports them.
+    /// Returns any I/O error of the read.
     pub async fn receive(&mut self) -> io::Result<usize> {
         self.buffer.reserve(READ_BYTES);
         let read = self.stream.read_buf(&mut self.buffer).await;
@@ -131,30 +133,30 @@
         read
     }
 
-    /// Ends when the other side has closed or the connection has broken.
+    /// Waits until the peer closes its side or the connection fails.
     ///
-    /// What it sends meanwhile is buffered for later, up to a bound. Beyond it nothing more is read, but a close behind
-    /// the unread bytes is seen all the same.
+    /// Bytes received meanwhile are buffered, up to `MAX_HEAD_BYTES`. After that nothing more is read, but a close
+    /// behind the unread bytes is still detected.
     pub async fn wait_for_close(&mut self) {
         while self.buffer.len() < MAX_HEAD_BYTES {
             if matches!(self.receive().await, Ok(0) | Err(_)) {
                 return;
             }
         }
-        // The system goes on reporting the unread bytes as readable, so waiting for that would spin.
+        // Unread bytes keep the socket readable, so waiting for readiness alone would spin.
         while self.stream.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
             sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Writes all parts in gathered writes. An error means that the last byte did not reach the system.
+    /// Writes all parts with vectored writes.
     ///
     /// # Errors
-    /// As the system reports them.
+    /// Returns any I/O error of a write. The kernel then did not accept the last byte.
     pub async fn write(&mut self, parts: &[&[u8]]) -> io::Result<()> {
         let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
         let mut unwritten = slices.as_mut_slice();
-        IoSlice::advance_slices(&mut unwritten, 0); // skips leading parts that are empty
+        IoSlice::advance_slices(&mut unwritten, 0); // skips empty leading parts
         while !unwritten.is_empty() {
             match self.stream.write_vectored(unwritten).await? {
                 0 => return Err(io::ErrorKind::WriteZero.into()),
@@ -164,22 +166,23 @@
         Ok(())
     }
 
-    /// Closes the sending side, and drops what has arrived.
+    /// Shuts down the write side and drops the buffered bytes.
     pub async fn half_close(&mut self) {
-        // Where it fails the connection has broken, and what is read next says so.
+        // If this fails, the connection is broken and the next read returns the error.
         let _ = self.stream.shutdown().await;
         self.buffer = BytesMut::new();
     }
 
-    /// Waits until there is something to read, or the other side's end.
+    /// Waits until there are bytes to read or the peer has closed its side.
     ///
     /// # Errors
-    /// As the system reports them.
+    /// Returns any I/O error of the socket.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Reads what is there into `scratch` and drops it; false once the other side has ended or the connection broke.
+    /// Reads and drops available bytes, using `scratch` as the buffer. Returns false once the peer has closed its side
+    /// or the connection has failed.
     pub fn discard_received(&self, scratch: &mut [u8]) -> bool {
         match self.stream.try_read(scratch) {
             Ok(read) => read > 0,
--- a/src/server/http/error.rs
+++ b/src/server/http/error.rs
@@ -1,30 +1,33 @@
-//! Why an HTTP message cannot be read.
+//! Errors while reading an HTTP message.
 
 use std::io;
 
-/// Why a message cannot be read.
+use super::head::MAX_HEADERS;
+use super::MAX_HEAD_BYTES;
+
+/// An error while reading a message.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// The connection failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The other side closed between two messages.
-    #[error("the connection is closed")]
+    /// The peer closed the connection between two messages.
+    #[error("connection closed by peer")]
     Closed,
-    /// The other side closed inside a message.
-    #[error("the connection ended inside a message")]
+    /// The peer closed the connection in the middle of a message.
+    #[error("connection closed in the middle of a message")]
     Truncated,
     /// The head, or the framing of the body, is malformed.
     #[error("malformed message: {0}")]
     Malformed(&'static str),
-    /// The head is longer than this side takes.
-    #[error("the head is too long")]
+    /// The head or a trailer line exceeds `MAX_HEAD_BYTES`, or the head has more than `MAX_HEADERS` headers.
+    #[error("message head exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     HeadTooLong,
-    /// The body is longer than this side takes.
-    #[error("the body is too long")]
+    /// The body, or a chunk of it, exceeds the reader's limit.
+    #[error("message body exceeds the size limit")]
     BodyTooLong,
-    /// The message did not arrive in time.
-    #[error("the message did not arrive in time")]
+    /// The message was not received in time.
+    #[error("timed out before the whole message was received")]
     TimedOut,
 }
 
@@ -32,13 +35,13 @@
     fn from(error: httparse::Error) -> Self {
         match error {
             httparse::Error::TooManyHeaders => HttpError::HeadTooLong,
-            // The parser's reasons are about single bytes: who sent the head learns that the head is wrong.
+            // httparse reports errors about single bytes; the sender is only told that the head is malformed.
             httparse::Error::HeaderName
             | httparse::Error::HeaderValue
             | httparse::Error::NewLine
             | httparse::Error::Status
             | httparse::Error::Token
-            | httparse::Error::Version => HttpError::Malformed("head"),
+            | httparse::Error::Version => HttpError::Malformed("invalid head"),
         }
     }
 }
--- a/src/server/http/head.rs
+++ b/src/server/http/head.rs
@@ -1,4 +1,4 @@
-//! The head of a message: its start line, its headers, and what they say of the body and the connection.
+//! The head of a message: start line, headers, body framing and connection persistence.
 
 use std::ops::Range;
 
@@ -7,55 +7,55 @@
 use super::headers::{Header, Headers};
 use super::{HttpError, MAX_BODY_BYTES};
 
-/// The most headers in one head.
-const MAX_HEADERS: usize = 64;
+/// Maximum number of headers in a message head.
+pub(super) const MAX_HEADERS: usize = 64;
 
 const CONTENT_LENGTH: &str = "content-length";
 const TRANSFER_ENCODING: &str = "transfer-encoding";
 
-/// The minor version of HTTP/1.1; an HTTP/1.0 message has 0.
+/// Minor version number of HTTP/1.1. HTTP/1.0 messages have 0.
 const HTTP_1_1: u8 = 1;
 
-/// How the end of a body is found (RFC 9112, 6.3).
+/// How the length of a body is determined (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// It has this many bytes.
+    /// The body has this many bytes.
     Length(usize),
-    /// Each chunk states its length.
+    /// The body is sent in chunks, each preceded by its length.
     Chunked,
-    /// It ends with the connection; only a response may do so.
+    /// The body ends when the connection is closed. Valid only for responses.
     UntilClose,
 }
 
-/// A head that has arrived; its body has not been read.
+/// A received message head. The body has not been read yet.
 #[derive(Debug)]
 pub struct Head {
-    /// Of a request: its method. Empty for a response.
+    /// Request method. Empty for a response.
     pub method: Bytes,
-    /// Of a request: its target as it was written, path and query.
+    /// Request target as received: path and query. Empty for a response.
     pub target: Bytes,
-    /// Of a response: its status. 0 for a request.
+    /// Response status code. 0 for a request.
     pub status: u16,
-    /// The headers.
+    /// Header fields.
     pub headers: Headers,
-    /// The other side keeps the connection for a further message.
+    /// Whether the connection can be used for another message.
     pub keep_alive: bool,
     pub(super) framing: Framing,
 }
 
 impl Head {
-    /// The client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
+    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, section 10.1.1).
     pub fn expects_continue(&self) -> bool {
         self.headers.has_token("expect", "100-continue")
     }
 
-    /// The head itself says that the body is over [`MAX_BODY_BYTES`].
-    pub fn is_too_long(&self) -> bool {
+    /// Whether Content-Length exceeds [`MAX_BODY_BYTES`].
+    pub fn declares_oversized_body(&self) -> bool {
         matches!(self.framing, Framing::Length(length) if length > MAX_BODY_BYTES)
     }
 }
 
-/// Where the parts of a complete head lie in the buffer it was parsed in.
+/// Byte ranges of the parts of a complete head in the buffer that it was parsed from.
 pub(super) struct HeadSpans {
     length: usize,
     method: Range<usize>,
@@ -71,7 +71,7 @@
 }
 
 impl HeadSpans {
-    /// Parses the head of a request; `None` if it is not complete.
+    /// Parses a request head. Returns `None` if it is incomplete.
     pub(super) fn parse_request(buffer: &[u8]) -> Result<Option<Self>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -86,7 +86,7 @@
         }))
     }
 
-    /// Parses the head of a response; `None` if it is not complete.
+    /// Parses a response head. Returns `None` if it is incomplete.
     pub(super) fn parse_response(buffer: &[u8]) -> Result<Option<Self>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -101,7 +101,7 @@
         }))
     }
 
-    /// Takes the head out of the buffer, without copying it.
+    /// Splits the head off the buffer without copying it.
     pub(super) fn take_from(self, buffer: &mut BytesMut) -> Result<Head, HttpError> {
         let bytes = buffer.split_to(self.length).freeze();
         let headers = self.headers.into_iter();
@@ -110,9 +110,9 @@
             .collect();
         let headers = Headers(headers);
         let framing = framing(&headers, self.status, self.minor_version)?;
-        // Whether a connection persists: RFC 9112, 9.3. This side closes those of HTTP/1.0 without asking.
-        let asks_to_close = headers.has_token("connection", "close");
-        let keep_alive = self.minor_version == HTTP_1_1 && !asks_to_close && framing != Framing::UntilClose;
+        // Connection persistence: RFC 9112, section 9.3. HTTP/1.0 connections are never kept alive.
+        let wants_close = headers.has_token("connection", "close");
+        let keep_alive = self.minor_version == HTTP_1_1 && !wants_close && framing != Framing::UntilClose;
         Ok(Head {
             method: bytes.slice(self.method),
             target: bytes.slice(self.target),
@@ -132,7 +132,7 @@
     spans.collect()
 }
 
-/// Where `part`, which the parser cut out of `buffer`, lies in it.
+/// The byte range of `part`, a subslice of `buffer`.
 fn span(buffer: &[u8], part: &[u8]) -> Range<usize> {
     if part.is_empty() {
         return 0..0;
@@ -141,20 +141,22 @@
     start..start + part.len()
 }
 
-/// How the body is framed. `status` is 0 for a request.
+/// Determines the framing of the body. `status` is 0 for a request.
 fn framing(headers: &Headers, status: u16, minor_version: u8) -> Result<Framing, HttpError> {
-    let length = only_length(headers)?;
+    let length = content_length(headers)?;
     if headers.raw(TRANSFER_ENCODING).is_some() {
-        // Both framings in one message are how requests are smuggled past a proxy; so is a coding that one side knows
-        // and the other does not, or an old version that has none (RFC 9112, 6.1 and 11.2).
+        // Request smuggling uses messages with both framings, with a transfer coding that only one of two parties
+        // supports, or with a transfer coding in HTTP/1.0, which has none (RFC 9112, sections 6.1 and 11.2).
         let is_unambiguous = length.is_none() && minor_version == HTTP_1_1;
-        if !is_unambiguous || !headers.is_only(TRANSFER_ENCODING, "chunked") {
-            return Err(HttpError::Malformed("transfer encoding"));
+        if !is_unambiguous || !headers.has_single_value(TRANSFER_ENCODING, "chunked") {
+            return Err(HttpError::Malformed("unsupported or ambiguous Transfer-Encoding"));
         }
         return Ok(Framing::Chunked);
     }
     if let Some(length) = length {
-        return parse_length(length).map(Framing::Length).ok_or(HttpError::Malformed("length"));
+        return parse_content_length(length)
+            .map(Framing::Length)
+            .ok_or(HttpError::Malformed("invalid Content-Length"));
     }
     let is_response = status != 0;
     let never_has_body = status == 204 || status == 304;
@@ -164,18 +166,18 @@
     Ok(Framing::Length(0))
 }
 
-/// The value of Content-Length. It may be repeated only with the same value (RFC 9112, 6.3, point 5).
-fn only_length(headers: &Headers) -> Result<Option<&Bytes>, HttpError> {
+/// The value of Content-Length. Repeated headers must all have the same value (RFC 9112, section 6.3, item 5).
+fn content_length(headers: &Headers) -> Result<Option<&Bytes>, HttpError> {
     let mut lengths = headers.all(CONTENT_LENGTH);
     let length = lengths.next();
     if lengths.any(|other| Some(other) != length) {
-        return Err(HttpError::Malformed("two lengths"));
+        return Err(HttpError::Malformed("conflicting Content-Length values"));
     }
     Ok(length)
 }
 
-/// Digits alone: a sign, which Rust's parser takes, is not allowed here (RFC 9110, 8.6).
-fn parse_length(value: &[u8]) -> Option<usize> {
+/// Parses a Content-Length. Only digits are allowed (RFC 9110, section 8.6), while Rust's parser also accepts a sign.
+fn parse_content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?;
     let is_number = text.bytes().all(|byte| byte.is_ascii_digit());
     if !is_number {
--- a/src/server/http/head_reader.rs
+++ b/src/server/http/head_reader.rs
@@ -1,21 +1,21 @@
-//! Reads the heads of requests and responses from a connection.
+//! Reads request and response heads from a connection.
 
 use super::head::{Head, HeadSpans};
 use super::{Connection, HttpError, MAX_HEAD_BYTES};
 
 impl Connection {
-    /// Reads the head of a request.
+    /// Reads a request head.
     ///
     /// # Errors
-    /// [`HttpError::Closed`] if the other side ended before the first byte of it.
+    /// Returns [`HttpError::Closed`] if the peer closed the connection before sending any of it.
     pub async fn request_head(&mut self) -> Result<Head, HttpError> {
         self.head(HeadSpans::parse_request).await
     }
 
-    /// Reads the head of a response, skipping interim ones (RFC 9110, 15.2).
+    /// Reads a response head, skipping interim responses (RFC 9110, section 15.2).
     ///
     /// # Errors
-    /// [`HttpError::Closed`] if the other side ended before the first byte of it.
+    /// Returns [`HttpError::Closed`] if the peer closed the connection before sending any of it.
     pub async fn response_head(&mut self) -> Result<Head, HttpError> {
         loop {
             let head = self.head(HeadSpans::parse_response).await?;
@@ -32,8 +32,8 @@
     ) -> Result<Head, HttpError> {
         let mut parsed_bytes = 0;
         loop {
-            // Only a line that has ended can complete a head: one that comes byte by byte is not parsed as often as it
-            // has bytes.
+            // A head can only be complete after a line feed. Parsing only then keeps a head that arrives byte by byte
+            // from being parsed once per byte.
             let never_parsed = parsed_bytes == 0 && !self.buffer.is_empty();
             if never_parsed || self.buffer[parsed_bytes..].contains(&b'\n') {
                 parsed_bytes = self.buffer.len();
@@ -46,8 +46,8 @@
                 return Err(HttpError::HeadTooLong);
             }
             if self.receive().await? == 0 {
-                let nothing_arrived = self.buffer.is_empty();
-                return Err(if nothing_arrived { HttpError::Closed } else { HttpError::Truncated });
+                let nothing_received = self.buffer.is_empty();
+                return Err(if nothing_received { HttpError::Closed } else { HttpError::Truncated });
             }
         }
     }
--- a/src/server/workers/connection_pool.rs
+++ b/src/server/workers/connection_pool.rs
@@ -33,7 +33,7 @@
     /// Adds a connection, unless it leads to another address than `address` or something has arrived on it: a close,
     /// or a response too many, which would be taken for the next one. The longest idle one makes room.
     pub(super) fn add(&self, mut connection: WorkerConnection, address: SocketAddr) {
-        let is_reusable = connection.address() == address && connection.http.is_quiet();
+        let is_reusable = connection.address() == address && connection.http.is_open_and_idle();
         if !is_reusable {
             return;
         }
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -101,7 +101,7 @@
         };
         while let Some(mut connection) = this.pool.take(max_idle) {
             // A close or a late response that waits there would be taken for the next response.
-            if !connection.http.is_quiet() {
+            if !connection.http.is_open_and_idle() {
                 continue;
             }
             this.connector.count_reuse();
