--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -1,18 +1,18 @@
-//! The HTTP frontend: one listener for the requests of clients, the callbacks of workers, `/ready` and `/counters`.
+//! The HTTP frontend: one listener for client requests, worker callbacks, `/ready` and `/counters`.
 //!
-//! It turns HTTP into messages for the engine, and the engine's final answers into HTTP. It decides which connections
-//! are open, not what becomes of a request: see `src/server/engine.rs` for that, and `src/scheduling` for the rules.
+//! It turns HTTP messages into engine messages and the engine's final answers into HTTP responses. It manages
+//! connections only: requests are processed in `src/server/engine.rs`, by the rules in `src/scheduling`.
 //!
-//! - `accept_loop`: accepts connections, and evicts others where descriptors run short.
-//! - `client_connection`: the states of a connection and the one function that changes them. Start here.
-//! - `request_handling`: what a message that has arrived leads to.
-//! - `request_parser`, `callback_parser`: what messages say; `wire_names`: their headers and fields.
-//! - `response`: status lines, headers, and how they are written.
-//! - `closing`: lingering closes, and the close of idle connections while the process drains.
-//! - [`connection_eviction`]: which connections are closed first when descriptors run short.
-//! - [`connection_handoff`]: connections and requests to and from another process during an upgrade.
+//! - `accept_loop`: accepts connections and evicts others when descriptors run short.
+//! - `client_connection`: the connection state machine. Start here.
+//! - `request_handling`: handles received messages.
+//! - `request_parser`, `callback_parser`: message parsing; `wire_names`: paths, headers and field names.
+//! - `response`: building and writing responses.
+//! - `closing`: lingering closes, and closing of idle connections while the process drains.
+//! - [`connection_eviction`]: the order in which connections are closed when descriptors run short.
+//! - [`connection_handoff`]: handover of connections and requests between processes during an upgrade.
 //!
-//! All of it runs on one thread: cells need no lock, and nothing changes between two `await`s.
+//! Everything runs on one thread: cells need no locks, and shared state cannot change between two `await`s.
 
 mod accept_loop;
 mod callback_parser;
@@ -45,23 +45,23 @@
     settings: RefCell<Rc<Settings>>,
     queue: EngineQueue,
     counters: Rc<Counters>,
-    /// Connections that may be open.
+    /// Descriptor budget for client connections.
     connections: Rc<DescriptorBudget>,
-    /// Connections that may be closed where descriptors run short.
+    /// Connections that can be closed when descriptors run short.
     eviction_candidates: EvictionCandidates,
-    /// Messages that have been read and whose response is not written yet: nearly all are requests.
+    /// Messages received whose response has not been written yet. Nearly all are requests.
     unanswered: Cell<usize>,
-    /// Connections that are closed from here, but not yet by their clients.
+    /// Connections closed by the frontend but not yet by their clients.
     lingering: Cell<usize>,
-    /// Where input that is dropped is read to, by one connection at a time.
-    scratch: Mutex<Vec<u8>>,
+    /// Buffer for input that is discarded, used by one connection at a time.
+    discard_buffer: Mutex<Vec<u8>>,
     lifecycle: Rc<Lifecycle>,
-    /// The process that has taken over, if there is one.
+    /// The process that has taken over, if any.
     successor: watch::Sender<Option<FrameSender>>,
 }
 
 impl Frontend {
-    /// A frontend that holds connections within this budget.
+    /// Creates a frontend that keeps its connections within the budget `connections`.
     pub fn new(
         settings: Settings,
         queue: EngineQueue,
@@ -77,13 +77,13 @@
             eviction_candidates: EvictionCandidates::default(),
             unanswered: Cell::new(0),
             lingering: Cell::new(0),
-            scratch: Mutex::new(vec![0; DISCARD_BYTES]),
+            discard_buffer: Mutex::new(vec![0; DISCARD_BYTES]),
             lifecycle,
             successor: watch::Sender::new(None),
         }
     }
 
-    /// Uses other settings for the requests that arrive from now on.
+    /// Replaces the settings. They apply to requests received from now on.
     pub fn configure(&self, settings: Settings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
@@ -92,33 +92,34 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Whether no client's message is arriving or waits for its response.
+    /// Whether no message is being received and none awaits its response.
     pub fn is_empty(&self) -> bool {
-        self.unanswered_messages() == 0 && self.eviction_candidates.count_arriving() == 0
+        self.unanswered_messages() == 0 && self.eviction_candidates.receiving_count() == 0
     }
 
-    /// Messages whose response has not been written.
+    /// Number of messages whose response has not been written.
     pub fn unanswered_messages(&self) -> usize {
         self.unanswered.get()
     }
 
-    /// Whether the clients have seen all closes: a process that exits before would reset what they read.
+    /// Whether all clients have closed the connections that the frontend closed. If the process exited earlier, those
+    /// connections would be reset and responses on their way could be lost.
     pub fn has_no_lingering_connections(&self) -> bool {
         self.lingering.get() == 0
     }
 }
 
-/// Counts one more, unanswered or lingering, for as long as it lives.
-struct InProgress<'a>(&'a Cell<usize>);
+/// Guard that increments a count (unanswered messages or lingering connections) until it is dropped.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> InProgress<'a> {
-    fn begin(count: &'a Cell<usize>) -> Self {
+impl<'a> CountGuard<'a> {
+    fn increment(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        InProgress(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for InProgress<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/src/server/frontend/accept_loop.rs
+++ b/src/server/frontend/accept_loop.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, within the descriptor budget.
+//! Accepts connections within the descriptor budget.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use crate::server::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::server::http::Connection;
 
-/// How long to wait for a descriptor, or after a failed accept, before trying again.
+/// Interval between attempts to acquire a descriptor, and delay after a failed accept.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Frontend {
-    /// Accepts connections as long as the process runs, each at once: one that waits in the backlog could carry a
-    /// callback, or a client whose time runs. While another process has taken over, that one accepts them.
+    /// Accepts connections until the process exits. Connections are accepted without delay, because one that waits in
+    /// the backlog may carry a callback or a request whose deadline is running. While a successor has taken over, it
+    /// accepts the connections instead.
     pub async fn run(self: Rc<Self>, listener: Rc<TcpListener>) {
         let mut successor = self.successor.subscribe();
         loop {
-            // Waiting fails only once the sender is gone, which lives as long as this frontend.
+            // Fails only if the sender is dropped, and the frontend owns it.
             let _ = successor.wait_for(Option::is_none).await;
             let permit = self.acquire_permit().await;
             let accepted = tokio::select! {
@@ -41,7 +42,7 @@
                     });
                 }
                 Err(error) => {
-                    // Out of descriptors, most likely. The connection stays in the backlog meanwhile.
+                    // Most likely out of descriptors. The connection stays in the backlog meanwhile.
                     if self.counters.accept_failures.add().is_power_of_two() {
                         tracing::warn!(%error, "cannot accept a connection");
                     }
@@ -52,19 +53,19 @@
         }
     }
 
-    /// A permit for one more connection. Where none is left, another connection is evicted.
+    /// Acquires a permit for one more connection. If none is left, evicts another connection.
     pub(super) async fn acquire_permit(&self) -> DescriptorPermit {
         loop {
             if let Some(permit) = DescriptorBudget::try_acquire(&self.connections) {
                 return permit;
             }
-            // Connections that were accepted last become candidates once their tasks have run; without them, useful
-            // ones would go in their place.
+            // Connections accepted just now become candidates only once their tasks have run. Without the yield, more
+            // useful connections would be evicted instead.
             yield_now().await;
             if self.eviction_candidates.evict_for_new_connection() {
                 self.counters.connections_shed.add();
             }
-            // A connection that was asked to close may have received a message at that moment, and stay.
+            // The evicted connection may stay open because it received a message at that moment.
             if let Ok(permit) = timeout(RETRY_INTERVAL, self.next_freed_permit()).await {
                 return permit;
             }
--- a/src/server/frontend/callback_parser.rs
+++ b/src/server/frontend/callback_parser.rs
@@ -1,4 +1,4 @@
-//! Reads a worker's callback: the JSON object by which it notifies the scheduler of what becomes of a request.
+//! Parses worker callbacks: JSON objects that notify the scheduler of the progress and outcome of a request.
 
 use bytes::Bytes;
 use simd_json::prelude::*;
@@ -9,14 +9,14 @@
 use crate::server::load_report;
 use crate::server::messages::{CallbackEvent, WorkerCallback};
 
-/// Reads a callback; `None` if it is not one.
+/// Parses a callback. Returns `None` if it is malformed.
 ///
-/// simd-json's tape is flat, so that no nesting, however deep, can exhaust the stack.
+/// The simd-json tape is flat, so deep nesting cannot exhaust the stack.
 pub(super) fn parse(body: Bytes) -> Option<WorkerCallback> {
     let mut text = Vec::from(body);
     let tape = simd_json::to_tape(&mut text).ok()?;
     let value = tape.as_value();
-    let event = event(&value)?;
+    let event = parse_event(&value)?;
     let request_name = value.get_str(callback::REQUEST_NAME)?;
     let worker_name = value.get_str(callback::WORKER_NAME)?;
     Some(WorkerCallback {
@@ -27,7 +27,7 @@
     })
 }
 
-fn event(value: &Value) -> Option<CallbackEvent> {
+fn parse_event(value: &Value) -> Option<CallbackEvent> {
     match value.get_str(callback::STATE)? {
         callback::STATE_STARTED => Some(CallbackEvent::Started),
         callback::STATE_PROGRESS => {
@@ -45,7 +45,7 @@
     }
 }
 
-/// A result is text; anything else goes to the client in the form in which JSON writes it.
+/// The response body for a result: the text itself for a JSON string, the JSON encoding for any other value.
 fn result_bytes(result: &Value) -> Bytes {
     match result.as_str() {
         Some(text) => Bytes::copy_from_slice(text.as_bytes()),
--- a/src/server/frontend/callback_parser/tests.rs
+++ b/src/server/frontend/callback_parser/tests.rs
@@ -4,13 +4,13 @@
     parse(Bytes::copy_from_slice(body.as_bytes()))
 }
 
-/// The event of a callback with these further fields, as the log writes it.
-fn event_of(fields: &str) -> Option<String> {
+/// The `Debug` output of the event of a callback with these additional fields.
+fn event_debug(fields: &str) -> Option<String> {
     parsed(&format!(r#"{{"id":"r","from":"m1",{fields}}}"#)).map(|callback| format!("{:?}", callback.event))
 }
 
 #[test]
-fn each_field_lands_in_the_field_it_should() {
+fn callback_fields_are_parsed() {
     let callback =
         parsed(r#"{"id":"9b1f","from":"s-0badcafe","state":"started","load":{"queue":2,"util":0.61}}"#)
             .unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_state_of_the_page_is_its_event() {
+fn each_callback_state_maps_to_its_event() {
     for (fields, event) in [
         (r#""state":"started""#, "Started"),
         (r#""state":"running","share":0.4"#, "Progress(0.4)"),
@@ -29,14 +29,14 @@
         (r#""state":"returned""#, "Ended(RejectedByWorker)"),
         (r#""state":"lost""#, "Ended(LostByWorker)"),
     ] {
-        assert_eq!(event_of(fields).as_deref(), Some(event), "{fields}");
+        assert_eq!(event_debug(fields).as_deref(), Some(event), "{fields}");
     }
 }
 
 #[test]
-fn what_lacks_a_field_or_names_another_state_is_no_callback() {
+fn callbacks_without_a_required_field_or_with_an_unknown_state_are_malformed() {
     for fields in [r#""state":"running""#, r#""state":"done""#, r#""state":"paused""#, r#""share":1"#] {
-        assert_eq!(event_of(fields), None, "{fields}");
+        assert_eq!(event_debug(fields), None, "{fields}");
     }
     for body in [r#"{"from":"m1","state":"lost"}"#, r#"{"id":"r","state":"lost"}"#, "[]", "{"] {
         assert!(parsed(body).is_none(), "{body}");
--- a/src/server/frontend/client_connection.rs
+++ b/src/server/frontend/client_connection.rs
@@ -1,7 +1,7 @@
-//! The lifetime of one client connection: its states, and the one function that leads from each to the next.
+//! The state machine of a client connection.
 //!
-//! Clients and workers use the same listener. A connection carries one message at a time; what is sent ahead waits in
-//! its buffer or in the system's. What happens when two events cross in a state is in `docs/races.md`.
+//! Clients and workers use the same listener. A connection processes one message at a time; pipelined messages wait in
+//! its buffer or in the kernel's. `docs/races.md` describes races between events in each state.
 
 use std::time::Duration;
 
@@ -14,42 +14,42 @@
 use super::Frontend;
 use crate::server::http::{Connection, HttpError};
 
-/// A connection that is idle between two messages for longer is closed.
+/// A connection is closed if it is idle between two messages for longer than this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// A message must have arrived whole within this time: the first one on a connection from the accept, so
-/// that neither silence nor a byte now and then holds it; later ones from their first byte.
+/// Time within which a whole message must be received. For the first message it counts from the accept, so that neither
+/// a silent client nor one that sends a byte now and then holds the connection; for later ones from their first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// A connection and what the frontend knows of it.
+/// A client connection and its state in the frontend.
 pub(super) struct ClientConnection {
     pub(super) http: Connection,
-    /// Which connections are closed before it when descriptors run short.
+    /// Determines which connections are closed before this one when descriptors run short.
     pub(super) eviction_class: EvictionClass,
-    /// A response has been written on it.
+    /// Whether a response has been written on it.
     pub(super) answered: bool,
-    /// When the message that arrives, or that arrived last, began. Before the first message: when it was accepted.
-    pub(super) message_began: Instant,
+    /// When the current or most recent message began to arrive. For the first message, when the connection was accepted.
+    pub(super) message_started_at: Instant,
 }
 
 impl ClientConnection {
     pub(super) fn new(http: Connection, eviction_class: EvictionClass, answered: bool) -> Self {
-        ClientConnection { http, eviction_class, answered, message_began: Instant::now() }
+        ClientConnection { http, eviction_class, answered, message_started_at: Instant::now() }
     }
 }
 
 impl Frontend {
-    /// Serves a connection until it is closed or another process has it.
+    /// Serves a connection until it is closed or handed over to another process.
     pub(super) async fn serve(&self, client: ClientConnection) {
         self.serve_from(client, ConnectionState::Idle).await;
     }
 
-    /// Serves a connection from `state` on. All transitions are here; only the first state comes from the caller.
+    /// Serves a connection, starting in `state`. All later state transitions are made here.
     pub(super) async fn serve_from(&self, mut client: ClientConnection, mut state: ConnectionState) {
         loop {
             state = match state {
                 ConnectionState::Idle => self.await_message(&mut client).await,
                 ConnectionState::ReceivingMessage => self.receive_message(&mut client).await,
-                ConnectionState::AwaitingAnswer(message) => self.answer(&mut client, message).await,
+                ConnectionState::AwaitingAnswer(message) => self.handle_message(&mut client, message).await,
                 ConnectionState::Lingering => return self.linger(client.http).await,
                 ConnectionState::HandingOver => return self.hand_over(client),
                 ConnectionState::HandingOverRequest { migrated, keep_alive } => {
@@ -63,47 +63,47 @@
     /// Waits for the first byte of a message.
     async fn await_message(&self, client: &mut ClientConnection) -> ConnectionState {
         if client.http.has_input() {
-            return ConnectionState::ReceivingMessage; // sent ahead
+            return ConnectionState::ReceivingMessage; // pipelined
         }
-        let idle_until = match client.answered {
+        let idle_deadline = match client.answered {
             true => Instant::now() + IDLE_TIMEOUT,
-            false => client.message_began + MESSAGE_TIMEOUT,
+            false => client.message_started_at + MESSAGE_TIMEOUT,
         };
         if !self.has_successor() {
-            let candidate = self.eviction_candidates.list(client.eviction_class);
+            let candidate = self.eviction_candidates.register_idle(client.eviction_class);
             tokio::select! {
                 biased;
-                received = timeout_at(idle_until, client.http.receive()) => {
+                received = timeout_at(idle_deadline, client.http.receive()) => {
                     return match received {
-                        Ok(Ok(0) | Err(_)) => ConnectionState::Closed, // the client closed it, or it broke
+                        Ok(Ok(0) | Err(_)) => ConnectionState::Closed, // closed by the client or broken
                         Ok(Ok(_)) => ConnectionState::ReceivingMessage,
-                        Err(_elapsed) => closed_by_us(client),
+                        Err(_elapsed) => close_idle(client),
                     };
                 }
                 () = candidate.evicted() => yield_now().await,
             }
         }
-        // A message that has arrived, but has not been read yet, must not be lost to the close.
+        // Do not lose a message that has arrived in the socket but has not been read.
         if client.http.receive_available() {
             return ConnectionState::ReceivingMessage;
         }
         if self.has_successor() {
             return ConnectionState::HandingOver;
         }
-        closed_by_us(client)
+        close_idle(client)
     }
 
-    /// Receives a message whole, unless its connection is evicted meanwhile.
+    /// Receives a whole message, unless the connection is evicted meanwhile.
     async fn receive_message(&self, client: &mut ClientConnection) -> ConnectionState {
         if client.answered {
-            client.message_began = Instant::now();
+            client.message_started_at = Instant::now();
         }
-        let due = client.message_began + MESSAGE_TIMEOUT;
+        let deadline = client.message_started_at + MESSAGE_TIMEOUT;
         let received = {
-            let candidate = self.eviction_candidates.list_arriving(client.http.last_received());
+            let candidate = self.eviction_candidates.register_receiving(client.http.last_received());
             tokio::select! {
                 biased;
-                message = timeout_at(due, read_message(&mut client.http)) => {
+                message = timeout_at(deadline, read_message(&mut client.http)) => {
                     message.unwrap_or(Err(HttpError::TimedOut))
                 }
                 () = candidate.evicted() => return ConnectionState::Closed,
@@ -115,9 +115,9 @@
         }
     }
 
-    /// Tells the client what is wrong with its message, then closes: where the next message would begin is not known.
+    /// Responds to an unreadable message with the reason, then closes: the start of the next message is unknown.
     async fn reject_unreadable(&self, client: &mut ClientConnection, error: &HttpError) -> ConnectionState {
-        let Some(response) = Response::to_unreadable_message(error) else {
+        let Some(response) = Response::for_unreadable_message(error) else {
             return ConnectionState::Closed;
         };
         self.counters.messages_rejected.add();
@@ -125,16 +125,16 @@
     }
 }
 
-/// What follows when this side closes an idle connection. A client that has had a response may be sending its next
-/// request, and must see an orderly close (FIN), not a reset. Before its first response the connection may be dropped.
-fn closed_by_us(client: &ClientConnection) -> ConnectionState {
+/// The next state of an idle connection that the frontend closes. A client that has received a response may be sending
+/// its next request and must see an orderly close (FIN), not a reset. Before the first response a reset is acceptable.
+fn close_idle(client: &ClientConnection) -> ConnectionState {
     if client.answered {
         return ConnectionState::Lingering;
     }
     ConnectionState::Closed
 }
 
-/// Reads a message; a client that waits for it is told to go on (RFC 9110, 10.1.1).
+/// Reads a message. Sends `100 Continue` to a client that waits for it (RFC 9110, section 10.1.1).
 async fn read_message(connection: &mut Connection) -> Result<Message, HttpError> {
     let head = connection.request_head().await?;
     if head.expects_continue() && !connection.has_input() && !head.declares_oversized_body() {
--- a/src/server/frontend/connection_eviction.rs
+++ b/src/server/frontend/connection_eviction.rs
@@ -1,7 +1,7 @@
-//! Which connections are closed first when descriptors run short, or while the process drains.
+//! The order in which connections are closed when descriptors run short or the process drains.
 //!
-//! A connection registers here while it can be closed: idle, lingering, or with a message that is still arriving. It is
-//! never registered while a request on it awaits its answer.
+//! A connection is registered here while it may be closed: when it is idle, lingering, or still receiving a message. It
+//! is never registered while a request on it awaits its answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,78 +12,78 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A message of which nothing has arrived for so long has stalled. Honest clients that write slowly pause as well:
-/// of those that have stalled, the one that has for longest goes first.
+/// A message is stalled if none of its bytes were received for this long. Well-behaved slow clients pause as well, so
+/// the message that has been stalled longest is evicted first.
 const STALLED_AFTER: Duration = Duration::from_millis(300);
 
-/// How readily an idle connection is closed: those of the lowest class go first. Stored in hand-over frames: the order
-/// of the variants must stay.
+/// Eviction order of idle connections: the lowest class is evicted first. Serialized in handover frames, so the order of
+/// the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EvictionClass {
-    /// It has carried neither a request nor a callback, or its last response is written.
+    /// Has carried neither a request nor a callback, or its last response has been written.
     NeverUsed,
-    /// It is idle between two messages of a client.
+    /// Idle after a request.
     Idle,
-    /// It is idle after a callback: it is closed only where descriptors run short.
+    /// Idle after a callback. Closed only when descriptors run short.
     IdleAfterCallback,
 }
 
-/// When something was last received on a connection.
+/// When bytes were last received on a connection.
 pub type LastReceived = Rc<Cell<Instant>>;
 
-/// Counts up over the registrations of one frontend: the lower, the older.
-type Registration = u64;
+/// Sequence number of a registration; lower numbers are older.
+type RegistrationId = u64;
 
-/// An idle connection, in the order of eviction.
+/// Identifies a registered idle connection. Ordered by eviction order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
     class: EvictionClass,
-    registration: Registration,
+    registration: RegistrationId,
 }
 
-/// A connection on which a message is arriving.
-struct Arriving {
+/// A connection that is receiving a message.
+struct ReceivingConnection {
     last_received: LastReceived,
     evicted: Rc<Notify>,
 }
 
-/// The connections that may be closed.
+/// The connections that may be evicted.
 #[derive(Default)]
 pub struct EvictionCandidates {
     idle: RefCell<BTreeMap<IdleKey, Rc<Notify>>>,
-    arriving: RefCell<BTreeMap<Registration, Arriving>>,
-    next_registration: Cell<Registration>,
+    receiving: RefCell<BTreeMap<RegistrationId, ReceivingConnection>>,
+    next_registration: Cell<RegistrationId>,
 }
 
 impl EvictionCandidates {
-    fn register(&self) -> Registration {
+    fn next_registration(&self) -> RegistrationId {
         self.next_registration.replace(self.next_registration.get() + 1)
     }
 
-    /// Lists an idle connection for as long as the handle lives.
-    pub fn list(&self, class: EvictionClass) -> EvictionHandle<'_> {
-        let key = IdleKey { class, registration: self.register() };
+    /// Registers an idle connection until the handle is dropped.
+    pub fn register_idle(&self, class: EvictionClass) -> EvictionHandle<'_> {
+        let key = IdleKey { class, registration: self.next_registration() };
         let evicted = Rc::new(Notify::new());
         self.idle.borrow_mut().insert(key, Rc::clone(&evicted));
         EvictionHandle { candidates: self, key: CandidateKey::Idle(key), evicted }
     }
 
-    /// Lists a connection on which a message is arriving, for as long as the handle lives.
-    pub fn list_arriving(&self, last_received: LastReceived) -> EvictionHandle<'_> {
-        let registration = self.register();
+    /// Registers a connection that is receiving a message, until the handle is dropped.
+    pub fn register_receiving(&self, last_received: LastReceived) -> EvictionHandle<'_> {
+        let registration = self.next_registration();
         let evicted = Rc::new(Notify::new());
-        let arriving = Arriving { last_received, evicted: Rc::clone(&evicted) };
-        self.arriving.borrow_mut().insert(registration, arriving);
-        EvictionHandle { candidates: self, key: CandidateKey::Arriving(registration), evicted }
+        let connection = ReceivingConnection { last_received, evicted: Rc::clone(&evicted) };
+        self.receiving.borrow_mut().insert(registration, connection);
+        EvictionHandle { candidates: self, key: CandidateKey::Receiving(registration), evicted }
     }
 
-    /// On how many connections a message is arriving.
-    pub fn count_arriving(&self) -> usize {
-        self.arriving.borrow().len()
+    /// Number of connections that are receiving a message.
+    pub fn receiving_count(&self) -> usize {
+        self.receiving.borrow().len()
     }
 
-    /// Evicts the idle connection of the lowest class that was listed first; false if there is none of this class or a
-    /// lower one.
+    /// Evicts the oldest registered connection of the lowest class, if that class is at most `highest`. Returns whether a
+    /// connection was evicted.
     pub fn evict_up_to(&self, highest: EvictionClass) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(first) = idle.first_entry() else { return false };
@@ -94,10 +94,11 @@
         true
     }
 
-    /// Evicts one connection so that another can be opened; false if there is none to evict.
+    /// Evicts one connection to make room for a new one. Returns whether a connection was evicted.
     ///
-    /// The order: a connection that was never used, then a stalled message, then an idle client. A connection for
-    /// callbacks goes only while no message is arriving that may yet stall; a message that makes progress never.
+    /// The order is: never-used connections, connections with a stalled message, idle client connections. Callback
+    /// connections are evicted only while no message is being received, since such a message may still stall. A
+    /// connection whose message makes progress is never evicted.
     pub fn evict_for_new_connection(&self) -> bool {
         if self.evict_up_to(EvictionClass::NeverUsed) || self.evict_stalled() {
             return true;
@@ -105,19 +106,19 @@
         if self.evict_up_to(EvictionClass::Idle) {
             return true;
         }
-        self.count_arriving() == 0 && self.evict_up_to(EvictionClass::IdleAfterCallback)
+        self.receiving_count() == 0 && self.evict_up_to(EvictionClass::IdleAfterCallback)
     }
 
-    /// Evicts the message that has stalled for longest; false if none has stalled.
+    /// Evicts the connection whose message has been stalled longest. Returns false if no message is stalled.
     fn evict_stalled(&self) -> bool {
-        let mut arriving = self.arriving.borrow_mut();
-        let oldest = arriving.iter().min_by_key(|(_, message)| message.last_received.get());
-        let Some((registration, message)) = oldest else { return false };
-        if message.last_received.get().elapsed() < STALLED_AFTER {
+        let mut receiving = self.receiving.borrow_mut();
+        let oldest = receiving.iter().min_by_key(|(_, connection)| connection.last_received.get());
+        let Some((registration, connection)) = oldest else { return false };
+        if connection.last_received.get().elapsed() < STALLED_AFTER {
             return false;
         }
         let registration = *registration;
-        let Some(stalled) = arriving.remove(&registration) else { return false };
+        let Some(stalled) = receiving.remove(&registration) else { return false };
         stalled.evicted.notify_one();
         true
     }
@@ -125,10 +126,10 @@
 
 enum CandidateKey {
     Idle(IdleKey),
-    Arriving(Registration),
+    Receiving(RegistrationId),
 }
 
-/// A listed connection; dropping the handle takes it off the list.
+/// Handle of a registered connection. Dropping it removes the registration.
 pub struct EvictionHandle<'a> {
     candidates: &'a EvictionCandidates,
     key: CandidateKey,
@@ -136,7 +137,7 @@
 }
 
 impl EvictionHandle<'_> {
-    /// Waits until the connection is to be closed.
+    /// Waits until the connection is evicted.
     pub async fn evicted(&self) {
         self.evicted.notified().await;
     }
@@ -144,10 +145,10 @@
 
 impl Drop for EvictionHandle<'_> {
     fn drop(&mut self) {
-        // It is not there any more once it has been evicted.
+        // The registration is already gone if the connection was evicted.
         match &self.key {
             CandidateKey::Idle(key) => drop(self.candidates.idle.borrow_mut().remove(key)),
-            CandidateKey::Arriving(key) => drop(self.candidates.arriving.borrow_mut().remove(key)),
+            CandidateKey::Receiving(key) => drop(self.candidates.receiving.borrow_mut().remove(key)),
         }
     }
 }
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -1,5 +1,5 @@
-//! The frontend's part in an upgrade without downtime: connections go to the process that has taken over, with the
-//! request whose answer is awaited on them, and come from the process before. `lifecycle/handover.rs` drives it.
+//! Connection handover during an upgrade without downtime: sends connections and their pending requests to the successor,
+//! and adopts those of the predecessor. Driven by `lifecycle/handover.rs`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use super::client_connection::ClientConnection;
 use super::connection_eviction::EvictionClass;
 use super::connection_state::ConnectionState;
-use super::request_handling::RequestEnd;
-use super::{Frontend, InProgress};
+use super::request_handling::RequestOutcome;
+use super::{CountGuard, Frontend};
 use crate::server::engine_queue::PendingAnswer;
 use crate::server::http::Connection;
 use crate::server::lifecycle::handover_frames::{FrameSender, HandoverFrame};
 use crate::server::messages::MigratedRequest;
 
-/// A request that another process has handed over with its connection, and that the engine of this one has.
+/// A request that the predecessor handed over with its connection. The engine of this process already has it.
 pub struct PendingRequest {
-    /// What the other process read on the connection behind the request.
+    /// Bytes that the predecessor received on the connection after the request.
     pub read_ahead: Bytes,
-    /// The connection stays open after the response.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// The answer that its client awaits.
+    /// The answer that the client awaits.
     pub answer: PendingAnswer,
-    /// Time to its deadline.
+    /// Time left until the deadline of the request.
     pub time_left: Duration,
 }
 
 impl Frontend {
-    /// From now on that process accepts connections, and receives those that are idle here; with `None` this one does
+    /// Stops accepting connections and hands idle ones over to `successor`. With `None`, this process accepts connections
     /// again.
     pub fn set_successor(&self, successor: Option<FrameSender>) {
         self.successor.send_replace(successor);
@@ -39,23 +39,23 @@
         }
     }
 
-    /// Whether another process accepts connections in place of this one.
+    /// Whether a successor accepts connections in place of this process.
     pub fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
 
-    /// Serves an idle connection that another process has accepted.
+    /// Serves an idle connection that the predecessor accepted.
     pub async fn adopt(self: Rc<Self>, stream: TcpStream, eviction_class: EvictionClass, answered: bool) {
         let _permit = self.acquire_permit().await;
         self.counters.connections_adopted.add();
         self.serve(ClientConnection::new(Connection::new(stream), eviction_class, answered)).await;
     }
 
-    /// Hands an idle connection to the process that has taken over. What its client sends meanwhile waits in the socket.
+    /// Hands an idle connection over to the successor. Bytes that the client sends meanwhile wait in the socket.
     pub(super) fn hand_over(&self, client: ClientConnection) {
-        // A process that cannot read the frame gets none: the client finds its connection closed between two requests.
+        // A successor that uses another frame format gets no frame: the connection is closed between two requests.
         let successor = self.successor.borrow().clone().filter(FrameSender::has_same_form);
-        // A socket that cannot be handed over has broken.
+        // `into_parts` fails only if the socket is broken.
         if let (Some(successor), Ok(parts)) = (successor, client.http.into_parts()) {
             self.counters.connections_passed_on.add();
             let frame = HandoverFrame::IdleConnection {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Hands a connection over with the request whose answer its client awaits.
+    /// Hands a connection over to the successor together with the pending request on it.
     pub(super) fn hand_over_request(
         &self,
         connection: Connection,
@@ -81,23 +81,23 @@
         }
     }
 
-    /// Serves a connection that another process has accepted, on which the answer to a request is awaited.
+    /// Serves a connection that the predecessor accepted and that has a pending request.
     pub async fn adopt_with_request(self: Rc<Self>, stream: TcpStream, request: PendingRequest) {
-        let unanswered = InProgress::begin(&self.unanswered);
+        let unanswered = CountGuard::increment(&self.unanswered);
         let slack = Duration::from_secs_f64(self.settings().answer_slack_s);
         let give_up_at = Instant::now() + request.time_left + slack;
         let _permit = self.acquire_permit().await;
         self.counters.connections_adopted.add();
         let mut connection = Connection::with_read_ahead(stream, &request.read_ahead);
-        let end = self.await_pending(&mut connection, request.answer, give_up_at).await;
-        let state = match end {
-            RequestEnd::Answered(response) => {
+        let outcome = self.await_answer(&mut connection, request.answer, give_up_at).await;
+        let state = match outcome {
+            RequestOutcome::Answered(response) => {
                 self.write_response(&mut connection, response, request.keep_alive).await
             }
-            RequestEnd::Migrated(migrated) => {
+            RequestOutcome::Migrated(migrated) => {
                 ConnectionState::HandingOverRequest { migrated, keep_alive: request.keep_alive }
             }
-            RequestEnd::ClientDisconnected => ConnectionState::Closed,
+            RequestOutcome::ClientDisconnected => ConnectionState::Closed,
         };
         drop(unanswered);
         let client = ClientConnection::new(connection, EvictionClass::Idle, true);
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,29 +1,30 @@
-//! The states of a client connection. `client_connection` has the one function that changes them.
+//! The states of a client connection. `client_connection` makes the transitions.
 
 use bytes::Bytes;
 
 use crate::server::http::Head;
 use crate::server::messages::MigratedRequest;
 
-/// Where a client connection stands.
+/// The state of a client connection.
 pub(super) enum ConnectionState {
-    /// Nothing of a message has arrived: the connection is new, or idle between two messages.
+    /// No part of a message has been received: the connection is new or idle between two messages.
     Idle,
-    /// A message has begun to arrive.
+    /// A message has been received in part.
     ReceivingMessage,
-    /// A message has arrived whole; its response is not written yet.
+    /// A whole message has been received. Its response has not been written.
     AwaitingAnswer(Message),
-    /// The last response is written, or this side closes an idle connection: what still arrives is read and dropped.
+    /// The frontend has written its last response or is closing an idle connection. Further input is read and dropped.
     Lingering,
-    /// Another process is to serve it.
+    /// The connection is to be handed over to the successor.
     HandingOver,
-    /// Another process is to answer the request on it, and to serve it then if `keep_alive`.
+    /// The connection is to be handed over to the successor together with the request on it. The successor answers the
+    /// request and then keeps the connection open if `keep_alive` is set.
     HandingOverRequest { migrated: Box<MigratedRequest>, keep_alive: bool },
-    /// It is closed by being dropped: the client has gone, or nothing is owed on it.
+    /// The connection is dropped: the client has disconnected or is owed no response.
     Closed,
 }
 
-/// A message that has arrived whole.
+/// A message received in full.
 pub(super) struct Message {
     pub(super) head: Head,
     pub(super) body: Bytes,
--- a/src/server/frontend/request_handling.rs
+++ b/src/server/frontend/request_handling.rs
@@ -1,5 +1,5 @@
-//! What a message that has arrived whole leads to: a request goes to the engine and waits for its answer, a callback
-//! goes to the engine, and `/ready` and `/counters` are answered here.
+//! Handles received messages: requests are submitted to the engine and wait for its answer, callbacks are passed to the
+//! engine, and `/ready` and `/counters` are answered directly.
 
 use std::time::Duration;
 
@@ -9,57 +9,61 @@
 use super::client_connection::ClientConnection;
 use super::connection_eviction::EvictionClass;
 use super::connection_state::{ConnectionState, Message};
-use super::request_parser::{self, ParsedRequest};
+use super::request_parser::{self, ParsedMessage};
 use super::response::Response;
-use super::{callback_parser, Frontend, InProgress};
+use super::{callback_parser, CountGuard, Frontend};
 use crate::server::engine_queue::{EngineMessage, PendingAnswer};
 use crate::server::http::Connection;
 use crate::server::messages::{ClientRequest, FinalAnswer, MigratedRequest};
 
-/// The Retry-After of a request that is rejected before it reaches the engine, in seconds.
+/// Retry-After in seconds for requests rejected before they reach the engine.
 const REJECTED_RETRY_AFTER_S: f64 = 0.5;
 
-/// How the wait for a request's answer ends.
-pub(super) enum RequestEnd {
-    /// With a response for its client.
+/// The outcome of waiting for the answer to a request.
+pub(super) enum RequestOutcome {
+    /// The response for the client.
     Answered(Response),
-    /// The process that has taken over is to answer.
+    /// The request was migrated to the successor, which answers it.
     Migrated(Box<MigratedRequest>),
     /// The client has closed its connection.
     ClientDisconnected,
 }
 
 impl Frontend {
-    /// Answers a message, or passes its request on with the connection.
-    pub(super) async fn answer(&self, client: &mut ClientConnection, message: Message) -> ConnectionState {
-        let _unanswered = InProgress::begin(&self.unanswered); // until the response is written
+    /// Handles a message: writes its response, or hands the connection over with its request.
+    pub(super) async fn handle_message(
+        &self,
+        client: &mut ClientConnection,
+        message: Message,
+    ) -> ConnectionState {
+        let _unanswered = CountGuard::increment(&self.unanswered); // until the response is written
         let Message { head, body } = message;
         let settings = self.settings();
         let received_at = client.http.message_received_at();
         let response = match request_parser::parse(&head, &body, received_at, &settings) {
-            Ok(ParsedRequest::Work(request)) => match self.await_answer_to(client, request).await {
-                RequestEnd::Answered(response) => {
+            Ok(ParsedMessage::Request(request)) => match self.handle_request(client, request).await {
+                RequestOutcome::Answered(response) => {
                     client.eviction_class = EvictionClass::Idle;
                     response
                 }
-                RequestEnd::Migrated(migrated) => {
+                RequestOutcome::Migrated(migrated) => {
                     let keep_alive = head.keep_alive;
                     return ConnectionState::HandingOverRequest { migrated, keep_alive };
                 }
-                RequestEnd::ClientDisconnected => return ConnectionState::Closed,
+                RequestOutcome::ClientDisconnected => return ConnectionState::Closed,
             },
-            Ok(ParsedRequest::Callback) => {
+            Ok(ParsedMessage::Callback) => {
                 client.eviction_class = EvictionClass::IdleAfterCallback;
-                self.take_callback(body)
+                self.handle_callback(body)
             }
-            Ok(ParsedRequest::Readiness) => self.readiness(),
-            Ok(ParsedRequest::Counters) => Response::new("200 OK", self.counters.to_string()),
+            Ok(ParsedMessage::Readiness) => self.readiness(),
+            Ok(ParsedMessage::Counters) => Response::new("200 OK", self.counters.to_string()),
             Err(error) => {
                 self.counters.messages_rejected.add();
                 error.into()
             }
         };
-        // A client that sends what cannot be used neither keeps its connection nor has what it sent behind that read.
+        // After a client error the connection is closed, and pipelined messages are not read.
         let keep_alive = head.keep_alive && !response.is_client_error();
         let next = self.write_response(&mut client.http, response, keep_alive).await;
         client.answered = true;
@@ -74,29 +78,32 @@
     }
 
     /// Passes a callback to the engine.
-    fn take_callback(&self, body: Bytes) -> Response {
+    fn handle_callback(&self, body: Bytes) -> Response {
         if let Some(callback) = callback_parser::parse(body) {
             self.queue.send(EngineMessage::CallbackReceived { callback, relay: None });
             return Response::new("200 OK", "");
         }
-        // Logged at the first, second, fourth and so on: a worker that sends nonsense must not fill the log.
+        // Logged for the first, second, fourth, eighth and so on, so that a faulty worker cannot flood the log.
         if self.counters.callbacks_malformed.add().is_power_of_two() {
             tracing::warn!("malformed callback");
         }
-        Response::new("400 Bad Request", "no call-back\n")
+        Response::new(
+            "400 Bad Request",
+            "malformed callback: expected a JSON object with id, from and a known state\n",
+        )
     }
 
-    /// Admits a request and waits for its answer, or rejects it at once.
-    async fn await_answer_to(
+    /// Submits a request to the engine and waits for its answer, or rejects it immediately.
+    async fn handle_request(
         &self,
         client: &mut ClientConnection,
         mut request: Box<ClientRequest>,
-    ) -> RequestEnd {
-        let too_many_wait = self.unanswered.get() > self.max_unanswered();
-        if !self.lifecycle.admits(client.message_began) || too_many_wait {
+    ) -> RequestOutcome {
+        let is_overloaded = self.unanswered.get() > self.max_unanswered();
+        if !self.lifecycle.admits(client.message_started_at) || is_overloaded {
             self.counters.rejected_at_door.add();
             self.counters.class(request.class).shed.add();
-            return RequestEnd::Answered(Response::rejected(REJECTED_RETRY_AFTER_S));
+            return RequestOutcome::Answered(Response::rejected(REJECTED_RETRY_AFTER_S));
         }
         let settings = self.settings();
         let longest_deadline_s = settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
@@ -104,36 +111,36 @@
         if let Some(shutdown_deadline) = self.lifecycle.answer_deadline(longest_deadline) {
             request.deadline = request.deadline.min(shutdown_deadline);
         }
-        // The engine answers before this; the bound keeps a fault there from holding a client for good.
+        // The engine answers before this. The timeout keeps an engine bug from blocking a client forever.
         let give_up_at = request.deadline + Duration::from_secs_f64(settings.answer_slack_s);
         let pending = self.queue.submit(request);
-        self.await_pending(&mut client.http, pending, give_up_at).await
+        self.await_answer(&mut client.http, pending, give_up_at).await
     }
 
-    /// Waits for the answer to a request that the engine has.
-    pub(super) async fn await_pending(
+    /// Waits for the answer to a request that was submitted to the engine.
+    pub(super) async fn await_answer(
         &self,
         connection: &mut Connection,
         mut pending: PendingAnswer,
         give_up_at: Instant,
-    ) -> RequestEnd {
+    ) -> RequestOutcome {
         tokio::select! {
             biased;
             answer = pending.reply() => match answer {
-                FinalAnswer::Migrated(migrated) => RequestEnd::Migrated(migrated),
+                FinalAnswer::Migrated(migrated) => RequestOutcome::Migrated(migrated),
                 FinalAnswer::Served(_)
                 | FinalAnswer::Rejected { .. }
                 | FinalAnswer::RejectedUnstarted
                 | FinalAnswer::Failed
-                | FinalAnswer::DuplicateId => RequestEnd::Answered(answer.into()),
+                | FinalAnswer::DuplicateId => RequestOutcome::Answered(answer.into()),
             },
-            () = sleep_until(give_up_at) => RequestEnd::Answered(FinalAnswer::Failed.into()),
-            // Dropping what is pending notifies the engine.
-            () = connection.wait_for_close() => RequestEnd::ClientDisconnected,
+            () = sleep_until(give_up_at) => RequestOutcome::Answered(FinalAnswer::Failed.into()),
+            // Dropping `pending` notifies the engine.
+            () = connection.wait_for_close() => RequestOutcome::ClientDisconnected,
         }
     }
 
-    /// Messages that may await their answers at once: the other connections are left for callbacks.
+    /// Maximum number of unanswered messages: three quarters of the connections. The rest is reserved for callbacks.
     fn max_unanswered(&self) -> usize {
         self.connections.limit() - self.connections.limit() / 4
     }
--- a/src/server/frontend/request_parser/tests.rs
+++ b/src/server/frontend/request_parser/tests.rs
@@ -13,8 +13,8 @@
         .unwrap()
 }
 
-/// Parses a message as it arrives on a connection; its last byte counts as having arrived at the returned time.
-async fn parsed(message: &str) -> (Result<ParsedRequest, RequestError>, Instant) {
+/// Sends a message over a connection and parses it. Returns the receive time that was passed to the parser.
+async fn parsed(message: &str) -> (Result<ParsedMessage, RequestError>, Instant) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut connection = Connection::connect(listener.local_addr().unwrap()).await.unwrap();
     let mut client = listener.accept().await.unwrap().0;
@@ -25,11 +25,11 @@
     (parse(&head, &body, received_at, &settings()), received_at)
 }
 
-async fn work(class: &str, headers: &str) -> (ClientRequest, Instant) {
+async fn parse_request(class: &str, headers: &str) -> (ClientRequest, Instant) {
     let (request, received_at) = parsed(&format!("POST /{class}/a HTTP/1.1\r\n{headers}\r\n")).await;
     match request {
-        Ok(ParsedRequest::Work(request)) => (*request, received_at),
-        Ok(_) => panic!("another kind of message"),
+        Ok(ParsedMessage::Request(request)) => (*request, received_at),
+        Ok(_) => panic!("not a request"),
         Err(error) => panic!("{error}"),
     }
 }
@@ -39,27 +39,30 @@
 }
 
 #[tokio::test]
-async fn each_path_of_the_page_is_its_message() {
-    assert!(matches!(parsed("GET /ready HTTP/1.1\r\n\r\n").await.0, Ok(ParsedRequest::Readiness)));
-    assert!(matches!(parsed("GET /counters HTTP/1.1\r\n\r\n").await.0, Ok(ParsedRequest::Counters)));
-    assert!(matches!(parsed("POST /callback HTTP/1.1\r\n\r\n").await.0, Ok(ParsedRequest::Callback)));
-    assert!(matches!(parsed("POST /other HTTP/1.1\r\n\r\n").await.0, Err(RequestError::Path)));
-    assert!(matches!(parsed("PUT /ready HTTP/1.1\r\n\r\n").await.0, Err(RequestError::Method("GET"))));
+async fn each_path_maps_to_its_message() {
+    assert!(matches!(parsed("GET /ready HTTP/1.1\r\n\r\n").await.0, Ok(ParsedMessage::Readiness)));
+    assert!(matches!(parsed("GET /counters HTTP/1.1\r\n\r\n").await.0, Ok(ParsedMessage::Counters)));
+    assert!(matches!(parsed("POST /callback HTTP/1.1\r\n\r\n").await.0, Ok(ParsedMessage::Callback)));
+    assert!(matches!(parsed("POST /other HTTP/1.1\r\n\r\n").await.0, Err(RequestError::UnknownPath)));
+    assert!(matches!(
+        parsed("PUT /ready HTTP/1.1\r\n\r\n").await.0,
+        Err(RequestError::MethodNotAllowed("GET"))
+    ));
 }
 
 #[tokio::test]
-async fn each_header_of_the_page_lands_in_the_field_it_should() {
-    let (plain, received_at) = work("draw_map", HEADERS).await;
+async fn request_headers_are_parsed() {
+    let (plain, received_at) = parse_request("draw_map", HEADERS).await;
     assert_eq!((plain.class, plain.tenant, plain.payload.name.as_ref()), (0, 1, &b"r1"[..]));
     assert_eq!(plain.payload.target.as_ref(), b"/draw_map/a");
-    assert_eq!(plain.deadline, received_at + Duration::from_millis(7500), "that of its class");
+    assert_eq!(plain.deadline, received_at + Duration::from_millis(7500), "deadline of the class");
     assert_eq!((plain.slots, plain.memory, plain.estimated_work_s), (1.0, 0.0, None));
     assert_eq!((plain.payload.key, plain.payload.content_type), (None, None));
     let headers = format!(
         "{HEADERS}X-Deadline-Ms: 480\r\nX-Cost-Hint: 2500\r\nX-Extras: slots=2, memory=3,other=4\r\n\
          Idempotency-Key: k1\r\nContent-Type: text/plain\r\n"
     );
-    let (full, received_at) = work("publish", &headers).await;
+    let (full, received_at) = parse_request("publish", &headers).await;
     assert_eq!(full.class, 1);
     assert_eq!(full.deadline, received_at + Duration::from_millis(480));
     assert_eq!((full.slots, full.memory, full.estimated_work_s), (2.0, 3.0, Some(0.0025)));
@@ -69,10 +72,10 @@
 
 #[tokio::test]
 async fn errors_name_the_header() {
-    assert_eq!(error("").await, RequestError::Missing("X-Request-Id"));
-    assert_eq!(error("X-Request-Id: r1\r\n").await, RequestError::Missing("Idempotency-Key"));
+    assert_eq!(error("").await, RequestError::MissingHeader("X-Request-Id"));
+    assert_eq!(error("X-Request-Id: r1\r\n").await, RequestError::MissingHeader("Idempotency-Key"));
     let keyed = "X-Request-Id: r1\r\nIdempotency-Key: k1\r\n";
-    assert_eq!(error(keyed).await, RequestError::Missing("X-Tenant"));
+    assert_eq!(error(keyed).await, RequestError::MissingHeader("X-Tenant"));
     let tenant = format!("{keyed}X-Tenant: acme\r\n");
     for (header, name) in [
         ("X-Deadline-Ms: soon", "X-Deadline-Ms"),
@@ -82,18 +85,22 @@
         ("X-Request-Id: r1", "x-request-id"),
         ("Idempotency-Key: k1", "idempotency-key"),
     ] {
-        assert_eq!(error(&format!("{tenant}{header}\r\n")).await, RequestError::Header(name), "{header}");
+        assert_eq!(
+            error(&format!("{tenant}{header}\r\n")).await,
+            RequestError::InvalidHeader(name),
+            "{header}"
+        );
     }
 }
 
 #[test]
-fn a_deadline_is_digits_and_is_cut_to_an_hour() {
+fn deadlines_are_plain_digits_and_limited_to_an_hour() {
     for (text, milliseconds) in
         [("480", Some(480)), (" 480 ", Some(480)), ("99999999999999999999999", Some(3_600_000))]
     {
-        assert_eq!(deadline_ms(text), milliseconds, "{text}");
+        assert_eq!(parse_deadline_ms(text), milliseconds, "{text}");
     }
     for text in ["", "+480", "-480", "4.8", "inf"] {
-        assert_eq!(deadline_ms(text), None, "{text}");
+        assert_eq!(parse_deadline_ms(text), None, "{text}");
     }
 }
--- a/src/server/frontend/response.rs
+++ b/src/server/frontend/response.rs
@@ -1,4 +1,4 @@
-//! What the frontend answers, how final answers and errors become responses, and how a response is written.
+//! Responses: conversion from final answers and errors, and writing.
 
 use std::io;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use super::connection_state::ConnectionState;
 use super::Frontend;
 use crate::server::frontend::request_parser::RequestError;
-use crate::server::http::{Connection, HttpError};
+use crate::server::http::{Connection, HttpError, MAX_BODY_BYTES};
 use crate::server::messages::FinalAnswer;
 
-/// A client must have taken its response within this time.
+/// Time within which a response must be written to the client's socket.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 const SERVICE_UNAVAILABLE: &str = "503 Service Unavailable";
 
-/// A response to write.
+/// An HTTP response.
 pub(super) struct Response {
     pub(super) status: &'static str,
     /// Complete header lines.
@@ -30,12 +30,12 @@
         Response { status, headers: String::new(), body: body.into() }
     }
 
-    /// Says that the process does not serve, and in which phase it is.
+    /// The response to a readiness check while the process is not serving. The body names its lifecycle phase.
     pub(super) fn not_serving(phase: &str) -> Self {
         Response::new(SERVICE_UNAVAILABLE, format!("{phase}\n"))
     }
 
-    /// Rejects a request of which nothing has run; Retry-After is left out where it would be 0.
+    /// Rejects a request that was not run on any worker. Omits Retry-After if it would be 0.
     pub(super) fn rejected(retry_after_s: f64) -> Self {
         let response = Response::new(SERVICE_UNAVAILABLE, "rejected, come back later\n");
         if retry_after_s > 0.0 {
@@ -44,8 +44,8 @@
         response
     }
 
-    /// The response to a message that cannot be read; `None` where the connection is gone.
-    pub(super) fn to_unreadable_message(error: &HttpError) -> Option<Self> {
+    /// The response to a message that could not be read. `None` if the connection is closed.
+    pub(super) fn for_unreadable_message(error: &HttpError) -> Option<Self> {
         let status = match error {
             HttpError::Io(_) | HttpError::Closed | HttpError::Truncated => return None,
             HttpError::Malformed(_) => "400 Bad Request",
@@ -53,10 +53,14 @@
             HttpError::BodyTooLong => "413 Content Too Large",
             HttpError::TimedOut => "408 Request Timeout",
         };
-        Some(Response::new(status, format!("{error}\n")))
+        let reason = match error {
+            HttpError::BodyTooLong => format!("request body exceeds {MAX_BODY_BYTES} bytes\n"),
+            _ => format!("{error}\n"),
+        };
+        Some(Response::new(status, reason))
     }
 
-    /// Whether it says that the client's message was wrong.
+    /// Whether the status is 4xx.
     pub(super) fn is_client_error(&self) -> bool {
         self.status.starts_with('4')
     }
@@ -85,19 +89,19 @@
     fn from(error: RequestError) -> Self {
         let response = Response::new(error.status(), format!("{error}\n"));
         match error {
-            // RFC 9110, 15.5.6: a 405 names the methods that are allowed.
-            RequestError::Method(allowed) => response.with_header("Allow", allowed),
-            RequestError::Path
-            | RequestError::Missing(_)
-            | RequestError::Header(_)
-            | RequestError::Tenant => response,
+            // A 405 response must list the allowed methods (RFC 9110, section 15.5.6).
+            RequestError::MethodNotAllowed(allowed) => response.with_header("Allow", allowed),
+            RequestError::UnknownPath
+            | RequestError::MissingHeader(_)
+            | RequestError::InvalidHeader(_)
+            | RequestError::UnknownTenant => response,
         }
     }
 }
 
 impl Frontend {
-    /// Writes a response. The connection stays open where `keep_alive` says so and the process does not drain; a process
-    /// that is replaced keeps it open to hand it over.
+    /// Writes a response. The connection stays open if `keep_alive` is set and the process is not draining. A process
+    /// with a successor keeps it open even while draining, to hand it over.
     pub(super) async fn write_response(
         &self,
         connection: &mut Connection,
@@ -106,15 +110,15 @@
     ) -> ConnectionState {
         let is_draining = self.lifecycle.phase().is_draining();
         let keep_alive = keep_alive && (self.has_successor() || !is_draining);
-        match write_within_time(connection, response, keep_alive).await {
+        match write_with_timeout(connection, response, keep_alive).await {
             Ok(()) if keep_alive => ConnectionState::Idle,
             Ok(()) => ConnectionState::Lingering,
-            Err(_) => ConnectionState::Closed, // the client has gone, or takes nothing: nobody is left to be told
+            Err(_) => ConnectionState::Closed, // the client has disconnected or does not read
         }
     }
 }
 
-async fn write_within_time(
+async fn write_with_timeout(
     connection: &mut Connection,
     response: Response,
     keep_alive: bool,
--- a/src/server/frontend/wire_names.rs
+++ b/src/server/frontend/wire_names.rs
@@ -1,18 +1,18 @@
-//! The names that the protocol page gives to paths, headers and the fields of callbacks, each under our term for it.
+//! Paths, headers and callback fields of the wire protocol, each as a constant named by its meaning.
 
-/// Paths.
+/// Request paths.
 pub(super) mod paths {
     pub(in super::super) const READINESS: &str = "/ready";
     pub(in super::super) const COUNTERS: &str = "/counters";
     pub(in super::super) const CALLBACK: &str = "/callback";
 }
 
-/// A request header with the two spellings in which error bodies name it.
+/// A request header name in the two spellings that error bodies use.
 #[derive(Clone, Copy)]
 pub(super) struct HeaderName {
-    /// For lookups, and where the header is there twice or is not text.
+    /// Used for lookups, and in errors about a header that is repeated or not UTF-8.
     pub(super) lower_case: &'static str,
-    /// Where the header is missing or its value cannot be used.
+    /// Used in errors about a header that is missing or malformed.
     pub(super) canonical: &'static str,
 }
 
@@ -30,7 +30,7 @@
     /// In microseconds.
     pub(in super::super) const ESTIMATED_WORK: HeaderName =
         HeaderName { lower_case: "x-cost-hint", canonical: "X-Cost-Hint" };
-    /// Pairs of a name and a figure; [`SLOTS`] and [`MEMORY`] are among the names.
+    /// Comma-separated `NAME=NUMBER` pairs. The known names are [`SLOTS`] and [`MEMORY`].
     pub(in super::super) const RESOURCES: HeaderName =
         HeaderName { lower_case: "x-extras", canonical: "X-Extras" };
     pub(in super::super) const IDEMPOTENCY_KEY: HeaderName =
@@ -40,17 +40,17 @@
     pub(in super::super) const SLOTS: &str = "slots";
     pub(in super::super) const MEMORY: &str = "memory";
 
-    /// Headers of which there may be one only: with two, this side and a worker could each go by another.
+    /// Headers that must not be repeated: the scheduler and a worker could each use a different value.
     pub(in super::super) const SINGLE: [HeaderName; 6] =
         [REQUEST_NAME, TENANT, DEADLINE, ESTIMATED_WORK, RESOURCES, IDEMPOTENCY_KEY];
 }
 
-/// The fields of a callback, and the states that it may report. Its load report is read in `server/load_report.rs`.
+/// The fields of a callback and the values of its state. `server/load_report.rs` reads its load report.
 pub(super) mod callback {
     pub(in super::super) const REQUEST_NAME: &str = "id";
     pub(in super::super) const WORKER_NAME: &str = "from";
     pub(in super::super) const STATE: &str = "state";
-    /// The fraction that is done, from 0 to 1.
+    /// Completed fraction of the job, from 0 to 1.
     pub(in super::super) const PROGRESS: &str = "share";
     pub(in super::super) const RESULT: &str = "result";
 
