--- a/src/server/frontend/client_connection.rs
+++ b/src/server/frontend/client_connection.rs
@@ -27,7 +27,8 @@
     pub(super) eviction_class: EvictionClass,
     /// Whether a response has been written on it.
     pub(super) answered: bool,
-    /// When the current or most recent message began to arrive. For the first message, when the connection was accepted.
+    /// When the current or most recent message began to arrive. For the first message, when the connection was
+    /// accepted.
     pub(super) message_started_at: Instant,
 }
 
--- a/src/server/frontend/closing.rs
+++ b/src/server/frontend/closing.rs
@@ -21,7 +21,8 @@
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Frontend {
-    /// Closes idle connections while the lifecycle asks for it, and reports to the lifecycle whether any messages are left.
+    /// Closes idle connections while the lifecycle asks for it, and reports to the lifecycle whether any messages are
+    /// left.
     pub async fn close_idle_while_draining(self: Rc<Self>) {
         let mut phase = self.lifecycle.watch();
         loop {
@@ -38,8 +39,8 @@
 
     /// Shuts down the write side, then slowly reads and drops input until a timeout (RFC 9112, section 9.6).
     ///
-    /// Closing a socket with unread input makes the kernel send a reset, which can destroy a response in transit. A client
-    /// that sends its next request during the close must see the connection closed, not reset.
+    /// Closing a socket with unread input makes the kernel send a reset, which can destroy a response in transit. A
+    /// client that sends its next request during the close must see the connection closed, not reset.
     pub(super) async fn linger(&self, mut connection: Connection) {
         let _lingering = CountGuard::increment(&self.lingering);
         connection.half_close().await;
--- a/src/server/frontend/connection_eviction.rs
+++ b/src/server/frontend/connection_eviction.rs
@@ -16,8 +16,8 @@
 /// the message that has been stalled longest is evicted first.
 const STALLED_AFTER: Duration = Duration::from_millis(300);
 
-/// Eviction order of idle connections: the lowest class is evicted first. Serialized in handover frames, so the order of
-/// the variants must not change.
+/// Eviction order of idle connections: the lowest class is evicted first. Serialized in handover frames, so the order
+/// of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EvictionClass {
     /// Has carried neither a request nor a callback, or its last response has been written.
@@ -82,8 +82,8 @@
         self.receiving.borrow().len()
     }
 
-    /// Evicts the oldest registered connection of the lowest class, if that class is at most `highest`. Returns whether a
-    /// connection was evicted.
+    /// Evicts the oldest registered connection of the lowest class, if that class is at most `highest`. Returns whether
+    /// a connection was evicted.
     pub fn evict_up_to(&self, highest: EvictionClass) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(first) = idle.first_entry() else { return false };
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -1,5 +1,5 @@
-//! Connection handover during an upgrade without downtime: sends connections and their pending requests to the successor,
-//! and adopts those of the predecessor. Driven by `lifecycle/handover.rs`.
+//! Connection handover during an upgrade without downtime: sends connections and their pending requests to the
+//! successor, and adopts those of the predecessor. Driven by `lifecycle/handover.rs`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,8 +31,8 @@
 }
 
 impl Frontend {
-    /// Stops accepting connections and hands idle ones over to `successor`. With `None`, this process accepts connections
-    /// again.
+    /// Stops accepting connections and hands idle ones over to `successor`. With `None`, this process accepts
+    /// connections again.
     pub fn set_successor(&self, successor: Option<FrameSender>) {
         self.successor.send_replace(successor);
         while self.has_successor() && self.eviction_candidates.evict_up_to(EvictionClass::IdleAfterCallback) {
--- a/src/server/frontend/request_parser.rs
+++ b/src/server/frontend/request_parser.rs
@@ -1,7 +1,7 @@
 //! Strict parsing of paths and request headers.
 //!
-//! Messages that violate the protocol are rejected here, because workers act on what they are sent. Callbacks are parsed
-//! in `callback_parser.rs`.
+//! Messages that violate the protocol are rejected here, because workers act on what they are sent. Callbacks are
+//! parsed in `callback_parser.rs`.
 
 use std::time::Duration;
 
@@ -177,8 +177,8 @@
         text.map(Some).ok_or(RequestError::InvalidHeader(header.lower_case))
     }
 
-    /// Only unreserved characters and colons are allowed, because the request name becomes part of the path of a DELETE:
-    /// other characters could change the meaning of that path.
+    /// Only unreserved characters and colons are allowed, because the request name becomes part of the path of a
+    /// DELETE: other characters could change the meaning of that path.
     fn request_name(&self) -> Result<&'a Bytes, RequestError> {
         let name = self.head.headers.raw(headers::REQUEST_NAME.lower_case);
         let name = name.ok_or(headers::REQUEST_NAME.missing())?;
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -1,9 +1,9 @@
-//! What the scheduler has accepted, sent and answered: plain numbers on one thread, which any module reads without asking
-//! the engine.
+//! Metrics of the scheduler: plain numbers used on one thread, which any module can read directly.
 //!
-//! [`Counters`] owns them all. They are written in two forms: as `GET /counters` and at the exit (its `Display`), and as the
-//! operators' METRICS ([`Counters::operator_metrics`]). The names on the wire are in this module only and never change; where such a
-//! name has an old word, the comment beside it says which term it means. `docs/on-call.md` says what each metric means.
+//! [`Counters`] owns all of them. They are printed in two formats: by its `Display` implementation for `GET /counters`
+//! and on exit, and by [`Counters::operator_metrics`] for the METRICS command. The printed names are defined only here
+//! and must never change. Where a printed name uses a legacy term, its comment gives the current one. `docs/on-call.md`
+//! explains each metric.
 
 mod class_counters;
 mod counter;
@@ -24,26 +24,27 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// All metrics of a scheduler. The counters listed below have the names of `GET /counters`, which stay as they are.
+        /// All metrics of a scheduler. The counters listed below are printed by `GET /counters` under their field
+        /// names.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Attempts by how they ended, in the order of [`AttemptEnd::ALL`].
+            /// Ended attempts by [`AttemptEnd`], in the order of [`AttemptEnd::ALL`].
             pub ends: [Counter; AttemptEnd::ALL.len()],
-            /// The classes, in the order of the settings.
+            /// Counters by class index, in the order of the settings.
             classes: RefCell<Vec<Rc<ClassCounters>>>,
-            /// The gateway to other sites.
+            /// Metrics of the gateway to other sites.
             pub gateway: GatewayMetrics,
             /// Requests accepted and not yet answered.
             pub active: Rc<Gauge>,
             /// Workers in the endpoint list.
             pub pool_size: Gauge,
-            /// Of these, the ejected ones.
+            /// Ejected workers in the endpoint list.
             pub pool_ejected: Gauge,
         }
 
         impl Counters {
-            /// The listed counters, by name.
+            /// The names and values of the counters listed below.
             fn named(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name.get()),)*].into_iter()
             }
@@ -52,17 +53,17 @@
 }
 
 counters! {
-    /// Connections accepted, of clients and of workers that send callbacks.
+    /// Connections accepted from clients and from workers that send callbacks.
     connections_accepted,
-    /// Connections that a predecessor handed on to this process.
+    /// Connections handed over by the predecessor.
     connections_adopted,
-    /// Connections handed on to the successor.
+    /// Connections handed over to the successor.
     connections_passed_on,
-    /// Connections closed to make place for new ones (connection eviction).
+    /// Connections evicted to make room for new ones.
     connections_shed,
-    /// Accepts that failed, most often for want of descriptors.
+    /// Failed accepts, mostly because descriptors ran out.
     accept_failures,
-    /// Requests accepted by the engine (transaction: request).
+    /// Requests accepted by the engine (transaction = request).
     transactions_taken,
     /// Requests migrated to the successor.
     transactions_moved,
@@ -70,58 +71,58 @@
     transactions_adopted,
     /// Requests answered with a worker's result.
     answered_served,
-    /// Requests rejected by decision.
+    /// Requests rejected by a scheduling decision.
     answered_rejected,
     /// Requests answered as failed.
     answered_failed,
     /// Clients that closed their connection before the answer.
     clients_left,
-    /// Requests rejected on arrival: the scheduler is full, or drains.
+    /// Requests rejected before reaching the engine, because the scheduler is overloaded or draining.
     rejected_at_door,
-    /// Messages rejected: malformed, too large, or of an unknown path, class or tenant.
+    /// Messages rejected because they were malformed, too large or late, or had an unknown path, class or tenant.
     messages_rejected,
-    /// Requests whose id was in use.
+    /// Requests whose id was already in use.
     duplicate_ids,
     /// Callbacks received.
     callbacks,
-    /// Callbacks that could not be read.
+    /// Malformed callbacks.
     callbacks_malformed,
-    /// Callbacks for no open attempt.
+    /// Callbacks that matched no open attempt.
     callbacks_unmatched,
-    /// Callbacks relayed to another process of an upgrade.
+    /// Callbacks relayed to another process during an upgrade.
     callbacks_passed_on,
-    /// Attempts begun (flow: attempt).
+    /// Attempts started (flow = attempt).
     flows,
-    /// New connections to workers (member: worker).
+    /// New connections to workers (member = worker).
     member_connects,
-    /// Attempts on a pooled connection.
+    /// Attempts that reused a pooled connection.
     member_reuses,
-    /// DELETEs sent to cancel an attempt.
+    /// DELETE requests sent to cancel an attempt.
     deletes,
     /// Capacity probes sent to workers.
     probes,
-    /// Gossip messages sent (note: gossip message).
+    /// Gossip messages sent (note = gossip message).
     notes_sent,
     /// Gossip messages that could not be sent.
     notes_unsent,
-    /// Gossip messages received and used.
+    /// Gossip messages received and applied.
     notes_heard,
-    /// Datagrams from unknown addresses, or that are no gossip message.
+    /// Datagrams ignored because the sender was unknown or they were not valid gossip messages.
     notes_ignored,
-    /// Endpoint lists and increments applied (pool: endpoint list).
+    /// Endpoint lists and increments applied (pool = endpoint list).
     pool_updates,
-    /// Messages of discovery that could not be read.
+    /// Malformed messages from discovery.
     pool_malformed,
-    /// Discovery watches that ended or fell silent, and were begun again.
+    /// Discovery watches restarted after they ended or fell silent.
     pool_reconnects,
 }
 
 impl Counters {
-    /// Adds the classes that are new in the settings. Classes keep their numbers, and with them their counters.
+    /// Adds counters for new classes in the settings. Existing classes keep their indexes and counters.
     pub fn configure<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let mut classes = self.classes.borrow_mut();
-        let known = classes.len();
-        classes.extend(names.skip(known).map(|name| Rc::new(ClassCounters::named(name))));
+        let existing = classes.len();
+        classes.extend(names.skip(existing).map(|name| Rc::new(ClassCounters::new(name))));
     }
 
     /// The counters of a class.
@@ -129,7 +130,7 @@
         self.classes.borrow().get(class).cloned().unwrap_or_default()
     }
 
-    /// The operators' metrics, one `svc.NAME=VALUE` to a line.
+    /// The metrics for the METRICS command, one `svc.NAME=VALUE` per line.
     pub fn operator_metrics(&self) -> OperatorMetrics<'_> {
         OperatorMetrics(self)
     }
@@ -140,7 +141,7 @@
     }
 }
 
-/// The answer to `GET /counters`: one `NAME VALUE` to a line.
+/// The response to `GET /counters`: one `NAME VALUE` per line.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, value) in self.named() {
@@ -153,7 +154,7 @@
     }
 }
 
-/// The operators' metrics, in their names.
+/// Formats the metrics for the METRICS command.
 pub struct OperatorMetrics<'a>(&'a Counters);
 
 impl fmt::Display for OperatorMetrics<'_> {
--- a/src/server/metrics/counter.rs
+++ b/src/server/metrics/counter.rs
@@ -1,48 +1,48 @@
-//! A number that only grows, and one that goes up and down.
+//! Counters and gauges.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A number that only grows.
+/// A monotonically increasing count.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one more and returns the new number.
+    /// Increments the counter and returns the new value.
     pub fn add(&self) -> u64 {
         self.0.set(self.0.get() + 1);
         self.0.get()
     }
 
-    /// The number.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// A number that goes up and down.
+/// A value that can go up and down.
 #[derive(Default)]
 pub struct Gauge(Cell<usize>);
 
 impl Gauge {
-    /// Sets the number.
+    /// Sets the value.
     pub fn set(&self, value: usize) {
         self.0.set(value);
     }
 
-    /// One more, until the returned value is dropped.
+    /// Increments the gauge until the returned guard is dropped.
     pub fn count(gauge: &Rc<Self>) -> GaugeGuard {
         gauge.set(gauge.get() + 1);
         GaugeGuard(Rc::clone(gauge))
     }
 
-    /// The number.
+    /// The current value.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// Counted by a [`Gauge`] until it is dropped.
+/// Decrements its [`Gauge`] when dropped.
 pub struct GaugeGuard(Rc<Gauge>);
 
 impl Drop for GaugeGuard {
--- a/src/server/metrics/gateway_metrics.rs
+++ b/src/server/metrics/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the gateway between sites. The engine sets them; operators see them if there is a gateway.
+//! Metrics of the gateway between sites. The engine updates them. They are printed only if a gateway is configured.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,38 +7,38 @@
 
 use chutesaddle_gateway::{LoadState, Statistics};
 
-/// The state of a link to another site.
+/// The metrics of a link to another site.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkMetrics {
-    /// It is up.
+    /// Whether the link is up.
     pub up: bool,
     /// The measured round-trip time.
     pub round_trip: Duration,
-    /// Slots that it may carry in all, of a link on which requests are forwarded.
+    /// The credit limit granted on an outbound link: total slots that may be used, counted since the link came up.
     pub slot_limit: u64,
 }
 
-/// Names a link: which site, and who dialled.
+/// Identifies a link by its site and direction.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LinkKey {
     site: String,
-    /// This site dialled, and forwards requests on the link; else it receives them.
-    dialled: bool,
+    /// Whether this site opened the link and forwards requests on it. On an inbound link it receives them.
+    outbound: bool,
 }
 
 /// The metrics of the gateway.
 #[derive(Default)]
 pub struct GatewayMetrics {
     enabled: Cell<bool>,
-    /// The counters of the gateway's decisions.
+    /// Counters of the gateway's decisions.
     pub statistics: Cell<Statistics>,
-    /// Whether this site grants capacity to others, or forwards requests to them.
+    /// Whether this site grants capacity to other sites or forwards requests to them.
     pub load_state: Cell<LoadState>,
     links: RefCell<BTreeMap<LinkKey, LinkMetrics>>,
 }
 
 impl GatewayMetrics {
-    /// There is a gateway: its metrics are shown.
+    /// Enables printing of the gateway metrics.
     pub fn enable(&self) {
         self.enabled.set(true);
     }
@@ -47,20 +47,20 @@
         self.enabled.get()
     }
 
-    /// Whether no request of this site is at another one, and none of another one is here.
+    /// Whether no requests are open in either direction: forwarded to other sites or received from them.
     pub fn is_idle(&self) -> bool {
         let totals = self.statistics.get();
         totals.outbound_open == 0 && totals.inbound_open == 0
     }
 
-    /// Changes the state of a link.
-    pub fn link(&self, site: &str, dialled: bool, change: impl FnOnce(&mut LinkMetrics)) {
-        let key = LinkKey { site: site.to_owned(), dialled };
-        change(self.links.borrow_mut().entry(key).or_default());
+    /// Updates the metrics of a link.
+    pub fn link(&self, site: &str, outbound: bool, update: impl FnOnce(&mut LinkMetrics)) {
+        let key = LinkKey { site: site.to_owned(), outbound };
+        update(self.links.borrow_mut().entry(key).or_default());
     }
 
-    /// Writes the lines of the gateway, but for those of the classes. The names are the operators'; the glossary has the
-    /// terms for them: crossed is forwarded, room is capacity, stance is mode.
+    /// Writes the gateway metrics, except those of the classes. The printed names use legacy terms: crossed means
+    /// forwarded, room means capacity, and stance means load state.
     pub(super) fn write_lines(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let totals = self.statistics.get();
         writeln!(f, "svc.gateway.crossed={}", totals.forwarded)?;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The load state as METRICS names it.
+/// The name of a load state in METRICS.
 fn load_state_name(state: LoadState) -> &'static str {
     match state {
         LoadState::Neutral => "neutral",
@@ -91,8 +91,8 @@
 }
 
 fn write_link(f: &mut fmt::Formatter<'_>, key: &LinkKey, link: &LinkMetrics) -> fmt::Result {
-    let LinkKey { site, dialled } = key;
-    if !dialled {
+    let LinkKey { site, outbound } = key;
+    if !outbound {
         return writeln!(f, "svc.gateway.in.up.{site}={}", u8::from(link.up));
     }
     writeln!(f, "svc.gateway.out.up.{site}={}", u8::from(link.up))?;
--- a/src/server/metrics/tests.rs
+++ b/src/server/metrics/tests.rs
@@ -4,7 +4,7 @@
 use super::{Counters, Gauge};
 use crate::server::attempt_end::AttemptEnd;
 
-/// The names of revision 84881d9, in their order. They are wire: programs of the platform and of operators read them.
+/// The names and order printed by revision 84881d9. Programs of the platform and of operators parse them.
 const COUNTERS: &str = "\
 connections_accepted 0
 connections_adopted 0
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn each_end_of_an_attempt_has_its_counter() {
+fn each_attempt_end_has_its_counter() {
     let counters = Counters::default();
     for end in AttemptEnd::ALL {
         counters.attempt_ended(end);
