--- a/src/server.rs
+++ b/src/server.rs
@@ -1,15 +1,15 @@
-//! The scheduler on sockets: everything between the network and the decisions in [`crate::scheduling`].
+//! The network side of the scheduler: connects sockets to the decisions made in [`crate::scheduling`].
 //!
-//! | module | question it answers |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`frontend`] | how a client's request comes in and its answer goes out |
-//! | [`engine`] | who owns the decisions, and what happens to a request from acceptance to answer |
-//! | [`workers`] | how an attempt reaches a worker, and how it ends |
-//! | [`discovery`] | how the endpoint list is followed, and when it is polled again |
-//! | [`lifecycle`] | how the process starts, reloads, drains, is replaced and stops |
-//! | [`peers`] | what schedulers and sites send each other |
+//! | [`frontend`] | reads clients' requests and writes the answers |
+//! | [`engine`] | owns the scheduling state and tracks each request from acceptance to answer |
+//! | [`workers`] | sends attempts to workers and determines how each one ends |
+//! | [`discovery`] | watches or polls the endpoint list |
+//! | [`lifecycle`] | starts, reloads, drains, replaces and stops the process |
+//! | [`peers`] | exchanges messages with other schedulers and sites |
 //!
-//! The other modules are shared by these: messages, the queue to the engine, HTTP, descriptor budgets and metrics.
+//! The remaining modules are shared: message types, the engine queue, HTTP, descriptor budgets and metrics.
 
 pub mod discovery;
 pub mod engine;
--- a/src/server/attempt_end.rs
+++ b/src/server/attempt_end.rs
@@ -1,46 +1,46 @@
-//! How an attempt can end, and what each end means to the dispatcher.
+//! The possible ends of an attempt and their outcomes for the dispatcher.
 //!
-//! This is the one list of ends. What may follow each of them (a retry, a rejection, a failure) is the table in
-//! `docs/endings.md`, which `tests/endings.rs` plays cell by cell. The ends are also counters, in this order, and
-//! travel between the processes of an upgrade: add new ones at the end.
+//! `docs/endings.md` has a table of what can follow each end (a retry, a rejection or a failure); `tests/endings.rs`
+//! tests every cell of it. The ends are also counters, in this order, and are sent between the processes of an
+//! upgrade, so new variants must be added at the end.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::AttemptOutcome;
 
-/// Each way in which an attempt ends.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The worker's `done` callback: it has completed the request.
+    /// `done` callback: the worker completed the request.
     Completed,
-    /// The worker's `failed` callback, or an error in place of its acceptance.
+    /// `failed` callback, or an error response instead of an acceptance.
     Failed,
-    /// The worker's `returned` callback, or 503 or 504 with `X-Not-Run: 1`: it did not run the request.
+    /// `returned` callback, or 503 or 504 with `X-Not-Run: 1`: the worker did not run the request.
     RejectedByWorker,
-    /// The worker's `lost` callback: its agent saw the request die.
+    /// `lost` callback: the worker's agent reported that the request was lost.
     LostByWorker,
     /// The connection was refused.
     ConnectRefused,
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     ConnectTimedOut,
-    /// This process, or the machine, had no descriptor left for a connection.
+    /// No file descriptor was available in this process or on this machine.
     NoDescriptor,
-    /// The connection broke before the last byte of the request was written.
+    /// The connection was reset before the last byte of the request was written.
     ResetWhileSending,
-    /// The connection broke or was closed between the last byte and the answer.
+    /// The connection was reset or closed after the last byte of the request and before the response.
     ResetWhileWaiting,
-    /// The same on a reused connection, before any byte of an answer: the worker had most likely closed it
-    /// before the request.
+    /// A reused connection was reset or closed after the last byte of the request and before the first byte of a
+    /// response. The worker had most likely closed it before the request was sent.
     StaleConnection,
-    /// The answer is not HTTP.
+    /// The response is not valid HTTP.
     MalformedResponse,
     /// The deadline of the request passed.
     DeadlinePassed,
-    /// Cancelled before the last byte was written.
+    /// Cancelled before the last byte of the request was written.
     CancelledUnsent,
-    /// Cancelled after that.
+    /// Cancelled after the last byte of the request was written.
     Cancelled,
-    /// The worker began to drain, or was removed from the endpoint list, before the first byte was sent.
+    /// The worker started to drain or was removed from the endpoint list before the first byte was sent.
     WorkerInactive,
 }
 
@@ -64,10 +64,10 @@
         AttemptEnd::WorkerInactive,
     ];
 
-    /// What an end means to the dispatcher.
+    /// Returns the outcome for the dispatcher.
     ///
-    /// Only a request that certainly never left this machine whole, or that the worker says it did not run, may
-    /// become an outcome that proves that it never ran: what follows may run it a second time.
+    /// An outcome that proves that the request never ran allows the dispatcher to run it again. It is returned only
+    /// if the request certainly never left this machine complete, or if the worker reports that it did not run it.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             AttemptEnd::Completed => AttemptOutcome::Succeeded,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Its name in metrics and logs, which operators know: it stays, whatever the variant is called.
+    /// Returns the name used in metrics and logs. Operators rely on these names, so they do not change when a variant
+    /// is renamed.
     pub fn name(self) -> &'static str {
         match self {
             AttemptEnd::Completed => "done",
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -1,21 +1,21 @@
-//! How many file descriptors each side of the scheduler may hold. The figures may change while it runs.
+//! Limits the file descriptors used by the frontend and by worker connections. The limits can change at run time.
 //!
-//! A side takes a [`DescriptorPermit`] before it opens a socket and drops it with the socket. What happens when none is
-//! left is the side's own matter: see `frontend/accept_loop.rs` and `workers/connector.rs`.
+//! Each side acquires a [`DescriptorPermit`] before it opens a socket and drops it with the socket. For the handling of
+//! an exhausted budget, see `frontend/accept_loop.rs` and `workers/connector.rs`.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Of ten descriptors, those for connections of clients and of workers' callbacks.
+/// Tenths of the descriptors for connections from clients and for workers' callbacks.
 const FRONTEND_TENTHS: usize = 6;
-/// Of ten descriptors, those for connections to workers. The rest is for the operator interface, discovery, the
-/// listener, the link of an upgrade, the configuration, the runtime and the standard streams.
+/// Tenths of the descriptors for connections to workers. The remaining tenth is for the operator interface, discovery,
+/// the listener, the handover link, the configuration, the runtime and the standard streams.
 const WORKER_TENTHS: usize = 3;
 
-/// The descriptors that the platform allows, split between the sides of the scheduler. The processes of an upgrade have
-/// equal parts of them.
+/// Splits the descriptors that the platform allows between the frontend and worker connections. The processes of an
+/// upgrade share them equally.
 pub struct DescriptorBudgets {
     limit: Cell<usize>,
     processes: Cell<usize>,
@@ -24,7 +24,7 @@
 }
 
 impl DescriptorBudgets {
-    /// Splits `limit` descriptors for a process that is alone.
+    /// Splits `limit` descriptors for a single process.
     pub fn new(limit: usize) -> Self {
         let budgets = DescriptorBudgets {
             limit: Cell::new(limit),
@@ -36,23 +36,23 @@
         budgets
     }
 
-    /// For connections of clients and of workers' callbacks.
+    /// Returns the budget for connections from clients and for workers' callbacks.
     pub fn frontend(&self) -> Rc<DescriptorBudget> {
         Rc::clone(&self.frontend)
     }
 
-    /// For connections to workers.
+    /// Returns the budget for connections to workers.
     pub fn workers(&self) -> Rc<DescriptorBudget> {
         Rc::clone(&self.workers)
     }
 
-    /// Sets how many descriptors the platform allows.
+    /// Sets the number of descriptors that the platform allows.
     pub fn configure(&self, limit: usize) {
         self.limit.set(limit);
         self.apply();
     }
 
-    /// Sets how many processes share the descriptors.
+    /// Sets the number of processes that share the descriptors.
     pub fn set_processes(&self, processes: usize) {
         self.processes.set(processes);
         self.apply();
@@ -65,7 +65,7 @@
     }
 }
 
-/// A number of descriptors and how many of them are in use.
+/// A limited number of descriptors, of which some are in use.
 #[derive(Debug)]
 pub struct DescriptorBudget {
     limit: Cell<usize>,
@@ -74,12 +74,12 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of which nothing is in use.
+    /// Creates a budget with no descriptor in use.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(DescriptorBudget { limit: Cell::new(limit), in_use: Cell::new(0), freed: Notify::new() })
     }
 
-    /// Takes one descriptor; `None` where all are in use.
+    /// Acquires one descriptor. Returns `None` if all are in use.
     pub fn try_acquire(this: &Rc<Self>) -> Option<DescriptorPermit> {
         if this.in_use.get() >= this.limit.get() {
             return None;
@@ -88,24 +88,24 @@
         Some(DescriptorPermit(Rc::clone(this)))
     }
 
-    /// Waits until one has been given back, or the limit has changed.
+    /// Waits until a descriptor is released or the limit changes.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 
-    /// How many may be in use.
+    /// Returns the maximum number of descriptors in use.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Sets how many may be in use. What is in use beyond a lower limit stays in use until it is given back.
+    /// Sets the maximum number of descriptors in use. Permits above a lowered limit stay valid until they are dropped.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
-        self.freed.notify_one(); // some may be free now
+        self.freed.notify_one(); // a raised limit frees descriptors
     }
 }
 
-/// One descriptor of a budget, given back when dropped.
+/// One descriptor of a budget, released on drop.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
