--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -1,31 +1,31 @@
-//! The engine: the one task that owns the decisions and every request from acceptance to answer.
+//! The engine: a single task that owns the scheduling state and tracks every request from acceptance to answer.
 //!
-//! All that happens on the network reaches it as an [`EngineMessage`] through its [`EngineQueue`]; the
-//! messages know no protocol, so that another frontend can stand beside HTTP. It notifies the dispatcher
-//! ([`crate::scheduling`]) of events, performs the actions that the dispatcher decides on, keeps the clock and
-//! the timers, and gives each request one [`FinalAnswer`]. It decides
-//! nothing about placement, admission or retries, and it does no I/O: tasks of their own do, and report back
-//! through the queue.
+//! Every network event reaches the engine as an [`EngineMessage`] through its [`EngineQueue`]. Messages are
+//! independent of the protocol, so that other frontends can be added beside HTTP. The engine notifies the
+//! dispatcher ([`crate::scheduling`]) of events, performs the actions that the dispatcher returns, maintains
+//! the clock and the timers, and gives each request exactly one [`FinalAnswer`]. It makes no placement,
+//! admission or retry decisions, and it does no I/O: separate tasks do, and report back through the queue.
 //!
-//! Because one task owns all of this state, an event is handled completely before the next one is looked at.
-//! What may happen in either order is listed in `docs/races.md`.
+//! Because a single task owns all of this state, each event is handled completely before the next one.
+//! `docs/races.md` lists the events that can occur in either order.
 //!
-//! `TrackedRequest`, `Attempt`, `RequestTable` and `Timer` exist here and in [`crate::scheduling`]: here they hold what is on
-//! sockets (who waits for the answer, the tasks of attempts, wall-clock timers), there what decisions depend on.
+//! `TrackedRequest`, `Attempt`, `RequestTable` and `Timer` exist both here and in [`crate::scheduling`]. The
+//! types here hold network state (reply channels, attempt tasks, timers); the types there hold the
+//! inputs of scheduling decisions.
 //!
-//! | module | question it answers |
+//! | module | purpose |
 //! | --- | --- |
-//! | `requests` | how a request begins, and what a disconnected client or a passed deadline does |
-//! | `request_table` | which requests there are, and whether their clients wait |
-//! | `attempt_state` | whether an attempt is running, being cancelled, or over |
-//! | `attempts` | how an attempt is dispatched, cancelled and ended |
-//! | `callbacks` | what a worker's callback does |
-//! | `answers` | how a request gets its one final answer, and when it is forgotten |
-//! | `endpoint_list` | which workers there are |
-//! | `migration` | how requests migrate between the processes of an upgrade |
-//! | `recent_sends` | what a process that joins must know of the work that workers were sent |
-//! | `site_forwarding` | how requests go to other sites, and theirs come here |
-//! | `clock`, `timers` | what time it is, and what is due |
+//! | `requests` | accepts requests, and handles client disconnects and expired deadlines |
+//! | `request_table` | stores the tracked requests and whether their clients are waiting |
+//! | `attempt_state` | tracks whether an attempt is running, being cancelled, or has ended |
+//! | `attempts` | dispatches, cancels and ends attempts |
+//! | `callbacks` | applies callbacks from workers |
+//! | `answers` | gives each request its final answer and removes finished requests |
+//! | `endpoint_list` | maintains the set of workers |
+//! | `migration` | migrates requests between the processes of an upgrade |
+//! | `recent_sends` | remembers recently sent work for processes that join |
+//! | `site_forwarding` | forwards requests to other sites and runs theirs |
+//! | `clock`, `timers` | provide the current time and the pending timers |
 
 mod answers;
 mod attempt_state;
@@ -65,42 +65,42 @@
 use crate::server::workers::connector::WorkerConnector;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
-/// How often idle connections to workers are checked.
+/// Interval between cleanups of idle connections and unused worker IDs.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often, during a migration, to look whether more requests can migrate.
+/// Interval at which requests are checked for migration while a successor accepts them.
 const MIGRATION_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest timer that the dispatcher may set.
+/// Maximum delay of a dispatcher timer.
 const MAX_TIMER_S: f64 = 24.0 * 3600.0;
 
-/// The engine.
+/// Owns the dispatcher, the tracked requests and the workers.
 pub struct Engine {
     dispatcher: Dispatcher,
     settings: Settings,
     clock: Clock,
     timers: Timers,
     receiver: mpsc::UnboundedReceiver<EngineMessage>,
-    /// For the tasks that report to this engine.
+    /// Cloned into the tasks that report to this engine.
     queue: EngineQueue,
     counters: Rc<Counters>,
     requests: RequestTable,
     connector: Rc<WorkerConnector>,
-    /// The workers of the endpoint list.
+    /// The workers on the endpoint list.
     workers: BTreeMap<WorkerId, Rc<WorkerEndpoint>>,
-    /// Workers by name. A name keeps its number while the worker is listed or has an attempt.
+    /// Worker IDs by name. A name keeps its ID while the worker is listed or has an attempt.
     worker_ids: HashMap<String, WorkerId>,
     last_worker_id: u64,
     recent_sends: RecentSends,
     /// The other processes of an upgrade.
     peers: PeerProcesses,
     migration: MigrationState,
-    /// Where there is a gateway to other sites.
+    /// `None` if no gateway to other sites is configured.
     forwarding: Option<Box<SiteForwarding>>,
-    /// Where there are other schedulers of this site.
+    /// `None` if this site has no other schedulers.
     gossip: Option<GossipSender>,
 }
 
 impl Engine {
-    /// An engine for these settings, and its queue.
+    /// Creates an engine and its queue.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -110,7 +110,7 @@
     ) -> (Self, EngineQueue) {
         counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
         let (sender, receiver) = mpsc::unbounded_channel();
-        let queue = EngineQueue { sender, next: Rc::default() };
+        let queue = EngineQueue { sender, next_request_id: Rc::default() };
         let engine = Engine {
             dispatcher: Dispatcher::new(settings.clone(), seed),
             settings,
@@ -133,20 +133,20 @@
         (engine, queue)
     }
 
-    /// Adds a gateway to other sites, whose clock begins at `clock_origin`.
+    /// Adds a gateway to other sites. The gateway's clock starts at `clock_origin`.
     pub fn with_gateway(mut self, gateway: Gateway, clock_origin: Instant) -> Self {
         let forwarding = SiteForwarding::new(gateway, clock_origin, Rc::clone(&self.counters));
         self.forwarding = Some(Box::new(forwarding));
         self
     }
 
-    /// Adds a way to the other schedulers of the site.
+    /// Adds the gossip channel to the other schedulers of the site.
     pub fn with_gossip(mut self, gossip: GossipSender) -> Self {
         self.gossip = Some(gossip);
         self
     }
 
-    /// Applies the endpoint list that was cached by an earlier run, then runs until the queue closes.
+    /// Applies the endpoint list cached by an earlier run, then processes messages until the queue closes.
     pub async fn run(mut self, cached: EndpointListUpdate) {
         self.endpoint_list_changed(cached, true);
         let mut next_clean_up = Instant::now() + CLEAN_UP_INTERVAL;
@@ -193,19 +193,19 @@
         }
     }
 
-    /// One line for each message; the functions are in the modules listed above.
+    /// Passes each message to its handler in the submodules.
     fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::RequestSubmitted { id, request, reply } => {
                 self.accept_request(id, *request, reply)
             }
             EngineMessage::ClientDisconnected(id) => self.client_disconnected(id),
-            EngineMessage::CallbackReceived { callback, relay } => self.callback(callback, relay),
+            EngineMessage::CallbackReceived { callback, relay } => self.callback_received(callback, relay),
             EngineMessage::RequestMigrated { id, request, reply } => self.take_over(id, *request, reply),
             EngineMessage::SuccessorChanged { accepts_requests } => self.successor_changed(accepts_requests),
             EngineMessage::PeerProcessJoined { peer, role } => self.peer_process_joined(peer, role),
             EngineMessage::LearnedState { learned, worker_names } => {
-                self.state_learned(*learned, &worker_names)
+                self.learned_state_received(*learned, &worker_names)
             }
             EngineMessage::SentByOtherProcess { worker_name, class, work_s } => {
                 self.sent_by_other_process(&worker_name, class, work_s);
@@ -229,19 +229,19 @@
         self.dispatcher.configure(settings.clone());
         self.counters.configure(settings.classes.iter().map(|class| class.name.as_str()));
         self.settings = settings;
+        // The new settings may have enabled gossip.
         self.notify_dispatcher(Event::TimerExpired(DispatcherTimer::Gossip.tag()));
-        // gossip may be allowed from now on
     }
 
-    /// Another process of an upgrade has sent work to a worker.
+    /// Notifies the dispatcher that another process of an upgrade has sent work to a worker.
     fn sent_by_other_process(&mut self, worker_name: &str, class: usize, work: f64) {
         if let Some(&worker) = self.worker_ids.get(worker_name) {
             self.notify_dispatcher(Event::SentByOtherProcess { worker, class, work });
         }
     }
 
-    /// Notifies the dispatcher of an event, and performs the actions that it decides on. Actions that fail on
-    /// the spot are events in turn.
+    /// Notifies the dispatcher of an event and performs the resulting actions. An action that fails
+    /// immediately produces another event, which is handled in the same call.
     fn notify_dispatcher(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -254,7 +254,7 @@
         self.counters.pool_ejected.set(self.dispatcher.ejected_count());
     }
 
-    /// Performs an action; the event that it returns, if any, follows at once.
+    /// Performs an action. Returns a follow-up event if the action failed immediately.
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Dispatch { request, worker } => return self.dispatch(request, worker),
@@ -267,26 +267,26 @@
             }
             Action::Probe(worker) => return self.probe_worker(worker),
             Action::BroadcastGossip(message) => self.broadcast_gossip(message),
-            Action::WatchEndpointList => {} // discovery follows the endpoint list all the time
+            Action::WatchEndpointList => {} // discovery always watches the endpoint list
         }
         None
     }
 
-    /// The dispatcher rejects a request: it is forwarded to another site, or is answered.
+    /// Forwards a request that the dispatcher rejected to another site, or answers it with the rejection.
     fn reject(&mut self, id: RequestId, retry_after_s: f64) {
         if self.forward_rejected(id, retry_after_s) {
             return;
         }
         self.answer(id, self.rejection(id, retry_after_s));
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 
     fn fail(&mut self, id: RequestId) {
         self.answer(id, FinalAnswer::Failed);
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// Without other schedulers, the message counts as lost.
+    /// Broadcasts a gossip message. Without other schedulers the message is dropped.
     fn broadcast_gossip(&self, message: Vec<u8>) {
         if let Some(gossip) = &self.gossip {
             gossip.send_replace(message);
--- a/src/server/engine/answers.rs
+++ b/src/server/engine/answers.rs
@@ -1,6 +1,6 @@
-//! The one final answer of a request, and when the engine forgets the request.
+//! Delivers the final answer of a request and removes finished requests.
 //!
-//! Which answer it is was decided before: by the dispatcher, by a worker's callback, or by the gateway.
+//! The dispatcher, a worker's callback or the gateway has already determined the answer.
 
 use super::request_table::WaitEnd;
 use super::Engine;
@@ -10,20 +10,20 @@
 use crate::server::metrics::Counters;
 
 impl Engine {
-    /// Gives the final answer; false if the client no longer waited for one.
+    /// Sends the final answer. Returns false if the client is no longer waiting.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
         let Some(request) = self.requests.get_mut(id) else { return false };
         let Some(reply) = request.end_wait(WaitEnd::Answered) else { return false };
         count_answer(&self.counters, request.class, &answer);
         let name = request.payload.name.escape_ascii();
         tracing::debug!(request = %name, answer = answer.name(), "request answered");
-        // The client may have disconnected this instant; the message that says so will find nothing to do.
+        // The client may have just disconnected. Its `ClientDisconnected` message then has no effect.
         let _ = reply.send(answer);
         true
     }
 
-    /// The answer to a request that is rejected. One of another site that never ran here is rejected as
-    /// unstarted, so that its own site may still run it.
+    /// Returns the answer to a rejected request. A request from another site that never ran here is rejected
+    /// as unstarted, so that its own site can still run it.
     pub(super) fn rejection(&self, id: RequestId, retry_after_s: f64) -> FinalAnswer {
         match self.requests.get(id) {
             Some(request) if request.forwarding.is_inbound() && request.never_ran() => {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Forgets a request whose client does not wait and that has no open attempt.
-    pub(super) fn forget_if_done(&mut self, id: RequestId) {
+    /// Removes a request whose client is not waiting and that has no open attempt.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if request.is_waiting() || request.has_open_attempt() {
             return;
@@ -46,7 +46,7 @@
 
 fn count_answer(counters: &Counters, class: usize, answer: &FinalAnswer) {
     let class = counters.class(class);
-    let (of_all, of_class) = match answer {
+    let (total, class_total) = match answer {
         FinalAnswer::Served(_) => (&counters.answered_served, &class.ok),
         FinalAnswer::Rejected { .. } | FinalAnswer::RejectedUnstarted => {
             (&counters.answered_rejected, &class.shed)
@@ -55,6 +55,6 @@
             (&counters.answered_failed, &class.errors)
         }
     };
-    of_all.add();
-    of_class.add();
+    total.add();
+    class_total.add();
 }
--- a/src/server/engine/attempt_state.rs
+++ b/src/server/engine/attempt_state.rs
@@ -1,8 +1,7 @@
-//! One attempt as the engine knows it: is its task running, is it being cancelled, or has it ended?
+//! The engine's view of an attempt: running, being cancelled, or ended.
 //!
-//! The stage of the exchange with the worker is the task's own business
-//! ([`crate::server::workers::attempt`]); all that the engine sees of it is whether the worker has accepted the
-//! request.
+//! The attempt's task ([`crate::server::workers::attempt`]) tracks the progress of the exchange with the
+//! worker. The engine only sees whether the worker has accepted the request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,28 +11,28 @@
 use crate::scheduling::WorkerId;
 use crate::server::messages::AttemptCommand;
 
-/// What has become of an attempt, as far as the engine knows.
+/// The state of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptState {
-    /// Its task runs.
+    /// Its task is running.
     Running {
-        /// Ends the task.
+        /// Tells the task how to end.
         command: oneshot::Sender<AttemptCommand>,
     },
-    /// Its task was commanded to cancel, and its end is on its way.
+    /// Its task was told to cancel the attempt and has not yet reported the end.
     Cancelling,
-    /// The dispatcher was notified of its end, or it was never sent.
+    /// It has ended, was never sent, or has been taken over by another process.
     Ended,
 }
 
-/// Why the engine needs the task of an attempt no more.
+/// A transition of the state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AttemptChange {
-    /// The attempt is to be cancelled at the worker.
+pub(super) enum AttemptTransition {
+    /// Cancel the attempt at the worker.
     Cancel,
-    /// The attempt has ended: the task may finish its exchange.
+    /// The attempt has ended; its task may finish the exchange.
     End,
-    /// Another process sees to it from now on.
+    /// Another process takes over the attempt.
     Detach,
 }
 
@@ -41,12 +40,12 @@
 pub(super) struct Attempt {
     pub(super) worker: WorkerId,
     state: AttemptState,
-    /// Set by the task once the worker has accepted the request (202): only callbacks are awaited then.
+    /// Set by the task once the worker has accepted the request (202). After that only callbacks are expected.
     pub(super) accepted: Rc<Cell<bool>>,
 }
 
 impl Attempt {
-    /// An attempt whose task obeys `command`.
+    /// Creates an attempt whose task is controlled through `command`.
     pub(super) fn running(
         worker: WorkerId,
         command: oneshot::Sender<AttemptCommand>,
@@ -55,12 +54,12 @@
         Attempt { worker, state: AttemptState::Running { command }, accepted }
     }
 
-    /// An attempt that has ended, or was never sent.
+    /// Creates an attempt that has ended or was never sent.
     pub(super) fn ended(worker: WorkerId) -> Self {
         Attempt { worker, state: AttemptState::Ended, accepted: Rc::default() }
     }
 
-    /// Whether its end is still to come.
+    /// Returns whether the attempt has not ended yet.
     pub(super) fn is_open(&self) -> bool {
         match self.state {
             AttemptState::Running { .. } | AttemptState::Cancelling => true,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Whether its task runs and was not commanded to cancel.
+    /// Returns whether the attempt is running and not being cancelled.
     pub(super) fn is_running(&self) -> bool {
         match self.state {
             AttemptState::Running { .. } => true,
@@ -76,7 +75,8 @@
         }
     }
 
-    /// Whether another process can see to it: it is over, or the worker has accepted it and nobody cancels it.
+    /// Returns whether another process can take over the attempt: it has ended, or the worker has accepted it and
+    /// it is not being cancelled.
     pub(super) fn can_migrate(&self) -> bool {
         match self.state {
             AttemptState::Running { .. } => self.accepted.get(),
@@ -85,30 +85,31 @@
         }
     }
 
-    /// Changes the state, and commands the task accordingly. Nothing else changes it.
-    pub(super) fn change(&mut self, change: AttemptChange) {
+    /// Applies a transition and sends the task the matching command. Nothing else modifies the state.
+    pub(super) fn advance(&mut self, transition: AttemptTransition) {
         let before = std::mem::replace(&mut self.state, AttemptState::Ended);
-        let (after, command) = match (before, change) {
-            (AttemptState::Running { command }, AttemptChange::Cancel) => {
+        let (after, command) = match (before, transition) {
+            (AttemptState::Running { command }, AttemptTransition::Cancel) => {
                 (AttemptState::Cancelling, Some((command, AttemptCommand::Cancel)))
             }
-            (AttemptState::Running { command }, AttemptChange::End) => {
+            (AttemptState::Running { command }, AttemptTransition::End) => {
                 (AttemptState::Ended, Some((command, AttemptCommand::Finish)))
             }
-            (AttemptState::Running { command }, AttemptChange::Detach) => {
+            (AttemptState::Running { command }, AttemptTransition::Detach) => {
                 (AttemptState::Ended, Some((command, AttemptCommand::Detach)))
             }
-            (AttemptState::Cancelling, AttemptChange::End) => (AttemptState::Ended, None),
-            (AttemptState::Cancelling, AttemptChange::Cancel | AttemptChange::Detach) => {
+            (AttemptState::Cancelling, AttemptTransition::End) => (AttemptState::Ended, None),
+            (AttemptState::Cancelling, AttemptTransition::Cancel | AttemptTransition::Detach) => {
                 (AttemptState::Cancelling, None)
             }
-            (AttemptState::Ended, AttemptChange::Cancel | AttemptChange::End | AttemptChange::Detach) => {
-                (AttemptState::Ended, None)
-            }
+            (
+                AttemptState::Ended,
+                AttemptTransition::Cancel | AttemptTransition::End | AttemptTransition::Detach,
+            ) => (AttemptState::Ended, None),
         };
         self.state = after;
         if let Some((sender, command)) = command {
-            // A task that has ended by itself receives nothing, and needs nothing.
+            // The send fails if the task has already ended; there is nothing left to command.
             let _ = sender.send(command);
         }
     }
--- a/src/server/engine/attempt_state/tests.rs
+++ b/src/server/engine/attempt_state/tests.rs
@@ -1,4 +1,4 @@
-//! The states of an attempt, and what its task is commanded.
+//! Tests of the attempt states and of the commands sent to the attempt's task.
 
 use tokio::sync::oneshot::{self, error::TryRecvError};
 
@@ -10,48 +10,48 @@
 }
 
 #[test]
-fn each_change_of_a_running_attempt_commands_its_task() {
-    for (change, command, open) in [
-        (AttemptChange::Cancel, AttemptCommand::Cancel, true),
-        (AttemptChange::End, AttemptCommand::Finish, false),
-        (AttemptChange::Detach, AttemptCommand::Detach, false),
+fn each_transition_of_a_running_attempt_sends_one_command_to_its_task() {
+    for (transition, command, open) in [
+        (AttemptTransition::Cancel, AttemptCommand::Cancel, true),
+        (AttemptTransition::End, AttemptCommand::Finish, false),
+        (AttemptTransition::Detach, AttemptCommand::Detach, false),
     ] {
         let (mut attempt, mut commands) = running();
-        attempt.change(change);
-        assert_eq!(commands.try_recv(), Ok(command), "{change:?}");
-        assert_eq!((attempt.is_open(), attempt.is_running()), (open, false), "{change:?}");
+        attempt.advance(transition);
+        assert_eq!(commands.try_recv(), Ok(command), "{transition:?}");
+        assert_eq!((attempt.is_open(), attempt.is_running()), (open, false), "{transition:?}");
     }
 }
 
 #[test]
 fn cancelled_attempt_stays_open_until_its_end() {
     let (mut attempt, mut commands) = running();
-    attempt.change(AttemptChange::Cancel);
-    attempt.change(AttemptChange::Cancel);
+    attempt.advance(AttemptTransition::Cancel);
+    attempt.advance(AttemptTransition::Cancel);
     assert!(attempt.is_open());
-    attempt.change(AttemptChange::End);
+    attempt.advance(AttemptTransition::End);
     assert!(!attempt.is_open());
     assert_eq!(commands.try_recv(), Ok(AttemptCommand::Cancel));
-    assert_eq!(commands.try_recv(), Err(TryRecvError::Closed), "the task is commanded once");
+    assert_eq!(commands.try_recv(), Err(TryRecvError::Closed), "the task receives a single command");
 }
 
 #[test]
-fn ended_attempt_never_opens_again() {
-    for change in [AttemptChange::Cancel, AttemptChange::End, AttemptChange::Detach] {
+fn ended_attempt_never_reopens() {
+    for transition in [AttemptTransition::Cancel, AttemptTransition::End, AttemptTransition::Detach] {
         let mut attempt = Attempt::ended(WorkerId(1));
-        attempt.change(change);
-        assert!(!attempt.is_open(), "{change:?}");
+        attempt.advance(transition);
+        assert!(!attempt.is_open(), "{transition:?}");
     }
 }
 
 #[test]
 fn attempt_migrates_once_accepted_unless_it_is_being_cancelled() {
     let (mut attempt, _commands) = running();
-    assert!(!attempt.can_migrate(), "it is being sent");
+    assert!(!attempt.can_migrate(), "the request is still being sent");
     attempt.accepted.set(true);
     assert!(attempt.can_migrate());
-    attempt.change(AttemptChange::Cancel);
-    assert!(!attempt.can_migrate(), "it is being cancelled");
-    attempt.change(AttemptChange::End);
+    attempt.advance(AttemptTransition::Cancel);
+    assert!(!attempt.can_migrate(), "the attempt is being cancelled");
+    attempt.advance(AttemptTransition::End);
     assert!(attempt.can_migrate());
 }
--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -1,35 +1,35 @@
-//! Attempts: how one is sent, cancelled and ended, and how a worker is asked for its capacity.
+//! Dispatches, cancels and ends attempts, and sends capacity probes.
 //!
-//! The engine keeps a number and a state for each attempt; the exchange with the worker is a task of its own
-//! ([`crate::server::workers::attempt`]), which reports its end through the engine's queue. A callback may
-//! have ended the attempt before, in which case the task's report is ignored.
+//! The engine stores an index and a state for each attempt. A separate task
+//! ([`crate::server::workers::attempt`]) runs the exchange with the worker and reports its end through the
+//! engine's queue. That report is ignored if a callback has already ended the attempt.
 
 use std::future::Future;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
-use super::attempt_state::{Attempt, AttemptChange};
+use super::attempt_state::{Attempt, AttemptTransition};
 use super::request_table::{StartedAttempt, TrackedRequest};
 use super::Engine;
 use crate::scheduling::{AttemptEnded, Event, LoadReport, RequestId, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::engine_queue::EngineMessage;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
-use crate::server::load_report::{self, Report};
+use crate::server::load_report::{self, RawLoadReport};
 use crate::server::metrics::Counters;
 use crate::server::workers::attempt::{AttemptResult, AttemptTask};
 use crate::server::workers::capacity_probe::{probe, ProbeResult};
 use crate::server::workers::endpoint::WorkerEndpoint;
 
-/// How an attempt ended, with the load that its worker reported along with it.
+/// How an attempt ended, and the load that its worker reported with it.
 pub(super) struct EndWithLoad {
     pub(super) end: AttemptEnd,
     pub(super) load: LoadReport,
 }
 
 impl Engine {
-    /// Sends an attempt to a worker. The event that is returned, if any, says that it was not sent.
+    /// Sends an attempt to a worker. Returns an event if the attempt was not sent.
     pub(super) fn dispatch(&mut self, id: RequestId, worker_id: WorkerId) -> Option<Event> {
         let request = self.requests.get_mut(id)?;
         let Some(worker) = self.workers.get(&worker_id).filter(|_| request.is_waiting()) else {
@@ -41,7 +41,7 @@
         let name = request.payload.name.escape_ascii();
         tracing::debug!(request = %name, attempt, worker = worker.name, "attempt dispatched");
         if let Some(forwarding) = &mut self.forwarding {
-            forwarding.runs_at_this_site(&self.settings.classes[request.class], &request.payload);
+            forwarding.record_local_execution(&self.settings.classes[request.class], &request.payload);
         }
         let task = attempt_task(&self.counters, request, Rc::clone(worker), started);
         let (worker_name, class) = (worker.name.clone(), request.class);
@@ -54,8 +54,8 @@
         None
     }
 
-    /// An earlier action of the same batch has answered the request, or the worker was removed from the
-    /// endpoint list: nothing is sent, and the dispatcher is notified so.
+    /// Records an attempt that was not sent because an earlier action of the same batch answered the request,
+    /// or because the worker was removed from the endpoint list. Returns the event for the dispatcher.
     fn not_dispatched(&mut self, id: RequestId, worker: WorkerId) -> Option<Event> {
         let request = self.requests.get_mut(id)?;
         let attempt = request.attempts.len();
@@ -69,14 +69,14 @@
         }))
     }
 
-    /// Cancels an attempt; its end follows.
+    /// Cancels an attempt. Its task reports the end later.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
         if let Some(attempt) = self.requests.attempt_mut(id, attempt) {
-            attempt.change(AttemptChange::Cancel);
+            attempt.advance(AttemptTransition::Cancel);
         }
     }
 
-    /// The task of an attempt has ended, with the load report in the header of the worker's answer.
+    /// Handles the end of an attempt's task. `load_report` is the load header of the worker's response.
     pub(super) fn attempt_task_ended(
         &mut self,
         id: RequestId,
@@ -85,13 +85,13 @@
         load_report: Option<String>,
     ) {
         let load = match load_report {
-            Some(header) => self.load_of(&load_report::from_header(&header)),
+            Some(header) => self.resolve_load_report(&load_report::from_header(&header)),
             None => LoadReport::default(),
         };
         self.attempt_ended(id, attempt, EndWithLoad { end, load });
     }
 
-    /// Notifies the dispatcher of the end of an attempt, once.
+    /// Ends an attempt and notifies the dispatcher. Does nothing if the attempt has already ended.
     pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: usize, ending: EndWithLoad) {
         let EndWithLoad { end, load } = ending;
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -99,7 +99,7 @@
         let Some(ended) = request.attempts.get_mut(attempt).filter(|attempt| attempt.is_open()) else {
             return;
         };
-        ended.change(AttemptChange::End);
+        ended.advance(AttemptTransition::End);
         let outcome = end.outcome();
         let name = request.payload.name.escape_ascii();
         let free_slots = load.free_slots.unwrap_or(-1.0);
@@ -113,11 +113,10 @@
             client_answered,
             load,
         }));
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// Sends a worker a capacity probe. The event that is returned, if any, says that the worker was removed
-    /// from the endpoint list meanwhile.
+    /// Sends a capacity probe to a worker. Returns an event if the worker is no longer on the endpoint list.
     pub(super) fn probe_worker(&self, worker: WorkerId) -> Option<Event> {
         let Some(endpoint) = self.workers.get(&worker) else {
             let outcome = AttemptEnd::WorkerInactive.outcome();
@@ -133,13 +132,13 @@
         None
     }
 
-    /// A capacity probe has ended.
-    pub(super) fn probe_ended(&mut self, worker: WorkerId, end: AttemptEnd, load_report: &Report) {
-        let load = self.load_of(load_report);
+    /// Notifies the dispatcher of the result of a capacity probe.
+    pub(super) fn probe_ended(&mut self, worker: WorkerId, end: AttemptEnd, load_report: &RawLoadReport) {
+        let load = self.resolve_load_report(load_report);
         self.notify_dispatcher(Event::ProbeEnded { worker, outcome: end.outcome(), load });
     }
 
-    /// Runs the task of an attempt, and reports its end to this engine.
+    /// Spawns the task of an attempt, which reports its end to this engine.
     pub(super) fn spawn_attempt(
         &self,
         request: RequestId,
@@ -153,8 +152,9 @@
         });
     }
 
-    /// A load report in the dispatcher's fields; values that the settings do not name are ignored.
-    pub(super) fn load_of(&self, report: &Report) -> LoadReport {
+    /// Maps the named values of a load report to the dispatcher's fields. Names that are not in the settings are
+    /// ignored.
+    pub(super) fn resolve_load_report(&self, report: &RawLoadReport) -> LoadReport {
         let mut load = LoadReport::default();
         for (name, value) in report {
             if let Some(index) = self.settings.load_report_names.iter().position(|known| known == name) {
@@ -165,7 +165,7 @@
     }
 }
 
-/// The task of an attempt at this worker.
+/// Builds the task of an attempt.
 pub(super) fn attempt_task(
     counters: &Rc<Counters>,
     request: &TrackedRequest,
--- a/src/server/engine/callbacks.rs
+++ b/src/server/engine/callbacks.rs
@@ -1,8 +1,8 @@
-//! Callbacks: what workers notify of the requests that they have accepted.
+//! Callbacks, with which workers report on the requests that they have accepted.
 //!
-//! A callback names the request and the worker, not the attempt. It may arrive before the answer that the
-//! worker accepted the request (202), twice, or for an attempt that is over; and in an upgrade it may arrive
-//! at a process that does not have the request, which passes it on.
+//! A callback names the request and the worker, not the attempt. It may arrive before the response that
+//! accepts the request (202), more than once, or after the attempt has ended. During an upgrade it may arrive
+//! at a process that does not track the request, which relays it to the other processes.
 
 use super::attempts::EndWithLoad;
 use super::Engine;
@@ -11,10 +11,10 @@
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 use crate::server::messages::{CallbackEvent, CallbackRelay, FinalAnswer, WorkerCallback};
 
-/// A callback that was relayed this often is dropped.
+/// A callback that has been relayed this many times is not relayed again.
 const MAX_RELAYS: u8 = 8;
 
-/// The attempt that a callback is about.
+/// The attempt to which a callback applies.
 struct CallbackTarget {
     request: RequestId,
     attempt: usize,
@@ -22,8 +22,8 @@
 }
 
 impl Engine {
-    /// Applies a callback to the attempt at the worker that sent it, or passes it on.
-    pub(super) fn callback(&mut self, callback: WorkerCallback, relay: Option<CallbackRelay>) {
+    /// Applies a callback to the attempt at the worker that sent it, or relays it to another process.
+    pub(super) fn callback_received(&mut self, callback: WorkerCallback, relay: Option<CallbackRelay>) {
         self.counters.callbacks.add();
         let request = self.requests.id_of(&callback.request_name);
         if request.is_none() && self.relay_callback(&callback, relay) {
@@ -38,20 +38,20 @@
         }
     }
 
-    /// The last open attempt at the callback's worker, else the last one there that has ended.
+    /// Returns the last open attempt at the callback's worker, or the last ended one if none is open.
     fn callback_target(&self, callback: &WorkerCallback) -> Option<CallbackTarget> {
         let id = self.requests.id_of(&callback.request_name)?;
         let worker: WorkerId = self.worker_ids.get(&callback.worker_name).copied()?;
         let attempts = &self.requests.get(id)?.attempts;
-        let last_that_is = |open: bool| {
+        let find_last = |open: bool| {
             attempts.iter().rposition(|attempt| attempt.worker == worker && attempt.is_open() == open)
         };
-        let attempt = last_that_is(true).or_else(|| last_that_is(false))?;
+        let attempt = find_last(true).or_else(|| find_last(false))?;
         Some(CallbackTarget { request: id, attempt, open: attempts[attempt].is_open() })
     }
 
     fn apply_callback(&mut self, target: CallbackTarget, callback: WorkerCallback) {
-        let load = self.load_of(&callback.load_report);
+        let load = self.resolve_load_report(&callback.load_report);
         let CallbackTarget { request, attempt, open } = target;
         match (callback.event, open) {
             (CallbackEvent::Started, true) => {
@@ -70,11 +70,11 @@
                 self.attempt_ended(request, attempt, EndWithLoad { end: AttemptEnd::Completed, load });
             }
             (CallbackEvent::Completed(result), false) => {
-                // A worker has completed what was cancelled or timed out there, and the client gets the result. For the
-                // dispatcher that is the same as a client that waits no more: it closes the request and cancels the rest.
+                // The worker completed an attempt that was cancelled or had timed out, so the client gets the result.
+                // `ClientDisconnected` makes the dispatcher close the request and cancel its other attempts.
                 if self.answer(request, FinalAnswer::Served(result)) {
                     self.notify_dispatcher(Event::ClientDisconnected(request));
-                    self.forget_if_done(request);
+                    self.remove_if_finished(request);
                 }
             }
             (CallbackEvent::Started | CallbackEvent::Progress(_) | CallbackEvent::Ended(_), false) => {
@@ -83,10 +83,11 @@
         }
     }
 
-    /// Relays a callback for a request that is not open here; false if there is no process to relay it to.
+    /// Relays a callback for a request that is not tracked here. Returns false if the relay limit is reached or
+    /// there is no process to relay to.
     ///
-    /// A migrated request is open at the other process, or will be within the next frames. So a callback for
-    /// it may even go back to the process that it came from.
+    /// A callback is not relayed back to its sender, unless the request has migrated: then it is open at the
+    /// other process, or will be once that process has read the next frames.
     fn relay_callback(&self, callback: &WorkerCallback, relay: Option<CallbackRelay>) -> bool {
         let relays = relay.map_or(0, |relay| relay.relays);
         if relays >= MAX_RELAYS {
--- a/src/server/engine/clock.rs
+++ b/src/server/engine/clock.rs
@@ -1,27 +1,28 @@
-//! The engine's clock: Unix time in seconds for the dispatcher, which reads no clock itself.
+//! Unix time in seconds for the dispatcher, which does not read a clock itself.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 
-/// Unix time that cannot run backwards: one reading of the wall clock, and monotonic time from then on.
+/// Unix time that never runs backwards: the wall clock is read once, and monotonic time is added to it.
 ///
-/// The dispatcher compares it with the start times of workers and takes a time of 0 or less for long ago.
-/// Seconds since the start of this process would make workers that have just started look past their slow start.
+/// The dispatcher compares this time with the start times of workers, and treats a start time of 0 or less as
+/// the distant past. If it counted from the start of this process instead, workers that have just started
+/// would appear to have finished their slow start.
 pub(super) struct Clock {
     started: Instant,
     started_unix_s: f64,
 }
 
 impl Clock {
-    /// Reads the wall clock.
+    /// Creates a clock from the current wall-clock time.
     pub(super) fn start() -> Self {
-        // A wall clock before 1970 gives 0, which the dispatcher takes for long ago.
+        // A wall clock before 1970 is read as 0, which the dispatcher treats as the distant past.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_unix_s: unix.as_secs_f64() }
     }
 
-    /// Unix time at this instant, in seconds.
+    /// Returns the Unix time at `instant`, in seconds.
     pub(super) fn at(&self, instant: Instant) -> f64 {
         let after_start = instant.saturating_duration_since(self.started).as_secs_f64();
         let before_start = self.started.saturating_duration_since(instant).as_secs_f64();
--- a/src/server/engine/endpoint_list.rs
+++ b/src/server/engine/endpoint_list.rs
@@ -1,7 +1,6 @@
-//! The endpoint list as the engine keeps it: the workers by number, and each change in the dispatcher's terms.
+//! Applies updates of the endpoint list to the engine's workers and translates them for the dispatcher.
 //!
-//! How the list is followed is the business of [`crate::server::discovery`]; which worker is ejected, of the
-//! dispatcher.
+//! [`crate::server::discovery`] watches the list. The dispatcher decides which workers are ejected.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -9,11 +8,11 @@
 use super::Engine;
 use crate::config::endpoint_list::{EndpointEntry, EndpointListUpdate, EndpointState};
 use crate::scheduling::{Event, LearnedState, Settings, WorkerId, WorkerInfo, WorkerState};
-use crate::server::messages::stable_number;
+use crate::server::messages::stable_hash;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
 impl Engine {
-    /// The number of the worker of this name; a new one if it has none.
+    /// Returns the ID of the worker with this name, assigning a new one if needed.
     pub(super) fn worker_id(&mut self, name: &str) -> WorkerId {
         *self.worker_ids.entry(name.to_owned()).or_insert_with(|| {
             self.last_worker_id += 1;
@@ -21,13 +20,13 @@
         })
     }
 
-    /// The name of a worker; empty if it is forgotten.
+    /// Returns the name of a worker, or an empty string if its ID is no longer assigned.
     pub(super) fn worker_name(&self, worker: WorkerId) -> String {
         let found = self.worker_ids.iter().find(|(_, id)| **id == worker);
         found.map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// Applies an update of the endpoint list. `from_cache` marks the list that was stored by an earlier run.
+    /// Applies an update of the endpoint list. `from_cache` is true for a list stored by an earlier run.
     pub(super) fn endpoint_list_changed(&mut self, update: EndpointListUpdate, from_cache: bool) {
         let complete_snapshot = update.complete_snapshot && update.unreadable_entries == 0;
         if complete_snapshot {
@@ -68,18 +67,18 @@
         worker.update(address, active, entry.started_s);
     }
 
-    /// Takes over what another process has learned of the workers, which have other numbers there.
-    pub(super) fn state_learned(&mut self, learned: LearnedState, names: &[(WorkerId, String)]) {
-        let own_id = |id: WorkerId| {
+    /// Merges the learned state of another process, which uses different worker IDs.
+    pub(super) fn learned_state_received(&mut self, learned: LearnedState, names: &[(WorkerId, String)]) {
+        let local_id = |id: WorkerId| {
             let (_, name) = names.iter().find(|(other, _)| *other == id)?;
             self.worker_ids.get(name).copied()
         };
-        let learned = learned.renumbered(own_id);
+        let learned = learned.renumbered(local_id);
         self.notify_dispatcher(Event::StateLearned(Box::new(learned)));
     }
 
-    /// Closes idle connections to workers, and forgets the numbers of workers that are neither listed nor
-    /// have an attempt.
+    /// Closes idle connections to workers, and releases the IDs of workers that are not listed and have no
+    /// attempt.
     pub(super) fn clean_up_workers(&mut self) {
         for worker in self.workers.values() {
             worker.close_idle_connections();
@@ -94,13 +93,13 @@
     }
 }
 
-/// An entry of the list in the dispatcher's terms. A zone or kind that the settings do not name gets a number
-/// that matches none of theirs.
+/// Converts an entry of the list for the dispatcher. A zone or kind that is not in the settings gets an index
+/// that matches none of the configured ones.
 fn worker_info(settings: &Settings, id: WorkerId, entry: &EndpointEntry) -> WorkerInfo {
     let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
     WorkerInfo {
         id,
-        stable_id: stable_number(entry.name.as_bytes()),
+        stable_id: stable_hash(entry.name.as_bytes()),
         state: match entry.state {
             EndpointState::Active => WorkerState::Ready,
             EndpointState::Draining => WorkerState::Draining,
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -1,15 +1,14 @@
-//! Migration of requests to the process that replaces this one in an upgrade, and from the one that it
-//! replaces.
+//! Migration of requests from the predecessor process and to the successor process in an upgrade.
 //!
-//! The words: a process *hands over* in an upgrade as a whole, idle connections included; a request *migrates*; the
-//! receiving side *takes over*.
+//! Terminology: a process *hands over* as a whole, including its idle connections; a request *migrates*; the
+//! receiving process *takes over* the request.
 //!
-//! A request migrates with all that is known of it, because none may fail only because the process that
-//! accepted it exits. It waits until no attempt of it is being sent or cancelled: that state is in a socket
-//! and cannot be written down. Requests that are at another site, or came from one, stay: they end with the
-//! process that holds the link.
+//! A request migrates with its complete state, so that it does not fail because the process that accepted it
+//! exits. It migrates only when none of its attempts is being sent or cancelled, because that state belongs to
+//! a socket and cannot be serialized. Requests that are at another site, or came from one, do not migrate: they
+//! depend on the site link of this process.
 //!
-//! The frames are in [`crate::server::lifecycle::handover_frames`], the sockets of the clients in
+//! The frames are defined in [`crate::server::lifecycle::handover_frames`]; the clients' sockets belong to
 //! [`crate::server::frontend`].
 
 use std::collections::HashSet;
@@ -19,7 +18,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::attempt_state::{Attempt, AttemptChange};
+use super::attempt_state::{Attempt, AttemptTransition};
 use super::attempts::attempt_task;
 use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
@@ -32,22 +31,23 @@
 use crate::server::metrics::Gauge;
 use crate::server::workers::endpoint::WorkerEndpoint;
 
-/// Whether requests migrate from this process.
+/// Whether requests migrate from this process to a successor.
 #[derive(Debug, Default)]
 pub(super) enum MigrationState {
-    /// There is no process to which they could.
+    /// No successor accepts requests.
     #[default]
     Off,
-    /// Another process has replaced this one.
+    /// A successor accepts requests.
     Migrating {
-        /// The names of the requests that have migrated to it.
+        /// Names of the requests that have migrated to the successor.
         migrated: HashSet<Bytes>,
     },
 }
 
 impl MigrationState {
-    /// A successor accepts requests, or does so no more: then the requests that have migrated to it are gone with it.
-    fn change(&mut self, accepts_requests: bool) {
+    /// Records whether a successor accepts requests. When it stops, the requests that migrated to it are lost and
+    /// their names are forgotten.
+    fn set_accepts_requests(&mut self, accepts_requests: bool) {
         let before = std::mem::take(self);
         *self = match (before, accepts_requests) {
             (MigrationState::Off, true) => MigrationState::Migrating { migrated: HashSet::new() },
@@ -56,7 +56,7 @@
         };
     }
 
-    /// Whether requests migrate.
+    /// Returns whether requests migrate.
     pub(super) fn is_migrating(&self) -> bool {
         match self {
             MigrationState::Off => false,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether the request of this name has migrated.
+    /// Returns whether the request with this name has migrated.
     pub(super) fn has_migrated(&self, name: &Bytes) -> bool {
         match self {
             MigrationState::Off => false,
@@ -72,7 +72,7 @@
         }
     }
 
-    fn record(&mut self, name: Bytes) {
+    fn record_migrated(&mut self, name: Bytes) {
         match self {
             MigrationState::Off => {}
             MigrationState::Migrating { migrated } => {
@@ -83,13 +83,13 @@
 }
 
 impl Engine {
-    /// A successor accepts requests, or does so no more.
+    /// Handles a change in whether a successor accepts requests.
     pub(super) fn successor_changed(&mut self, accepts_requests: bool) {
-        self.migration.change(accepts_requests);
+        self.migration.set_accepts_requests(accepts_requests);
         self.migrate_requests();
     }
 
-    /// Migrates the requests that can: their client waits, and no attempt is being sent or cancelled now.
+    /// Migrates all requests whose client is waiting and that have no attempt being sent or cancelled.
     pub(super) fn migrate_requests(&mut self) {
         if !self.migration.is_migrating() {
             return;
@@ -107,7 +107,7 @@
         let mut attempts = Vec::with_capacity(request.attempts.len());
         for attempt in &mut request.attempts {
             let open = attempt.is_open();
-            attempt.change(AttemptChange::Detach);
+            attempt.advance(AttemptTransition::Detach);
             attempts.push(MigratedAttempt {
                 worker_name: self.worker_name(attempt.worker),
                 address: self.workers.get(&attempt.worker).map(|worker| worker.address()),
@@ -122,10 +122,10 @@
             record,
             payload: (*request.payload).clone(),
         };
-        self.migration.record(migrated.payload.name.clone());
+        self.migration.record_migrated(migrated.payload.name.clone());
         self.counters.transactions_moved.add();
         if let Some(reply) = request.end_wait(WaitEnd::Answered) {
-            // A client that has disconnected this instant needs no answer from the other process either.
+            // If the client has just disconnected, the other process need not answer it either.
             let _ = reply.send(FinalAnswer::Migrated(Box::new(migrated)));
         }
     }
@@ -139,7 +139,7 @@
     ) {
         let MigratedRequest { class, estimated_work_s, time_left, attempts, record, payload } = migrated;
         if class >= self.settings.classes.len() || self.requests.id_of(&payload.name).is_some() {
-            // A client that has disconnected needs no answer.
+            // The send fails if the client has disconnected.
             let _ = reply.send(FinalAnswer::Failed);
             return;
         }
@@ -155,12 +155,12 @@
             slots,
             memory,
             estimated_work_s,
-            affinity_key: None, // the dispatcher's record has it
+            affinity_key: None, // contained in the dispatcher's record
             payload,
-            origin: None, // requests of other sites do not migrate
+            origin: None, // requests from other sites do not migrate
         };
         let mut request = TrackedRequest::new(submitted, reply, Gauge::count(&self.counters.active));
-        // The other process knows whether it ran. Here it counts as run, so that it is not forwarded.
+        // Only the other process knows whether the request ran. Assume that it did, so that it is not forwarded.
         request.may_have_run = true;
         for (attempt, &worker) in attempts.into_iter().zip(&workers) {
             self.resume_attempt(id, &mut request, worker, attempt);
@@ -171,8 +171,8 @@
         self.notify_dispatcher(Event::RequestTakenOver(Box::new(record)));
     }
 
-    /// Adds an attempt of a migrated request. An open one was accepted by its worker: only callbacks, the
-    /// deadline or a cancellation can end it.
+    /// Adds an attempt of a migrated request. An open attempt has been accepted by its worker, so only a
+    /// callback, the deadline or a cancellation can end it.
     fn resume_attempt(
         &self,
         id: RequestId,
@@ -191,14 +191,14 @@
             let address = migrated.address?;
             Some(Rc::new(WorkerEndpoint::new(migrated.worker_name, address, connector)))
         });
-        // Without an address there is nowhere to send a cancellation.
+        // Without an address, a cancellation could not be sent, so no task is needed.
         let Some(endpoint) = endpoint else { return };
         let task = attempt_task(&self.counters, request, endpoint, started);
         self.spawn_attempt(id, attempt, task.run_accepted());
     }
 
-    /// Notifies a process that has joined of what it must know: the open requests, and the work that workers
-    /// were sent lately; a successor also of the learned state.
+    /// Sends a process that has joined the names of the open requests and the recently sent work. A successor
+    /// also receives the learned state.
     pub(super) fn peer_process_joined(&mut self, peer: PeerProcessId, role: ProcessRole) {
         if role == ProcessRole::Successor {
             let learned = self.dispatcher.learned_state();
@@ -219,7 +219,7 @@
 fn can_migrate(request: &TrackedRequest) -> bool {
     request.is_waiting()
         && request.attempts.iter().all(Attempt::can_migrate)
-        && !request.forwarding.ends_with_this_process()
+        && !request.forwarding.depends_on_site_link()
 }
 
 #[cfg(test)]
--- a/src/server/engine/migration/tests.rs
+++ b/src/server/engine/migration/tests.rs
@@ -1,17 +1,20 @@
-//! Whether requests migrate, and which have.
+//! Tests of whether requests migrate and of the names of migrated requests.
 
 use super::*;
 
 #[test]
-fn migrated_names_last_as_long_as_the_successor() {
+fn migrated_names_are_kept_until_the_successor_stops_accepting_requests() {
     let name = Bytes::from_static(b"r1");
     let mut state = MigrationState::default();
-    state.record(name.clone());
-    assert!(!state.is_migrating() && !state.has_migrated(&name), "there is no successor");
-    state.change(true);
-    state.record(name.clone());
-    state.change(true);
-    assert!(state.is_migrating() && state.has_migrated(&name), "the same successor still has it");
-    state.change(false);
+    state.record_migrated(name.clone());
+    assert!(!state.is_migrating() && !state.has_migrated(&name), "no successor accepts requests");
+    state.set_accepts_requests(true);
+    state.record_migrated(name.clone());
+    state.set_accepts_requests(true);
+    assert!(
+        state.is_migrating() && state.has_migrated(&name),
+        "the name is kept while the successor accepts requests"
+    );
+    state.set_accepts_requests(false);
     assert!(!state.is_migrating() && !state.has_migrated(&name));
 }
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -1,8 +1,8 @@
-//! The work that this process sent to workers within the overload window.
+//! The work that this process has sent to workers within the overload window.
 //!
-//! A worker in slow start collapses when it is sent too much within that window, by whichever process.
-//! So a process that joins in an upgrade is notified of these sends (see [`super::migration`]). What this
-//! process itself counts against a worker is the dispatcher's business.
+//! A worker in slow start collapses if it is sent too much work within that window, no matter by which process.
+//! Therefore a process that joins in an upgrade is notified of these sends (see [`super::migration`]). The
+//! dispatcher tracks the work sent by this process separately.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,41 +12,41 @@
 use crate::scheduling::Settings;
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 
-/// The longest window that is kept, whatever the settings say.
+/// Upper bound on the overload window, regardless of the settings.
 const MAX_WINDOW_S: f64 = 60.0;
 
-/// One attempt that was sent.
-struct Send {
-    at: Instant,
+/// An attempt that was sent to a worker.
+struct SentAttempt {
+    sent_at: Instant,
     worker_name: String,
     class: usize,
     work_s: f64,
 }
 
-/// Sends of the last overload window, oldest first.
+/// Attempts sent within the overload window, oldest first.
 #[derive(Default)]
-pub(super) struct RecentSends(VecDeque<Send>);
+pub(super) struct RecentSends(VecDeque<SentAttempt>);
 
 impl RecentSends {
-    /// Adds a send of now.
+    /// Records an attempt that was sent now.
     pub(super) fn add(&mut self, worker_name: String, class: usize, work_s: f64) {
-        self.0.push_back(Send { at: Instant::now(), worker_name, class, work_s });
+        self.0.push_back(SentAttempt { sent_at: Instant::now(), worker_name, class, work_s });
     }
 
-    /// Forgets what was sent before the overload window.
+    /// Removes the attempts that were sent before the overload window.
     pub(super) fn expire(&mut self, settings: &Settings) {
         let window = Duration::from_secs_f64(settings.overload_window_s.clamp(0.0, MAX_WINDOW_S));
-        while self.0.front().is_some_and(|send| send.at.elapsed() > window) {
+        while self.0.front().is_some_and(|sent| sent.sent_at.elapsed() > window) {
             self.0.pop_front();
         }
     }
 
-    /// The `WorkSent` frames for a process that joins, oldest first.
+    /// Returns the `WorkSent` frames for a process that joins, oldest first.
     pub(super) fn frames(&self) -> impl Iterator<Item = HandoverFrame> + '_ {
-        self.0.iter().map(|send| HandoverFrame::WorkSent {
-            worker_name: send.worker_name.clone(),
-            class: send.class,
-            work_s: send.work_s,
+        self.0.iter().map(|sent| HandoverFrame::WorkSent {
+            worker_name: sent.worker_name.clone(),
+            class: sent.class,
+            work_s: sent.work_s,
         })
     }
 }
--- a/src/server/engine/request_table.rs
+++ b/src/server/engine/request_table.rs
@@ -1,12 +1,12 @@
-//! The requests that the engine tracks, and whether the client of each still waits.
+//! The requests tracked by the engine, with the state of their clients and attempts.
 //!
-//! A request is tracked from its acceptance until no client waits for it and no attempt of it is open. Three enums
-//! say where it stands: [`ClientState`] (is an answer owed?), for each attempt
-//! [`AttemptState`](super::attempt_state::AttemptState), and [`ForwardingState`] (what does it have to do with other
-//! sites?). Each has one function that changes it.
+//! A request is tracked from its acceptance until its client is no longer waiting and it has no open attempt.
+//! Three enums describe its state: [`ClientState`] (whether an answer is owed),
+//! [`AttemptState`](super::attempt_state::AttemptState) for each attempt, and [`ForwardingState`] (whether
+//! another site is involved). Each is modified by a single function.
 //!
-//! The table holds these records and finds them by number or by name. It decides nothing: see
-//! [`super::requests`] for what happens to a request, and [`super::attempts`] for what happens to an attempt.
+//! The table only stores requests and finds them by ID or by name. [`super::requests`] and [`super::attempts`]
+//! implement their lifecycle.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -22,70 +22,72 @@
 use crate::server::messages::{AttemptCommand, ClientRequest, FinalAnswer, RequestPayload};
 use crate::server::metrics::GaugeGuard;
 
-/// Whether the client of a request still waits for its answer.
+/// Whether the client of a request is still waiting for its answer.
 pub(super) enum ClientState {
-    /// It does.
+    /// The client is waiting.
     Waiting {
-        /// Where the final answer goes.
+        /// Receives the final answer.
         reply: oneshot::Sender<FinalAnswer>,
         /// Counts the request as active.
         active: GaugeGuard,
     },
-    /// It has its answer; or another process is to give it, and handles its callbacks.
+    /// The client has its answer, or the request has migrated to another process, which answers it and handles its
+    /// callbacks.
     Answered,
-    /// It closed its connection before the answer.
+    /// The client closed its connection before the answer.
     Disconnected,
 }
 
-/// How the wait of a client ends.
+/// Why a client stops waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WaitEnd {
-    /// With the final answer, or with the migration to another process.
+    /// The final answer was given, or the request migrated to another process.
     Answered,
     /// The client closed its connection.
     Disconnected,
 }
 
-/// An attempt that was added to its request, and the task's ends of it.
+/// An attempt that was added to its request, with the handles for its task.
 pub(super) struct StartedAttempt {
-    /// Its number in the request.
+    /// Index into the request's attempts.
     pub(super) number: usize,
-    /// What the task is commanded.
+    /// Receives the command to the task.
     pub(super) commands: oneshot::Receiver<AttemptCommand>,
-    /// The task sets it once the worker has accepted the request.
+    /// Set by the task once the worker has accepted the request.
     pub(super) accepted: Rc<Cell<bool>>,
 }
 
-/// A request from its acceptance until nothing of it is left to do.
+/// A request, from its acceptance until it is answered and its attempts have ended.
 pub(super) struct TrackedRequest {
     /// Index into the settings' classes.
     pub(super) class: usize,
     /// Index into the settings' tenants.
     pub(super) tenant: usize,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(super) deadline: Instant,
-    /// Slots that it takes at a worker.
+    /// Number of slots that the request occupies on a worker.
     pub(super) slots: f64,
-    /// Memory that it takes at a worker.
+    /// Amount of memory that the request occupies on a worker.
     pub(super) memory: f64,
-    /// Its expected work in seconds, if its client gave a hint.
+    /// Estimated work in seconds, if the client sent a hint.
     pub(super) estimated_work_s: Option<f64>,
-    /// What goes to workers.
+    /// The part of the request that is sent to workers.
     pub(super) payload: Rc<RequestPayload>,
-    /// Private, so that only [`TrackedRequest::end_wait`] changes it.
+    /// Private, so that only [`TrackedRequest::end_wait`] can change it.
     client: ClientState,
-    /// In the order in which the dispatcher asked for them: the index is the attempt's number.
+    /// In the order in which the dispatcher dispatched them. The index identifies an attempt.
     pub(super) attempts: Vec<Attempt>,
-    /// An attempt has ended in a way that does not prove that it never ran.
+    /// True once an attempt has ended with an outcome that does not prove that the request never ran.
     pub(super) may_have_run: bool,
-    /// What it has to do with other sites.
+    /// Whether the request was received from, or forwarded to, another site.
     pub(super) forwarding: ForwardingState,
-    /// Its priority by Eq. 1 when the dispatcher received it; below 0 where it is over its tenant's quota, and until then.
+    /// Priority by Eq. 1 at the time the dispatcher received the request. Negative if the request is over its
+    /// tenant's quota or the dispatcher has not received it yet.
     pub(super) priority: f64,
 }
 
 impl TrackedRequest {
-    /// A request without attempts, whose answer goes to `reply`.
+    /// Creates a request without attempts. Its final answer is sent to `reply`.
     pub(super) fn new(
         request: ClientRequest,
         reply: oneshot::Sender<FinalAnswer>,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Adds an attempt whose task is to run; `accepted` if the worker has accepted the request already.
+    /// Adds a running attempt. `accepted` is true if the worker has already accepted the request.
     pub(super) fn start_attempt(&mut self, worker: WorkerId, accepted: bool) -> StartedAttempt {
         let (command, commands) = oneshot::channel();
         let accepted = Rc::new(Cell::new(accepted));
@@ -120,7 +122,7 @@
         StartedAttempt { number, commands, accepted }
     }
 
-    /// Whether the client waits for its answer.
+    /// Returns whether the client is waiting for its answer.
     pub(super) fn is_waiting(&self) -> bool {
         match self.client {
             ClientState::Waiting { .. } => true,
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Ends the wait of the client; gives where the answer goes if it was waiting. Nothing else changes that
-    /// state, so that there is one final answer.
+    /// Marks the client as no longer waiting, and returns the reply channel if it was waiting. Nothing else
+    /// changes the client state, so a request gets at most one final answer.
     pub(super) fn end_wait(&mut self, end: WaitEnd) -> Option<oneshot::Sender<FinalAnswer>> {
         if !self.is_waiting() {
             return None;
@@ -147,77 +149,77 @@
         }
     }
 
-    /// Whether an attempt is open.
+    /// Returns whether any attempt is open.
     pub(super) fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(Attempt::is_open)
     }
 
-    /// Whether it is certain that nothing of it has run or will run here.
+    /// Returns whether it is certain that the request has not run, and will not run, at this site.
     pub(super) fn never_ran(&self) -> bool {
         !self.may_have_run && !self.has_open_attempt()
     }
 }
 
-/// The tracked requests, by number and by name.
+/// The tracked requests, by ID and by name.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, TrackedRequest>,
-    /// Numbers by `X-Request-Id`, the name that workers use in callbacks.
-    ids: HashMap<Bytes, RequestId>,
+    /// IDs by `X-Request-Id`, the name that workers use in callbacks.
+    ids_by_name: HashMap<Bytes, RequestId>,
 }
 
 impl RequestTable {
     /// Adds a request.
     pub(super) fn insert(&mut self, id: RequestId, request: TrackedRequest) {
-        self.ids.insert(request.payload.name.clone(), id);
+        self.ids_by_name.insert(request.payload.name.clone(), id);
         self.requests.insert(id, request);
     }
 
     /// Removes a request.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
         let request = self.requests.remove(&id)?;
-        self.ids.remove(&request.payload.name);
+        self.ids_by_name.remove(&request.payload.name);
         Some(request)
     }
 
-    /// The request of this number.
+    /// Returns the request with this ID.
     pub(super) fn get(&self, id: RequestId) -> Option<&TrackedRequest> {
         self.requests.get(&id)
     }
 
-    /// The same, to be changed.
+    /// Returns the request with this ID for modification.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut TrackedRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// An attempt of a request, by its number.
+    /// Returns an attempt of a request, by its index.
     pub(super) fn attempt_mut(&mut self, id: RequestId, attempt: usize) -> Option<&mut Attempt> {
         self.requests.get_mut(&id)?.attempts.get_mut(attempt)
     }
 
-    /// The number of the request of this name.
+    /// Returns the ID of the request with this name.
     pub(super) fn id_of(&self, name: &Bytes) -> Option<RequestId> {
-        self.ids.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
-    /// Whether a request has this name or this number.
+    /// Returns whether a request has this name or this ID.
     pub(super) fn is_in_use(&self, name: &Bytes, id: RequestId) -> bool {
-        self.ids.contains_key(name) || self.requests.contains_key(&id)
+        self.ids_by_name.contains_key(name) || self.requests.contains_key(&id)
     }
 
-    /// Whether there is none.
+    /// Returns whether no requests are tracked.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// All requests, in no order.
+    /// Returns all requests, in arbitrary order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &TrackedRequest)> {
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// The names of all requests, in no order.
+    /// Returns the names of all requests, in arbitrary order.
     pub(super) fn names(&self) -> impl Iterator<Item = &Bytes> {
-        self.ids.keys()
+        self.ids_by_name.keys()
     }
 }
 
--- a/src/server/engine/request_table/tests.rs
+++ b/src/server/engine/request_table/tests.rs
@@ -1,9 +1,9 @@
-//! A request has one final answer, and is found by number and by name.
+//! Tests of the single final answer of a request and of the lookup by ID and by name.
 
 use std::time::Duration;
 
 use super::*;
-use crate::server::engine::attempt_state::AttemptChange;
+use crate::server::engine::attempt_state::AttemptTransition;
 use crate::server::metrics::Gauge;
 
 fn submitted(name: &'static [u8]) -> ClientRequest {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn client_waits_until_the_first_end_and_counts_as_active_until_then() {
+fn client_waits_and_counts_as_active_until_the_first_end_of_its_wait() {
     for (first, second) in
         [(WaitEnd::Answered, WaitEnd::Disconnected), (WaitEnd::Disconnected, WaitEnd::Answered)]
     {
@@ -41,24 +41,24 @@
         assert_eq!((request.is_waiting(), active.get()), (true, 1));
         assert!(request.end_wait(first).is_some());
         assert_eq!((request.is_waiting(), active.get()), (false, 0), "{first:?}");
-        assert!(request.end_wait(second).is_none(), "there is one final answer");
+        assert!(request.end_wait(second).is_none(), "a request has at most one final answer");
     }
 }
 
 #[test]
-fn request_never_ran_only_without_an_open_attempt_and_without_one_that_may_have_run() {
+fn never_ran_is_false_with_an_open_attempt_or_one_that_may_have_run() {
     let mut request = tracked(b"r1", &Rc::default());
     assert!(request.never_ran());
     let started = request.start_attempt(WorkerId(1), false);
     assert!(!request.never_ran());
-    request.attempts[started.number].change(AttemptChange::End);
+    request.attempts[started.number].advance(AttemptTransition::End);
     assert!(request.never_ran());
     request.may_have_run = true;
     assert!(!request.never_ran());
 }
 
 #[test]
-fn name_and_number_are_in_use_until_the_request_is_removed() {
+fn name_and_id_are_in_use_until_the_request_is_removed() {
     let (one, two) = (RequestId(1), RequestId(2));
     let (name, other) = (Bytes::from_static(b"r1"), Bytes::from_static(b"r2"));
     let mut table = RequestTable::default();
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -1,11 +1,11 @@
-//! How a request begins, and the two ways in which it ends without an answer of the dispatcher: its client
-//! disconnects, or its deadline passes.
+//! Accepts requests and handles client disconnects and expired deadlines.
 //!
-//! Whether a request is admitted, and where it runs, is the dispatcher's decision; it is notified here.
+//! The dispatcher decides whether a request is admitted and where it runs; this module notifies it of the
+//! events.
 
 use tokio::sync::oneshot;
 
-use super::attempt_state::AttemptChange;
+use super::attempt_state::AttemptTransition;
 use super::attempts::EndWithLoad;
 use super::request_table::{TrackedRequest, WaitEnd};
 use super::timers::Timer;
@@ -17,7 +17,7 @@
 use crate::server::metrics::Gauge;
 
 impl Engine {
-    /// Accepts a request, unless its id is in use, and notifies the dispatcher of it.
+    /// Accepts a request unless its ID is in use, and notifies the dispatcher.
     pub(super) fn accept_request(
         &mut self,
         id: RequestId,
@@ -53,14 +53,15 @@
         let active = Gauge::count(&self.counters.active);
         self.requests.insert(id, TrackedRequest::new(submitted, reply, active));
         self.timers.set(deadline, Timer::Deadline(id));
-        if self.bind_to_other_site(id) {
-            return; // a request with this idempotency key may have run at another site, so it must not run here
+        if self.forward_if_bound_elsewhere(id) {
+            return; // a request with the same idempotency key may have run at another site, so this one must not run here
         }
         self.notify_dispatcher(event);
         self.record_priority(id);
     }
 
-    /// Workers' callbacks name a request by its `X-Request-Id` alone: two of that name cannot be told apart.
+    /// Rejects a request whose `X-Request-Id` is in use. Callbacks identify a request by that ID alone, so two open
+    /// requests cannot share it.
     fn reject_duplicate(&self, submitted: &ClientRequest, reply: oneshot::Sender<FinalAnswer>) {
         if self.counters.duplicate_ids.add().is_power_of_two() {
             let name = submitted.payload.name.escape_ascii();
@@ -71,7 +72,7 @@
         let _ = reply.send(FinalAnswer::DuplicateId);
     }
 
-    /// Remembers what the dispatcher makes of a request: the gateway forwards by it.
+    /// Stores the priority that the dispatcher gave a request; the gateway uses it to choose requests to forward.
     fn record_priority(&mut self, id: RequestId) {
         if self.forwarding.is_none() {
             return;
@@ -82,28 +83,30 @@
         }
     }
 
-    /// The client of a request has closed its connection: nobody waits for an answer any more.
+    /// Handles the disconnect of a client: its request no longer needs an answer.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        // An answer that is dropped unsent has no receiver any more.
+        // Dropping the reply channel unsent is fine: its receiver is gone.
         if request.end_wait(WaitEnd::Disconnected).is_none() {
             return;
         }
         self.counters.clients_left.add();
         self.notify_dispatcher(Event::ClientDisconnected(id));
-        self.withdraw_forwarded(id);
-        self.forget_if_done(id);
+        self.cancel_forwarded(id);
+        self.remove_if_finished(id);
     }
 
-    /// The deadline of a request has passed: its running attempts are over, and the dispatcher gives the final
-    /// answer, which the answer slack still covers. Attempts that are being cancelled end in their own way. The dispatcher has a
-    /// timer of its own for the same deadline, two event intervals earlier; this one ends what is still on a socket.
+    /// Handles an expired deadline: ends the running attempts of the request. Attempts that are already being
+    /// cancelled report their own end.
+    ///
+    /// The dispatcher gives the final answer, within the answer slack. It has its own timer for the same deadline,
+    /// two event intervals earlier; this timer ends the attempts that are still using a socket.
     pub(super) fn deadline_passed(&mut self, id: RequestId) {
         let attempts = self.requests.get(id).map_or(0, |request| request.attempts.len());
         for attempt in 0..attempts {
             let Some(expired) = self.requests.attempt_mut(id, attempt) else { return };
             if expired.is_running() {
-                expired.change(AttemptChange::Cancel);
+                expired.advance(AttemptTransition::Cancel);
                 let ending = EndWithLoad { end: AttemptEnd::DeadlinePassed, load: LoadReport::default() };
                 self.attempt_ended(id, attempt, ending);
             }
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -1,20 +1,21 @@
-//! The engine's part in forwarding requests to other sites, and in running theirs.
+//! Forwards requests to other sites and runs requests from other sites.
 //!
-//! `chutesaddle-gateway` decides: which request is forwarded, over which site link, and what this site grants
-//! to others. It knows no request beyond what the engine states as a candidate. The engine translates in both
-//! directions: events of the site links and of this site's load for the gateway, and the gateway's actions
-//! into frames, answers and requests of this site. Without a gateway, everything here does nothing.
+//! `chutesaddle-gateway` decides which requests are forwarded over which site link, and how much capacity this
+//! site grants to others. It only knows the requests that the engine offers as candidates. The engine
+//! translates in both directions: it turns site link events and the site's load into gateway events, and
+//! gateway actions into frames, answers and local requests. Without a gateway, nothing in this module has an
+//! effect.
 //!
-//! | module | question it answers |
+//! | module | purpose |
 //! | --- | --- |
-//! | `state` | where a request stands between this site and others |
-//! | `links` | which site links are up, and how a frame is sent on one |
-//! | `frames` | what a received frame means to the gateway |
-//! | `candidates` | which requests are stated to the gateway, when and with which limits |
-//! | `outbound` | how a request of this site is forwarded, comes back or is answered from there |
-//! | `inbound` | how a request of another site is run here |
+//! | `state` | tracks whether a request is local, inbound, outbound or returned |
+//! | `links` | tracks the site links and sends frames on them |
+//! | `frames` | converts received frames to gateway events |
+//! | `candidates` | offers requests to the gateway as candidates for forwarding |
+//! | `outbound` | forwards requests of this site, and handles their return or answer |
+//! | `inbound` | runs requests from other sites |
 //!
-//! The bytes on a link are in `chutesaddle-site-link`, its sockets in [`crate::server::peers`].
+//! The frame encoding is in `chutesaddle-site-link`; the sockets are in [`crate::server::peers`].
 
 mod candidates;
 mod frames;
@@ -39,43 +40,43 @@
 
 use links::SiteLink;
 pub(super) use state::ForwardingState;
-use state::{ForwardingChange, OnReturn};
+use state::{ForwardingTransition, OnReturn};
 
-/// An offer that was received, until the gateway has decided on it.
+/// A received offer on which the gateway has not decided yet.
 struct PendingOffer {
     origin: Origin,
     request: Box<OfferedRequest>,
 }
 
-/// The gateway, the site links, and the requests of other sites that run here.
+/// The gateway, the site links, and the requests from other sites that run here.
 pub(super) struct SiteForwarding {
     gateway: Gateway,
-    /// Where the gateway's clock begins.
+    /// Zero of the gateway's clock.
     clock_origin: Instant,
     links: HashMap<LinkId, SiteLink>,
-    /// The tasks that wait for the answers to requests of other sites.
-    inbound: HashMap<Origin, AbortHandle>,
+    /// Tasks that wait for the answers to requests from other sites.
+    inbound_tasks: HashMap<Origin, AbortHandle>,
     pending_offer: Option<PendingOffer>,
     next_load_update: Instant,
     counters: Rc<Counters>,
 }
 
 impl SiteForwarding {
-    /// Starts without any link.
+    /// Creates the forwarding state with no links.
     pub(super) fn new(gateway: Gateway, clock_origin: Instant, counters: Rc<Counters>) -> Self {
         counters.gateway.enable();
         SiteForwarding {
             gateway,
             clock_origin,
             links: HashMap::new(),
-            inbound: HashMap::new(),
+            inbound_tasks: HashMap::new(),
             pending_offer: None,
             next_load_update: clock_origin,
             counters,
         }
     }
 
-    /// When [`Engine::update_gateway_load`] is due.
+    /// Returns when [`Engine::update_gateway_load`] is due.
     pub(super) fn next_load_update(&self) -> Instant {
         self.next_load_update
     }
@@ -84,12 +85,13 @@
         self.clock_origin.elapsed()
     }
 
-    /// An attempt of this class is sent to a worker of this site: its idempotency key is bound to this site.
-    pub(super) fn runs_at_this_site(&mut self, class: &RequestClass, payload: &RequestPayload) {
+    /// Binds the idempotency key of a request, if it has one, to this site: an attempt is being sent to a local
+    /// worker.
+    pub(super) fn record_local_execution(&mut self, class: &RequestClass, payload: &RequestPayload) {
         if let gateway::Idempotency::WithKey { key, window } =
             candidates::idempotency_across_sites(class, payload)
         {
-            // The gateway only records it: there are no actions.
+            // The gateway only records the key and returns no actions.
             let mut actions = Vec::new();
             let now = self.now();
             self.gateway.handle(now, GatewayEvent::KeyRanLocally { key, window }, &mut actions);
@@ -103,16 +105,16 @@
     }
 }
 
-/// The longest time for which a key or an outcome is kept, whatever the settings say.
+/// Upper bound on how long an idempotency key or an outcome is kept, regardless of the settings.
 const MAX_WINDOW: Duration = Duration::from_secs(24 * 3600);
 
-/// How long workers of a class drop repeats with the same idempotency key.
+/// Returns how long workers deduplicate requests of a class with the same idempotency key.
 fn deduplication_window(class: &RequestClass) -> Duration {
     Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, MAX_WINDOW.as_secs_f64()))
 }
 
 impl Engine {
-    /// Notifies the gateway of an event, and performs the actions that it decides on.
+    /// Notifies the gateway of an event and performs the resulting actions.
     fn notify_gateway(&mut self, event: GatewayEvent) {
         let Some(forwarding) = &mut self.forwarding else { return };
         let mut actions = Vec::new();
@@ -129,7 +131,10 @@
         let Some(forwarding) = &mut self.forwarding else { return };
         match action {
             Action::Forward { request, link, forwarded, epoch, time_left } => {
-                self.forward(RequestId(request.0), outbound::Forward { link, forwarded, epoch, time_left });
+                self.forward(
+                    RequestId(request.0),
+                    outbound::ForwardParams { link, forwarded, epoch, time_left },
+                );
             }
             Action::KeepLocal(request, reason) => self.not_forwarded(RequestId(request.0), reason),
             Action::ReturnToScheduler(request) => self.forwarded_request_returned(RequestId(request.0)),
--- a/src/server/engine/site_forwarding/candidates.rs
+++ b/src/server/engine/site_forwarding/candidates.rs
@@ -1,38 +1,39 @@
-//! Which requests are stated to the gateway as candidates for forwarding.
+//! Offers requests to the gateway as candidates for forwarding.
 //!
-//! There are three occasions: this site lacks capacity and requests wait in vain; the dispatcher rejects a
-//! request; or a new request has an idempotency key that is bound to another site. The gateway decides.
+//! A request is offered in three cases: it is waiting because this site lacks capacity; the dispatcher has
+//! rejected it; or it is new and its idempotency key is bound to another site. The gateway decides whether it is
+//! forwarded.
 
 use std::time::Duration;
 
 use chutesaddle_gateway::{self as gateway, Candidate, Event as GatewayEvent, LocalRequestId, SiteLoad};
 use tokio::time::Instant;
 
-use super::{deduplication_window, ForwardingChange};
+use super::{deduplication_window, ForwardingTransition};
 use crate::scheduling::{CapacitySummary, DeduplicationScope, Idempotency, RequestClass, RequestId};
 use crate::server::engine::Engine;
 use crate::server::messages::RequestPayload;
 
-/// How often the gateway is notified of this site's load while requests wait or slots run out.
-const LOAD_UPDATE_SCARCE: Duration = Duration::from_millis(10);
-/// The same while there is capacity.
-const LOAD_UPDATE_AMPLE: Duration = Duration::from_millis(50);
-/// With fewer free slots than these, capacity may be gone before the next update of the slower kind.
+/// Interval of load updates to the gateway while requests are waiting or few slots are free.
+const SCARCE_LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval of load updates to the gateway while capacity is ample.
+const AMPLE_LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// Below this number of free slots, capacity may run out before the next update at the longer interval.
 const SCARCE_FREE_SLOTS: f64 = 3.0;
-/// The most slots that one request can state.
-const MAX_SLOTS: f64 = 65_536.0;
+/// Maximum number of slots of a single request.
+const MAX_REQUEST_SLOTS: f64 = 65_536.0;
 
-/// When, and after which answer, a request may be forwarded.
+/// How urgently a request must be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Urgency {
-    /// Until it must be at a worker to be in time, in seconds.
+    /// Time left until the request must start on a worker to meet its deadline, in seconds.
     start_in_s: f64,
-    /// The dispatcher does not have it: it is forwarded now, or is answered now.
+    /// The dispatcher does not have the request, so it is either forwarded or answered immediately.
     rejected: bool,
 }
 
-/// What a repeat of a request does. A key that not even all workers of one site know together binds like a
-/// non-idempotent request: which group of workers saw it cannot be known across sites.
+/// Returns the idempotency of a request for forwarding. A request with a key that is deduplicated only within a
+/// zone or cell counts as non-idempotent, because other sites cannot know which group of workers saw the key.
 pub(super) fn idempotency_across_sites(
     class: &RequestClass,
     payload: &RequestPayload,
@@ -52,13 +53,13 @@
     }
 }
 
-/// Slots as the gateway counts them.
-pub(super) fn whole_slots(slots: f64) -> u32 {
-    slots.ceil().clamp(1.0, MAX_SLOTS) as u32
+/// Rounds slots up to the integer that the gateway counts.
+pub(super) fn round_up_slots(slots: f64) -> u32 {
+    slots.ceil().clamp(1.0, MAX_REQUEST_SLOTS) as u32
 }
 
 impl Engine {
-    /// Notifies the gateway of this site's load, and of the requests that wait here in vain, when that is due.
+    /// If an update is due, notifies the gateway of this site's load and offers it the waiting requests.
     pub(in crate::server::engine) fn update_gateway_load(&mut self, now: Instant) {
         let Some(forwarding) =
             self.forwarding.as_mut().filter(|forwarding| now >= forwarding.next_load_update)
@@ -67,7 +68,8 @@
         };
         let CapacitySummary { slots, free, waiting, backlog_s } = self.dispatcher.capacity_summary();
         let scarce = waiting > 0 || (free < SCARCE_FREE_SLOTS && !self.requests.is_empty());
-        forwarding.next_load_update = now + if scarce { LOAD_UPDATE_SCARCE } else { LOAD_UPDATE_AMPLE };
+        forwarding.next_load_update =
+            now + if scarce { SCARCE_LOAD_UPDATE_INTERVAL } else { AMPLE_LOAD_UPDATE_INTERVAL };
         let backlog = Duration::try_from_secs_f64(backlog_s).unwrap_or_default();
         self.notify_gateway(GatewayEvent::LoadMeasured(SiteLoad { slots, free, waiting, backlog }));
         self.notify_gateway(GatewayEvent::Tick);
@@ -104,7 +106,7 @@
             idempotency: idempotency_across_sites(&self.settings.classes[request.class], &request.payload),
             priority: request.priority,
             within_quota: request.priority >= 0.0,
-            slots: whole_slots(request.slots),
+            slots: round_up_slots(request.slots),
             start_in: Duration::try_from_secs_f64(urgency.start_in_s).unwrap_or_default(),
             time_left: request.deadline.saturating_duration_since(Instant::now()),
             rejected: urgency.rejected,
@@ -112,7 +114,8 @@
         })
     }
 
-    /// Forwards a request that the dispatcher has rejected, if the gateway will; else it is to be answered.
+    /// Offers the gateway a request that the dispatcher has rejected. Returns false if it is not forwarded, in which
+    /// case the caller must answer it.
     pub(in crate::server::engine) fn forward_rejected(&mut self, id: RequestId, retry_after_s: f64) -> bool {
         if !self.gateway_wants_candidates() {
             return false;
@@ -123,14 +126,15 @@
         let deadline_s = self.clock.at(request.deadline);
         let latest_start_s =
             self.dispatcher.latest_start(request.class, request.estimated_work_s, deadline_s);
-        // What is rejected with time left is worth least here, so that it comes last there, too.
+        // A request that was rejected with time left has the lowest value here, so the other site serves it last, too.
         let start_in_s = latest_start_s - self.clock.at(Instant::now());
         self.offer_rejected(id, start_in_s, retry_after_s)
     }
 
-    /// Whether an earlier request with the same idempotency key may have run at another site. Then this one is
-    /// forwarded there or rejected, and the dispatcher here must not receive it.
-    pub(in crate::server::engine) fn bind_to_other_site(&mut self, id: RequestId) -> bool {
+    /// If the idempotency key of a request is bound to another site, forwards the request there or rejects it, and
+    /// returns true. An earlier request with the same key may have run there, so the dispatcher must not receive
+    /// this one.
+    pub(in crate::server::engine) fn forward_if_bound_elsewhere(&mut self, id: RequestId) -> bool {
         let (Some(forwarding), Some(request)) = (&self.forwarding, self.requests.get(id)) else {
             return false;
         };
@@ -142,12 +146,12 @@
         let start_in_s = request.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         if !self.offer_rejected(id, start_in_s, retry_after_s) {
             self.answer(id, self.rejection(id, retry_after_s));
-            self.forget_if_done(id);
+            self.remove_if_finished(id);
         }
         true
     }
 
-    /// Offers the gateway one request that the dispatcher does not have; whether it was forwarded.
+    /// Offers the gateway a request that the dispatcher does not have. Returns whether it was forwarded.
     fn offer_rejected(&mut self, id: RequestId, start_in_s: f64, retry_after_s: f64) -> bool {
         let Some(candidate) = self.candidate(id, Urgency { start_in_s, rejected: true }) else {
             return false;
@@ -156,14 +160,14 @@
             return false;
         }
         if let Some(request) = self.requests.get_mut(id) {
-            request.forwarding.change(ForwardingChange::Offered { retry_after_s });
+            request.forwarding.advance(ForwardingTransition::Offered { retry_after_s });
         }
         self.notify_gateway(GatewayEvent::Candidates(vec![candidate]));
         self.requests.get(id).is_some_and(|request| request.forwarding.is_outbound())
     }
 
-    /// The client of a request has disconnected; the request may be at another site.
-    pub(in crate::server::engine) fn withdraw_forwarded(&mut self, id: RequestId) {
+    /// Notifies the gateway that the client of a request, which may be at another site, has disconnected.
+    pub(in crate::server::engine) fn cancel_forwarded(&mut self, id: RequestId) {
         if self.forwarding.is_some() {
             self.notify_gateway(GatewayEvent::ClientDisconnected(LocalRequestId(id.0)));
         }
--- a/src/server/engine/site_forwarding/frames.rs
+++ b/src/server/engine/site_forwarding/frames.rs
@@ -1,19 +1,19 @@
-//! Received frames as events of the gateway.
+//! Converts received frames to gateway events.
 //!
-//! Each frame is for one direction: the end that dialled receives grants and outcomes, the other end receives
-//! offers and questions. A link on which one arrives at the wrong end is closed.
+//! Each frame type has one direction: the dialling side receives grants and outcomes, the accepting side
+//! receives offers and status queries. A frame in the wrong direction closes the link.
 
 use std::time::Duration;
 
 use chutesaddle_gateway::{Event as GatewayEvent, ForwardedRequestId, Incarnation, LinkId};
 use chutesaddle_site_link::Frame;
 
-use super::candidates::whole_slots;
+use super::candidates::round_up_slots;
 use super::{PendingOffer, SiteForwarding, MAX_WINDOW};
 use crate::server::engine::Engine;
 
 impl Engine {
-    /// Handles a frame that was received on a site link.
+    /// Handles a frame received on a site link.
     pub(super) fn frame_received(&mut self, link: LinkId, frame: Frame) {
         let Some(forwarding) = &mut self.forwarding else { return };
         let Some(event) = forwarding.frame_event(link, frame) else { return };
@@ -25,7 +25,7 @@
 }
 
 impl SiteForwarding {
-    /// What a frame means to the gateway; nothing where it cannot be used.
+    /// Converts a frame to a gateway event. Returns `None` if the frame cannot be used.
     fn frame_event(&mut self, link: LinkId, frame: Frame) -> Option<GatewayEvent> {
         let site_link = self.links.get(&link)?;
         let id = ForwardedRequestId;
@@ -40,9 +40,9 @@
             (true, Frame::Ended(number, outcome)) => GatewayEvent::RequestEnded(link, id(number), outcome),
             (true, Frame::Status(number, status)) => GatewayEvent::StatusReceived(link, id(number), status),
             (false, Frame::Offer { forwarded, epoch, time_left_us, keep_outcome_us, request }) => {
-                // An offer of a peer that is not listed any more has an origin too: it is given back.
+                // A peer that is no longer configured has an origin too; its offer is returned.
                 let origin = self.gateway.origin(link, id(forwarded))?;
-                let slots = whole_slots(request.slots);
+                let slots = round_up_slots(request.slots);
                 self.pending_offer = Some(PendingOffer { origin, request });
                 GatewayEvent::RequestOffered {
                     link,
--- a/src/server/engine/site_forwarding/links.rs
+++ b/src/server/engine/site_forwarding/links.rs
@@ -1,4 +1,4 @@
-//! The site links as the engine knows them, and what is received from them.
+//! The site links that are up, and the events received from them.
 
 use chutesaddle_gateway::{Event as GatewayEvent, ForwardedRequestId, Incarnation, LinkId, Origin, Outcome};
 use chutesaddle_site_link::Frame;
@@ -9,13 +9,14 @@
 use crate::server::metrics::LinkMetrics;
 use crate::server::peers::site_messages::{LinkOutbox, SiteLinkEvent};
 
-/// Links that one site may have to this one: its own, and those of the processes that it replaces.
+/// Maximum number of links with one site in each direction. During an upgrade, a site has a link for each of its
+/// processes.
 const MAX_LINKS_PER_SITE: usize = 8;
 
 /// A site link that is up.
 pub(super) struct SiteLink {
     pub(super) site: String,
-    /// This end has dialled: requests of this site go out on it. On the others, requests come in.
+    /// True if this side dialled the link. Requests are forwarded from the dialling to the accepting side.
     pub(super) dialled: bool,
     pub(super) outbox: LinkOutbox,
 }
@@ -28,14 +29,14 @@
 }
 
 impl SiteForwarding {
-    /// Sends a frame; a link that takes none any more is closed.
+    /// Sends a frame. Closes the link if its outbox no longer accepts frames.
     pub(super) fn send(&mut self, link: LinkId, frame: Frame) {
         if self.links.get(&link).is_some_and(|link| !link.outbox.send(frame)) {
             self.close(link);
         }
     }
 
-    /// Forgets a link that has ended, or closes one: its task ends once its outbox is dropped.
+    /// Removes a link. Dropping its outbox ends its task if it is still running.
     pub(super) fn close(&mut self, link: LinkId) {
         let Some(closed) = self.links.remove(&link) else { return };
         let same_direction = |other: &SiteLink| other.site == closed.site && other.dialled == closed.dialled;
@@ -47,7 +48,7 @@
 }
 
 impl Engine {
-    /// Handles what a site link, an inbound request or the operator has to say.
+    /// Handles an event from a site link, an inbound request or the operator.
     pub(in crate::server::engine) fn site_link_event(&mut self, event: SiteLinkEvent) {
         let Some(forwarding) = &mut self.forwarding else { return };
         match event {
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Adds a link, unless its site is unknown or has too many. Dropping its outbox closes it.
+    /// Adds a link, unless its site is unknown or already has [`MAX_LINKS_PER_SITE`] links. A link that is not added
+    /// is closed by dropping its outbox.
     fn link_up(&mut self, new: NewLink) {
         let Some(forwarding) = &mut self.forwarding else { return };
         let NewLink { link, incarnation, site_link } = new;
@@ -96,13 +98,13 @@
         });
     }
 
-    /// A request of another site has its answer here.
+    /// Notifies the gateway of the outcome of a request from another site.
     fn inbound_answered(&mut self, origin: Origin, answer: FinalAnswer) {
         let Some(forwarding) = &mut self.forwarding else { return };
-        forwarding.inbound.remove(&origin);
+        forwarding.inbound_tasks.remove(&origin);
         let outcome = match answer {
             FinalAnswer::Served(result) => Outcome::Served(result),
-            // One whose name is in use here was not accepted, and nothing of it ran.
+            // A request with a duplicate ID was not accepted, so it never ran.
             FinalAnswer::RejectedUnstarted | FinalAnswer::DuplicateId => Outcome::Unstarted,
             FinalAnswer::Rejected { .. } => Outcome::Rejected,
             FinalAnswer::Failed | FinalAnswer::Migrated(_) => Outcome::Failed,
--- a/src/server/engine/site_forwarding/outbound.rs
+++ b/src/server/engine/site_forwarding/outbound.rs
@@ -1,42 +1,42 @@
-//! Requests of this site at other sites: how one is forwarded, comes back, or is answered from there.
+//! Forwards requests of this site to other sites, and handles their return or answer.
 
 use std::time::Duration;
 
 use chutesaddle_gateway::{ForwardedAnswer, ForwardedRequestId, Incarnation, LinkId, NotForwarded};
 use chutesaddle_site_link::{Frame, OfferedRequest};
 
-use super::{deduplication_window, ForwardingChange, OnReturn};
+use super::{deduplication_window, ForwardingTransition, OnReturn};
 use crate::scheduling::{Event, RequestId, Settings};
 use crate::server::engine::request_table::TrackedRequest;
 use crate::server::engine::Engine;
 use crate::server::messages::FinalAnswer;
 
-/// The other site keeps an outcome at least this long, whatever the class's window: for the longest wait
-/// before a link reconnects, and a little more.
+/// Minimum time for which the other site keeps an outcome, regardless of the deduplication window of the class.
+/// It is slightly longer than the maximum reconnect delay of a link.
 const MIN_OUTCOME_RETENTION: Duration = Duration::from_secs(10);
 
-/// How a request is forwarded.
-pub(super) struct Forward {
+/// Parameters of a forwarded request.
+pub(super) struct ForwardParams {
     pub(super) link: LinkId,
-    /// Its number on the link.
+    /// ID of the request on the link.
     pub(super) forwarded: ForwardedRequestId,
-    /// The incarnation of the other process that granted the slots.
+    /// Incarnation of the remote process that granted the slots.
     pub(super) epoch: Incarnation,
-    /// The time that it has at the other site.
+    /// Time until the deadline at the other site.
     pub(super) time_left: Duration,
 }
 
 impl Engine {
     /// Sends a request to another site.
-    pub(super) fn forward(&mut self, id: RequestId, forward: Forward) {
+    pub(super) fn forward(&mut self, id: RequestId, forward: ForwardParams) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.forwarding.is_local() {
-            // Nothing of it stays with the dispatcher, which would reject it meanwhile.
+            // Take the request from the dispatcher, which might otherwise reject it while it is at the other site.
             let on_return = match self.dispatcher.hand_over(id) {
                 Some(record) => OnReturn::Resume(Box::new(record)),
                 None => OnReturn::Reject { retry_after_s: self.settings.max_retry_after_s },
             };
-            request.forwarding.change(ForwardingChange::Forwarded(on_return));
+            request.forwarding.advance(ForwardingTransition::Forwarded(on_return));
         }
         let window = deduplication_window(&self.settings.classes[request.class]);
         let offered = Box::new(offered_request(&self.settings, request));
@@ -52,18 +52,18 @@
         forwarding.send(forward.link, offer);
     }
 
-    /// The gateway does not forward a request that it was offered.
+    /// Records that the gateway does not forward a request that it was offered.
     pub(super) fn not_forwarded(&mut self, id: RequestId, reason: NotForwarded) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.forwarding.change(ForwardingChange::Kept);
+            request.forwarding.advance(ForwardingTransition::KeptLocal);
         }
         tracing::trace!(request = id.0, ?reason, "request not forwarded");
     }
 
-    /// A forwarded request never ran elsewhere: the dispatcher resumes it, or it is rejected.
+    /// Handles a forwarded request that was returned unstarted: the dispatcher resumes it, or it is rejected.
     pub(super) fn forwarded_request_returned(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        match request.forwarding.change(ForwardingChange::Returned) {
+        match request.forwarding.advance(ForwardingTransition::Returned) {
             Some(OnReturn::Resume(record)) => {
                 let deadline_s = self.clock.at(request.deadline);
                 let record = record.renumbered(id, deadline_s, &[]);
@@ -71,13 +71,13 @@
             }
             Some(OnReturn::Reject { retry_after_s }) => {
                 self.answer(id, FinalAnswer::Rejected { retry_after_s });
-                self.forget_if_done(id);
+                self.remove_if_finished(id);
             }
-            None => {} // it was not at another site
+            None => {} // the request was not at another site
         }
     }
 
-    /// A forwarded request has its final answer.
+    /// Answers a forwarded request with the answer from the other site.
     pub(super) fn forwarded_request_answered(&mut self, id: RequestId, answer: ForwardedAnswer) {
         let answer = match answer {
             ForwardedAnswer::Served(result) => FinalAnswer::Served(result),
@@ -87,11 +87,12 @@
             ForwardedAnswer::Failed => FinalAnswer::Failed,
         };
         self.answer(id, answer);
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 }
 
-/// A request as a link carries it. Classes and tenants go by name: their numbers are each site's own.
+/// Converts a request for a site link. Classes and tenants are sent by name because their indices differ between
+/// sites.
 fn offered_request(settings: &Settings, request: &TrackedRequest) -> OfferedRequest {
     let payload = &request.payload;
     OfferedRequest {
--- a/src/server/engine/site_forwarding/state.rs
+++ b/src/server/engine/site_forwarding/state.rs
@@ -1,90 +1,95 @@
-//! Where a request stands between this site and others, and the one function that changes it.
+//! The forwarding state of a request and the single function that changes it.
 
 use crate::scheduling::RequestRecord;
 
-/// What a request has to do with other sites.
+/// Whether a request was received from, or forwarded to, another site.
 #[derive(Debug)]
 pub(in crate::server::engine) enum ForwardingState {
-    /// Nothing: it is a request of this site, at this site.
+    /// A request of this site that has not been forwarded.
     Local,
-    /// It came from another site.
+    /// Received from another site.
     Inbound,
-    /// It is at another site, or is being offered to one.
+    /// At another site, or being offered to one.
     Outbound(OnReturn),
-    /// It was, and came back unstarted; it is not forwarded again.
+    /// Returned unstarted by another site, or offered and not forwarded. It is not forwarded again.
     Returned,
 }
 
-/// What happens to a forwarded request that comes back unstarted.
+/// How to handle a forwarded request that is returned unstarted.
 #[derive(Debug)]
 pub(in crate::server::engine) enum OnReturn {
     /// The dispatcher resumes it from this record.
     Resume(Box<RequestRecord>),
-    /// It is rejected: the dispatcher had rejected it before.
+    /// The request is rejected, because the dispatcher does not have it.
     Reject {
-        /// The advice that goes with the rejection, in seconds.
+        /// Retry-After of the rejection, in seconds.
         retry_after_s: f64,
     },
 }
 
-/// What happens to a request between this site and others.
+/// A transition of the forwarding state of a request.
 #[derive(Debug)]
-pub(in crate::server::engine) enum ForwardingChange {
-    /// It is offered to the gateway, which forwards it now or not at all.
+pub(in crate::server::engine) enum ForwardingTransition {
+    /// Offered to the gateway, which forwards it immediately or not at all.
     Offered {
         /// See [`OnReturn::Reject`].
         retry_after_s: f64,
     },
     /// The gateway does not forward it.
-    Kept,
-    /// It is sent to another site.
+    KeptLocal,
+    /// Sent to another site.
     Forwarded(OnReturn),
-    /// It has come back unstarted.
+    /// Returned unstarted by another site.
     Returned,
 }
 
 impl ForwardingState {
-    /// Changes the state; gives what is to happen to a request that comes back. Nothing else changes it.
-    pub(in crate::server::engine) fn change(&mut self, change: ForwardingChange) -> Option<OnReturn> {
+    /// Applies a transition. Returns how to handle a request that is returned. Nothing else modifies the state.
+    pub(in crate::server::engine) fn advance(
+        &mut self,
+        transition: ForwardingTransition,
+    ) -> Option<OnReturn> {
         let before = std::mem::replace(self, ForwardingState::Returned);
-        let (after, returned) = match (before, change) {
-            (ForwardingState::Local, ForwardingChange::Offered { retry_after_s }) => {
+        let (after, returned) = match (before, transition) {
+            (ForwardingState::Local, ForwardingTransition::Offered { retry_after_s }) => {
                 (ForwardingState::Outbound(OnReturn::Reject { retry_after_s }), None)
             }
-            (ForwardingState::Local, ForwardingChange::Forwarded(on_return)) => {
+            (ForwardingState::Local, ForwardingTransition::Forwarded(on_return)) => {
                 (ForwardingState::Outbound(on_return), None)
             }
-            (ForwardingState::Local, ForwardingChange::Kept | ForwardingChange::Returned) => {
+            (ForwardingState::Local, ForwardingTransition::KeptLocal | ForwardingTransition::Returned) => {
                 (ForwardingState::Local, None)
             }
-            // One that was offered is answered by whoever offered it.
-            (ForwardingState::Outbound(OnReturn::Reject { .. }), ForwardingChange::Kept) => {
+            // The caller that offered the request answers it.
+            (ForwardingState::Outbound(OnReturn::Reject { .. }), ForwardingTransition::KeptLocal) => {
                 (ForwardingState::Returned, None)
             }
-            (ForwardingState::Outbound(on_return), ForwardingChange::Returned) => {
+            (ForwardingState::Outbound(on_return), ForwardingTransition::Returned) => {
                 (ForwardingState::Returned, Some(on_return))
             }
             (
                 state @ ForwardingState::Outbound(OnReturn::Resume(_)),
-                ForwardingChange::Offered { .. } | ForwardingChange::Kept | ForwardingChange::Forwarded(_),
+                ForwardingTransition::Offered { .. }
+                | ForwardingTransition::KeptLocal
+                | ForwardingTransition::Forwarded(_),
             )
             | (
                 state @ ForwardingState::Outbound(OnReturn::Reject { .. }),
-                ForwardingChange::Offered { .. } | ForwardingChange::Forwarded(_),
+                ForwardingTransition::Offered { .. } | ForwardingTransition::Forwarded(_),
             )
             | (
                 state @ (ForwardingState::Inbound | ForwardingState::Returned),
-                ForwardingChange::Offered { .. }
-                | ForwardingChange::Kept
-                | ForwardingChange::Forwarded(_)
-                | ForwardingChange::Returned,
+                ForwardingTransition::Offered { .. }
+                | ForwardingTransition::KeptLocal
+                | ForwardingTransition::Forwarded(_)
+                | ForwardingTransition::Returned,
             ) => (state, None),
         };
         *self = after;
         returned
     }
 
-    /// Whether it is a request of this site that was never forwarded.
+    /// Returns whether this is a request of this site that has not been forwarded.
     pub(in crate::server::engine) fn is_local(&self) -> bool {
         match self {
             ForwardingState::Local => true,
@@ -92,7 +97,7 @@
         }
     }
 
-    /// Whether it came from another site.
+    /// Returns whether the request came from another site.
     pub(in crate::server::engine) fn is_inbound(&self) -> bool {
         match self {
             ForwardingState::Inbound => true,
@@ -100,7 +105,7 @@
         }
     }
 
-    /// Whether it is at another site.
+    /// Returns whether the request is at another site.
     pub(in crate::server::engine) fn is_outbound(&self) -> bool {
         match self {
             ForwardingState::Outbound(_) => true,
@@ -108,8 +113,8 @@
         }
     }
 
-    /// Whether it hangs on a site link of this process, so that it cannot migrate.
-    pub(in crate::server::engine) fn ends_with_this_process(&self) -> bool {
+    /// Returns whether the request depends on a site link of this process and so cannot migrate.
+    pub(in crate::server::engine) fn depends_on_site_link(&self) -> bool {
         self.is_inbound() || self.is_outbound()
     }
 }
--- a/src/server/engine/site_forwarding/state/tests.rs
+++ b/src/server/engine/site_forwarding/state/tests.rs
@@ -1,4 +1,4 @@
-//! The states of a request between this site and others.
+//! Tests of the forwarding state of a request.
 
 use super::*;
 
@@ -7,49 +7,49 @@
 }
 
 #[test]
-fn offered_request_is_rejected_when_it_comes_back() {
+fn offered_request_is_rejected_when_returned() {
     let mut state = ForwardingState::Local;
-    assert!(state.change(ForwardingChange::Offered { retry_after_s: 1.0 }).is_none());
+    assert!(state.advance(ForwardingTransition::Offered { retry_after_s: 1.0 }).is_none());
     assert!(state.is_outbound());
-    let returned = state.change(ForwardingChange::Returned);
+    let returned = state.advance(ForwardingTransition::Returned);
     assert!(matches!(returned, Some(OnReturn::Reject { retry_after_s: 1.0 })), "{returned:?}");
-    assert!(state.change(ForwardingChange::Returned).is_none(), "it comes back once");
+    assert!(state.advance(ForwardingTransition::Returned).is_none(), "a request is returned at most once");
 }
 
 #[test]
-fn request_that_came_back_is_not_forwarded_again() {
+fn returned_request_is_not_forwarded_again() {
     let mut state = ForwardingState::Local;
-    state.change(ForwardingChange::Forwarded(rejected_on_return()));
-    state.change(ForwardingChange::Returned);
-    state.change(ForwardingChange::Forwarded(rejected_on_return()));
+    state.advance(ForwardingTransition::Forwarded(rejected_on_return()));
+    state.advance(ForwardingTransition::Returned);
+    state.advance(ForwardingTransition::Forwarded(rejected_on_return()));
     assert!(!state.is_local() && !state.is_outbound());
 }
 
 #[test]
 fn offered_request_that_is_not_forwarded_is_not_offered_again() {
     let mut state = ForwardingState::Local;
-    state.change(ForwardingChange::Offered { retry_after_s: 1.0 });
-    state.change(ForwardingChange::Kept);
-    assert!(!state.is_local() && !state.is_outbound() && !state.ends_with_this_process());
+    state.advance(ForwardingTransition::Offered { retry_after_s: 1.0 });
+    state.advance(ForwardingTransition::KeptLocal);
+    assert!(!state.is_local() && !state.is_outbound() && !state.depends_on_site_link());
 }
 
 #[test]
-fn waiting_request_that_is_not_forwarded_stays_a_local_one() {
+fn waiting_request_that_is_not_forwarded_stays_local() {
     let mut state = ForwardingState::Local;
-    state.change(ForwardingChange::Kept);
+    state.advance(ForwardingTransition::KeptLocal);
     assert!(state.is_local());
 }
 
 #[test]
-fn request_of_another_site_stays_one() {
+fn request_from_another_site_stays_inbound() {
     let mut state = ForwardingState::Inbound;
-    for change in [
-        ForwardingChange::Offered { retry_after_s: 1.0 },
-        ForwardingChange::Kept,
-        ForwardingChange::Forwarded(rejected_on_return()),
-        ForwardingChange::Returned,
+    for transition in [
+        ForwardingTransition::Offered { retry_after_s: 1.0 },
+        ForwardingTransition::KeptLocal,
+        ForwardingTransition::Forwarded(rejected_on_return()),
+        ForwardingTransition::Returned,
     ] {
-        assert!(state.change(change).is_none());
-        assert!(state.is_inbound() && state.ends_with_this_process());
+        assert!(state.advance(transition).is_none());
+        assert!(state.is_inbound() && state.depends_on_site_link());
     }
 }
--- a/src/server/engine/timers.rs
+++ b/src/server/engine/timers.rs
@@ -1,7 +1,7 @@
-//! The timers of the engine: those that the dispatcher asks for, and one for each request's deadline.
+//! The engine's timers: those set by the dispatcher, and one for the deadline of each request.
 //!
-//! Timers are never cancelled. One that comes too late finds nothing to do, because whoever handles it looks
-//! up its request or its tag first.
+//! Timers are never cancelled. A timer that is no longer needed has no effect, because its handler looks up the
+//! request or the tag first.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,24 +10,24 @@
 
 use crate::scheduling::RequestId;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The dispatcher set it, with this tag.
+    /// Set by the dispatcher, with its tag.
     Dispatcher(u64),
-    /// The client of this request stops waiting.
+    /// The deadline of this request.
     Deadline(RequestId),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     due: Instant,
-    /// Timers that are due at the same instant expire in the order in which they were set.
+    /// Orders timers that are due at the same instant by when they were set.
     sequence: u64,
     timer: Timer,
 }
 
-/// Timers by the time at which they expire.
+/// Pending timers, ordered by expiry.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     entries: BinaryHeap<Reverse<Entry>>,
@@ -41,12 +41,12 @@
         self.entries.push(Reverse(Entry { due, sequence: self.last_sequence, timer }));
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires.
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.entries.peek().map(|Reverse(entry)| entry.due)
     }
 
-    /// Removes the first timer that has expired.
+    /// Removes and returns the first timer that has expired by `now`.
     pub(super) fn pop_expired(&mut self, now: Instant) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
--- a/src/server/engine/timers/tests.rs
+++ b/src/server/engine/timers/tests.rs
@@ -1,11 +1,11 @@
-//! The order in which timers expire.
+//! Tests of the order in which timers expire.
 
 use std::time::Duration;
 
 use super::*;
 
 #[test]
-fn timers_expire_when_due_and_in_the_order_in_which_they_were_set() {
+fn timers_expire_when_due_and_in_insertion_order_at_the_same_instant() {
     let now = Instant::now();
     let later = now + Duration::from_millis(1);
     let mut timers = Timers::default();
--- a/src/server/engine_queue.rs
+++ b/src/server/engine_queue.rs
@@ -1,9 +1,9 @@
-//! The engine's queue: the messages that reach it, and the answer that a submitted request waits for.
+//! The engine's message queue and the pending answers of submitted requests.
 //!
-//! It is the only way to the engine. Everything that happens on the network becomes an [`EngineMessage`], sent by the
-//! module that noticed it: [`crate::server::frontend`] (clients and callbacks), [`crate::server::workers`] (ends of
-//! attempts and probes), [`crate::server::discovery`], [`crate::server::peers`] (gossip and site links) and
-//! [`crate::server::lifecycle`] (reloads and upgrades). What each message does is [`crate::server::engine`].
+//! The queue is the engine's only input. Each network event becomes an [`EngineMessage`], sent by the module that
+//! detects it: [`crate::server::frontend`] (clients and callbacks), [`crate::server::workers`] (ends of attempts and
+//! probes), [`crate::server::discovery`], [`crate::server::peers`] (gossip and site links) or
+//! [`crate::server::lifecycle`] (reloads and upgrades). [`crate::server::engine`] handles the messages.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,58 +13,58 @@
 use crate::config::endpoint_list::EndpointListUpdate;
 use crate::scheduling::{LearnedState, RequestId, Settings, WorkerId};
 use crate::server::attempt_end::AttemptEnd;
-use crate::server::load_report::Report;
+use crate::server::load_report::RawLoadReport;
 use crate::server::messages::{
     CallbackRelay, ClientRequest, FinalAnswer, MigratedRequest, PeerProcessId, ProcessRole, WorkerCallback,
 };
 use crate::server::peers::site_messages::SiteLinkEvent;
 
-/// What reaches the engine.
+/// A message to the engine.
 pub enum EngineMessage {
-    /// A client, or another site, submits a request.
+    /// A client or another site has submitted a request.
     RequestSubmitted {
-        /// The number that it has from now on.
+        /// ID assigned to the request.
         id: RequestId,
         /// The request.
         request: Box<ClientRequest>,
-        /// Where its final answer goes.
+        /// Receives the final answer.
         reply: oneshot::Sender<FinalAnswer>,
     },
-    /// The client of a request does not wait any more.
+    /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
     /// A worker's callback has arrived.
     CallbackReceived {
         /// The callback.
         callback: WorkerCallback,
-        /// How it came here, if it arrived at another process of an upgrade.
+        /// Set if another process of an upgrade relayed the callback.
         relay: Option<CallbackRelay>,
     },
-    /// A request has migrated here from the process that this one replaces.
+    /// A request has migrated to this process from its predecessor.
     RequestMigrated {
-        /// The number that it has from now on.
+        /// ID assigned to the request.
         id: RequestId,
         /// The request.
         request: Box<MigratedRequest>,
-        /// Where its final answer goes.
+        /// Receives the final answer.
         reply: oneshot::Sender<FinalAnswer>,
     },
-    /// The process that replaces this one has begun to serve, or is gone.
+    /// The successor has started to serve, or has exited.
     SuccessorChanged {
-        /// It serves and reads this build's frames: requests migrate to it.
+        /// True if requests can migrate to the successor: it is serving and supports this build's frames.
         accepts_requests: bool,
     },
     /// The link to another process of an upgrade is up.
     PeerProcessJoined {
         /// The process.
         peer: PeerProcessId,
-        /// What it is to this one.
+        /// The process's role relative to this one.
         role: ProcessRole,
     },
-    /// What the process that this one replaces has learned of the workers.
+    /// The learned state of the predecessor has arrived.
     LearnedState {
-        /// The state, with the worker numbers of that process.
+        /// The state, with the predecessor's worker IDs.
         learned: Box<LearnedState>,
-        /// The names of the workers with these numbers.
+        /// The names of the workers with these IDs.
         worker_names: Vec<(WorkerId, String)>,
     },
     /// Another process of an upgrade has sent an attempt to a worker.
@@ -73,18 +73,18 @@
         worker_name: String,
         /// Index into the settings' classes.
         class: usize,
-        /// Its expected work in seconds.
+        /// Estimated work in seconds.
         work_s: f64,
     },
     /// The task of an attempt has ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// The number of the attempt.
+        /// Index into the request's attempts.
         attempt: usize,
         /// How it ended.
         end: AttemptEnd,
-        /// The load report in the header of the worker's answer.
+        /// The load header of the worker's response.
         load_report: Option<String>,
     },
     /// A capacity probe has ended.
@@ -93,39 +93,39 @@
         worker: WorkerId,
         /// How it ended.
         end: AttemptEnd,
-        /// The load report in its answer.
-        load_report: Report,
+        /// The load report in the worker's response.
+        load_report: RawLoadReport,
     },
-    /// A gossip message of another scheduler has arrived.
+    /// A gossip message from another scheduler has arrived.
     GossipReceived {
-        /// The index of that scheduler.
+        /// Index of the sender among the other schedulers.
         from: usize,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Discovery has an update of the endpoint list.
+    /// Discovery has received an update of the endpoint list.
     EndpointListChanged(EndpointListUpdate),
-    /// A site link, a request of another site or the operator's gateway settings have changed.
+    /// An event from a site link, a request from another site or the operator's gateway settings.
     SiteLink(Box<SiteLinkEvent>),
-    /// The settings have changed. Classes, tenants, zones and worker kinds keep their numbers.
+    /// The settings have changed. The indices of classes, tenants, zones and worker kinds stay the same.
     SettingsChanged(Box<Settings>),
 }
 
 /// The sending end of the engine's queue.
 ///
-/// The channel itself is unbounded. What is in it is bounded, because each connection has at most one message in it
-/// at a time and the number of connections is bounded.
+/// The channel is unbounded, but its length is limited: each connection has at most one message queued at a time, and
+/// the number of connections is bounded.
 #[derive(Clone)]
 pub struct EngineQueue {
     pub(super) sender: mpsc::UnboundedSender<EngineMessage>,
-    /// The number of the next request.
-    pub(super) next: Rc<Cell<u32>>,
+    /// ID of the next request.
+    pub(super) next_request_id: Rc<Cell<u32>>,
 }
 
 impl EngineQueue {
     /// Sends a message.
     pub fn send(&self, message: EngineMessage) {
-        // Once the engine has stopped, the process is ending and nobody waits for an answer.
+        // The send fails only after the engine has stopped. The process is then exiting, and nothing waits for answers.
         let _ = self.sender.send(message);
     }
 
@@ -134,7 +134,7 @@
         self.send_request(|id, reply| EngineMessage::RequestSubmitted { id, request, reply })
     }
 
-    /// Submits a request that has migrated here from another process.
+    /// Submits a request that has migrated from another process.
     pub fn take_over(&self, request: Box<MigratedRequest>) -> PendingAnswer {
         self.send_request(|id, reply| EngineMessage::RequestMigrated { id, request, reply })
     }
@@ -143,16 +143,16 @@
         &self,
         message: impl FnOnce(RequestId, oneshot::Sender<FinalAnswer>) -> EngineMessage,
     ) -> PendingAnswer {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0.wrapping_add(1));
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0.wrapping_add(1));
         let (sender, reply) = oneshot::channel();
         self.send(message(id, sender));
         PendingAnswer { id, reply, queue: self.clone(), answered: false }
     }
 }
 
-/// A request that waits for its answer. If it is dropped before that, its client counts as disconnected, for whatever
-/// reason the task that held it came to its end.
+/// The pending answer of a submitted request. If it is dropped before the answer arrives, for any reason, the client
+/// counts as disconnected.
 pub struct PendingAnswer {
     id: RequestId,
     reply: oneshot::Receiver<FinalAnswer>,
@@ -161,7 +161,7 @@
 }
 
 impl PendingAnswer {
-    /// Waits for the answer. A request that the engine drops without one counts as failed.
+    /// Waits for the answer. A request that the engine drops without an answer counts as failed.
     pub async fn reply(&mut self) -> FinalAnswer {
         let reply = (&mut self.reply).await;
         self.answered = true;
--- a/src/server/load_report.rs
+++ b/src/server/load_report.rs
@@ -1,40 +1,41 @@
-//! Load reports as workers write them: in a header, in a callback, or as the body of an answer to a capacity probe.
+//! Parses load reports from a header, a callback, or the response body of a capacity probe.
 //!
-//! The names in a report are those that the settings list; `src/config/settings.rs` says what they mean. A value that is
-//! not a number is skipped, and what is no report at all is an empty one: a report only ever helps a decision.
+//! The names in a report are defined by the settings; see `src/config/settings.rs` for their meaning. Non-numeric values
+//! are skipped, and invalid input gives an empty report instead of an error, because load reports are optional hints for
+//! scheduling.
 
 use simd_json::prelude::*;
 use simd_json::tape::Value;
 
-/// The field of a JSON object that holds a report.
+/// The field of a JSON object that contains a report.
 const REPORT_FIELD: &str = "load";
 
-/// The values of a report by name.
-pub type Report = Vec<(String, f64)>;
+/// The values of a load report by name, before they are resolved with the settings.
+pub type RawLoadReport = Vec<(String, f64)>;
 
-/// A report as a header writes it: `name=value,name=value`.
-pub fn from_header(text: &str) -> Report {
-    text.split(',').filter_map(name_and_value).collect()
+/// Parses a report in the header format: `name=value,name=value`.
+pub fn from_header(text: &str) -> RawLoadReport {
+    text.split(',').filter_map(parse_pair).collect()
 }
 
-fn name_and_value(pair: &str) -> Option<(String, f64)> {
+fn parse_pair(pair: &str) -> Option<(String, f64)> {
     let (name, value) = pair.split_once('=')?;
     Some((name.trim().to_owned(), value.trim().parse().ok()?))
 }
 
-/// The report that a callback carries; empty where it carries none.
-pub fn from_callback(callback: &Value) -> Report {
+/// Reads the report of a callback. Returns an empty report if there is none.
+pub fn from_callback(callback: &Value) -> RawLoadReport {
     let report = callback.get(REPORT_FIELD);
     report.map(|report| from_object(&report)).unwrap_or_default()
 }
 
-/// A report that is a body of its own: an object, an object that holds it in a field, or the form of the header.
-pub fn from_body(mut body: Vec<u8>) -> Report {
+/// Parses a response body: a JSON object, a JSON object with the report in [`REPORT_FIELD`], or the header format.
+pub fn from_body(mut body: Vec<u8>) -> RawLoadReport {
     let is_object = body.trim_ascii().starts_with(b"{");
     if !is_object {
         return String::from_utf8(body).map(|text| from_header(&text)).unwrap_or_default();
     }
-    let Ok(tape) = simd_json::to_tape(&mut body) else { return Report::new() };
+    let Ok(tape) = simd_json::to_tape(&mut body) else { return RawLoadReport::new() };
     let value = tape.as_value();
     match value.get(REPORT_FIELD) {
         Some(report) => from_object(&report),
@@ -42,10 +43,11 @@
     }
 }
 
-/// Not by `get_object`: simd-json 0.15 cuts its slice of the tape one node short and panics on the last.
-fn from_object(value: &Value) -> Report {
-    let Some(object) = value.as_object() else { return Report::new() };
-    let mut report = Report::new();
+/// Does not use `get_object`, because in simd-json 0.15 its tape slice is one node too short and reading the last
+/// entry panics.
+fn from_object(value: &Value) -> RawLoadReport {
+    let Some(object) = value.as_object() else { return RawLoadReport::new() };
+    let mut report = RawLoadReport::new();
     for (name, value) in object.iter() {
         if let Some(number) = value.cast_f64() {
             report.push((name.to_owned(), number));
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -1,13 +1,13 @@
-//! The types that the modules of the network code pass to each other: a request, its final answer, a worker's
-//! callback, and a request that migrates to another process.
+//! Types shared by the network modules: a request, its final answer, a worker's callback, and a request that
+//! migrates to another process.
 //!
-//! They lie below all of these modules and know no protocol, no socket and no engine. What reaches the engine is
-//! listed in [`crate::server::engine_queue`], how an attempt ends in [`crate::server::attempt_end`], and what site
-//! links report in [`crate::server::peers`].
+//! They depend on no protocol, socket or engine. The messages to the engine are in
+//! [`crate::server::engine_queue`], the ends of attempts in [`crate::server::attempt_end`], and the events of site
+//! links in [`crate::server::peers`].
 //!
-//! [`RequestPayload`], [`MigratedRequest`], [`WorkerCallback`] and what they hold are sent between the processes of
-//! an upgrade, which may be of different builds. Their fields are stored by position: none may be added, dropped or
-//! reordered without a new form of the frames ([`crate::server::lifecycle::handover_frames`]).
+//! [`RequestPayload`], [`MigratedRequest`], [`WorkerCallback`] and the types that they contain are sent between the
+//! processes of an upgrade, which may run different builds. Their fields are serialized by position: none may be
+//! added, removed or reordered without a new frame version ([`crate::server::lifecycle::handover_frames`]).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,26 +20,26 @@
 use crate::scheduling::RequestRecord;
 use crate::server::attempt_end::AttemptEnd;
 
-/// A number for a name, the same in every scheduler of whatever build, so that all of them choose alike by it.
-pub fn stable_number(name: &[u8]) -> u64 {
+/// Hashes a name. The hash is the same in all schedulers and builds, so that they make the same choices from it.
+pub fn stable_hash(name: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name)
 }
 
-/// The affinity key of a request for this target: requests with the same key need the same cached data.
+/// Returns the affinity key for a request target. Requests with the same key use the same cached data.
 ///
-/// It is the hash of the last segment of the path, as it is written. The first segment is the class; a path
-/// without another one has no key.
+/// The key is the hash of the last path segment, without percent-decoding. The first segment is the class; a path
+/// with no further segment has no key.
 pub fn affinity_key_of(target: &[u8]) -> Option<u64> {
     let path = target.split(|byte| b"?#".contains(byte)).next().unwrap_or_default();
-    let mut parts = path.strip_prefix(b"/").unwrap_or(path).split(|byte| *byte == b'/');
-    parts.next(); // the class
-    parts.next_back().filter(|part| !part.is_empty()).map(stable_number)
+    let mut segments = path.strip_prefix(b"/").unwrap_or(path).split(|byte| *byte == b'/');
+    segments.next(); // the class
+    segments.next_back().filter(|segment| !segment.is_empty()).map(stable_hash)
 }
 
-/// What an attempt sends to its worker, as the client wrote it.
+/// The part of a request that is sent to a worker, unchanged from the client.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestPayload {
-    /// `X-Request-Id`, the name of the request in the worker's callbacks.
+    /// `X-Request-Id`, which identifies the request in the worker's callbacks.
     pub name: Bytes,
     /// The target of the request line.
     pub target: Bytes,
@@ -51,51 +51,51 @@
     pub body: Bytes,
 }
 
-/// A client's request, as the frontend submits it.
+/// A request as submitted by the frontend, or received from another site.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// Index into [`Settings::classes`](crate::scheduling::Settings::classes).
     pub class: usize,
     /// Index into [`Settings::tenants`](crate::scheduling::Settings::tenants).
     pub tenant: usize,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Instant,
-    /// Slots that it takes at a worker.
+    /// Number of slots that the request occupies on a worker.
     pub slots: f64,
-    /// Memory that it takes at a worker.
+    /// Amount of memory that the request occupies on a worker.
     pub memory: f64,
-    /// Its expected work in seconds, if the client gave a hint.
+    /// Estimated work in seconds, if the client sent a hint.
     pub estimated_work_s: Option<f64>,
     /// See [`affinity_key_of`].
     pub affinity_key: Option<u64>,
-    /// What goes to the worker.
+    /// The part of the request that is sent to the worker.
     pub payload: RequestPayload,
-    /// Where it came from, if another site forwarded it.
+    /// Set if another site forwarded the request.
     pub origin: Option<Origin>,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// The result of a worker.
+    /// The result from a worker.
     Served(Bytes),
-    /// Rejected: a retry is harmless.
+    /// Rejected; the client can safely retry.
     Rejected {
-        /// When the client should retry, in seconds; 0 for no advice.
+        /// Seconds after which the client should retry; 0 for no advice.
         retry_after_s: f64,
     },
-    /// A request of another site is rejected, and nothing of it has run: its own site may still run it.
+    /// A request from another site is rejected and has not run, so its own site can still run it.
     RejectedUnstarted,
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed,
-    /// Not accepted: its id is in use by a request that is still open.
+    /// Not accepted, because an open request has the same ID.
     DuplicateId,
-    /// Not answered here: the client goes on waiting, and the process that replaces this one answers it.
+    /// Migrated to the successor process, which answers the client. The client is still waiting.
     Migrated(Box<MigratedRequest>),
 }
 
 impl FinalAnswer {
-    /// Its name in the log.
+    /// Returns the name used in the log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -108,89 +108,89 @@
     }
 }
 
-/// What a worker notifies of a request that it has accepted.
+/// The event reported by a callback.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CallbackEvent {
-    /// It has begun.
+    /// The worker has started the request.
     Started,
-    /// This fraction of it is done.
+    /// Fraction of the request that is complete.
     Progress(f64),
-    /// It is done, with this result.
+    /// The request is complete, with this result.
     Completed(Bytes),
-    /// It has ended in another way.
+    /// The attempt has ended in another way.
     Ended(AttemptEnd),
 }
 
-/// A worker's notification of a request, with the names that the worker knows.
+/// A callback from a worker. It identifies the request and the worker by name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerCallback {
-    /// The request, by its `X-Request-Id`.
+    /// `X-Request-Id` of the request.
     pub request_name: Bytes,
-    /// The worker that sent it.
+    /// Name of the worker that sent the callback.
     pub worker_name: String,
-    /// What has happened.
+    /// The reported event.
     pub event: CallbackEvent,
-    /// The worker's load, by the names that the settings give its values.
+    /// Load values by their names in the settings.
     pub load_report: Vec<(String, f64)>,
 }
 
-/// How a callback came from another process of an upgrade.
+/// How a callback was relayed by another process of an upgrade.
 #[derive(Clone, Copy, Debug)]
 pub struct CallbackRelay {
-    /// The process that it came from.
+    /// The process that relayed the callback to this one.
     pub from: PeerProcessId,
-    /// How often it has been passed on, which is bounded.
+    /// Number of times that the callback has been relayed. The engine limits it.
     pub relays: u8,
 }
 
-/// What the engine commands the task of an attempt.
+/// A command from the engine to the task of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptCommand {
-    /// The attempt has ended: finish the exchange, if that goes quickly.
+    /// The attempt has ended: finish the exchange if that is quick.
     Finish,
     /// Cancel the attempt at the worker.
     Cancel,
-    /// Leave the attempt alone: another process sees to it from now on.
+    /// Stop without cancelling the attempt: another process takes it over.
     Detach,
 }
 
-/// What another process of an upgrade is to this one.
+/// The role of another process of an upgrade, relative to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessRole {
-    /// This process replaces it.
+    /// This process replaces the other one.
     Predecessor,
-    /// It replaces this process.
+    /// The other process replaces this one.
     Successor,
 }
 
-/// A request on its way to another process.
+/// A request that migrates to another process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MigratedRequest {
     /// Index into the settings' classes, which both processes share.
     pub(super) class: usize,
-    /// Its expected work in seconds, if its client gave a hint.
+    /// Estimated work in seconds, if the client sent a hint.
     pub(super) estimated_work_s: Option<f64>,
-    /// Time to its deadline.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// In the order of their numbers.
+    /// Attempts, in the order in which they were dispatched.
     pub(super) attempts: Vec<MigratedAttempt>,
-    /// What the dispatcher knows of it.
+    /// The dispatcher's record of the request.
     pub(super) record: RequestRecord,
-    /// What goes to workers.
+    /// The part of the request that is sent to workers.
     pub payload: RequestPayload,
 }
 
-/// An attempt of a migrated request. It has ended, or its worker has accepted the request.
+/// An attempt of a migrated request. It has either ended or been accepted by its worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct MigratedAttempt {
     pub(super) worker_name: String,
-    /// Where the worker was, while it was on the endpoint list.
+    /// Address of the worker, or `None` if it is no longer on the endpoint list.
     pub(super) address: Option<SocketAddr>,
-    /// Its end is still to come.
+    /// True if the attempt has not ended.
     pub(super) open: bool,
 }
 
-/// Another process of an upgrade, for as long as the link to it is up.
+/// Identifies another process of an upgrade while the link to it is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcessId(pub(super) u64);
 
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -7,7 +7,7 @@
 
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::{Connection, HttpError};
-use crate::server::load_report::{from_body, Report};
+use crate::server::load_report::{from_body, RawLoadReport};
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
@@ -17,7 +17,7 @@
     /// How it ended.
     pub end: AttemptEnd,
     /// The worker's load report; empty where it sent none.
-    pub load_report: Report,
+    pub load_report: RawLoadReport,
 }
 
 /// Probes a worker once, within its response time-out. Where workers send load reports (`wants_report`), the probe
@@ -25,7 +25,7 @@
 pub async fn probe(worker: Rc<WorkerEndpoint>, wants_report: bool) -> ProbeResult {
     let mut connection = match WorkerEndpoint::connection(&worker, ConnectionPurpose::Request).await {
         Ok(connection) => connection,
-        Err(error) => return ProbeResult { end: error.into(), load_report: Report::new() },
+        Err(error) => return ProbeResult { end: error.into(), load_report: RawLoadReport::new() },
     };
     let response = timeout(worker.response_timeout(), request(&mut connection.http, wants_report)).await;
     let end = match response {
@@ -40,7 +40,7 @@
             return ProbeResult { end, load_report: from_body(response.body) };
         }
     };
-    ProbeResult { end, load_report: Report::new() }
+    ProbeResult { end, load_report: RawLoadReport::new() }
 }
 
 struct ProbeResponse {
