--- a/src/server/engine/attempt_state.rs
+++ b/src/server/engine/attempt_state.rs
@@ -59,7 +59,7 @@
         Attempt { worker, state: AttemptState::Ended, accepted: Rc::default() }
     }
 
-    /// Returns whether the attempt has not ended yet.
+    /// Returns whether the attempt is running or being cancelled.
     pub(super) fn is_open(&self) -> bool {
         match self.state {
             AttemptState::Running { .. } | AttemptState::Cancelling => true,
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -13,7 +13,7 @@
 use crate::server::lifecycle::handover_frames::HandoverFrame;
 
 /// Upper bound on the overload window, regardless of the settings.
-const MAX_WINDOW_S: f64 = 60.0;
+const MAX_OVERLOAD_WINDOW_S: f64 = 60.0;
 
 /// An attempt that was sent to a worker.
 struct SentAttempt {
@@ -35,7 +35,7 @@
 
     /// Removes the attempts that were sent before the overload window.
     pub(super) fn expire(&mut self, settings: &Settings) {
-        let window = Duration::from_secs_f64(settings.overload_window_s.clamp(0.0, MAX_WINDOW_S));
+        let window = Duration::from_secs_f64(settings.overload_window_s.clamp(0.0, MAX_OVERLOAD_WINDOW_S));
         while self.0.front().is_some_and(|sent| sent.sent_at.elapsed() > window) {
             self.0.pop_front();
         }
--- a/src/server/engine/requests.rs
+++ b/src/server/engine/requests.rs
@@ -54,7 +54,7 @@
         self.requests.insert(id, TrackedRequest::new(submitted, reply, active));
         self.timers.set(deadline, Timer::Deadline(id));
         if self.forward_if_bound_elsewhere(id) {
-            return; // a request with the same idempotency key may have run at another site, so this one must not run here
+            return; // an earlier request with the same key may have run at another site
         }
         self.notify_dispatcher(event);
         self.record_priority(id);
@@ -68,7 +68,7 @@
             tracing::warn!(request = %name, "request id is already in use");
         }
         self.counters.class(submitted.class).errors.add();
-        // A client that has disconnected needs no answer.
+        // The send fails if the client has disconnected.
         let _ = reply.send(FinalAnswer::DuplicateId);
     }
 
--- a/src/server/engine/site_forwarding.rs
+++ b/src/server/engine/site_forwarding.rs
@@ -106,11 +106,11 @@
 }
 
 /// Upper bound on how long an idempotency key or an outcome is kept, regardless of the settings.
-const MAX_WINDOW: Duration = Duration::from_secs(24 * 3600);
+const MAX_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Returns how long workers deduplicate requests of a class with the same idempotency key.
 fn deduplication_window(class: &RequestClass) -> Duration {
-    Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, MAX_WINDOW.as_secs_f64()))
+    Duration::from_secs_f64(class.deduplication_window_s.clamp(0.0, MAX_RETENTION.as_secs_f64()))
 }
 
 impl Engine {
--- a/src/server/engine/site_forwarding/frames.rs
+++ b/src/server/engine/site_forwarding/frames.rs
@@ -9,7 +9,7 @@
 use chutesaddle_site_link::Frame;
 
 use super::candidates::round_up_slots;
-use super::{PendingOffer, SiteForwarding, MAX_WINDOW};
+use super::{PendingOffer, SiteForwarding, MAX_RETENTION};
 use crate::server::engine::Engine;
 
 impl Engine {
@@ -50,7 +50,7 @@
                     epoch: Incarnation(epoch),
                     slots,
                     time_left: Duration::from_micros(time_left_us),
-                    keep_outcome: Duration::from_micros(keep_outcome_us).min(MAX_WINDOW),
+                    keep_outcome: Duration::from_micros(keep_outcome_us).min(MAX_RETENTION),
                 }
             }
             (false, Frame::Cancel(number)) => GatewayEvent::RequestCancelled(link, id(number)),
--- a/src/server/engine/site_forwarding/outbound.rs
+++ b/src/server/engine/site_forwarding/outbound.rs
@@ -28,7 +28,7 @@
 
 impl Engine {
     /// Sends a request to another site.
-    pub(super) fn forward(&mut self, id: RequestId, forward: ForwardParams) {
+    pub(super) fn forward(&mut self, id: RequestId, params: ForwardParams) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.forwarding.is_local() {
             // Take the request from the dispatcher, which might otherwise reject it while it is at the other site.
@@ -43,13 +43,13 @@
         self.counters.class(request.class).crossed.add();
         let Some(forwarding) = &mut self.forwarding else { return };
         let offer = Frame::Offer {
-            forwarded: forward.forwarded.0,
-            epoch: forward.epoch.0,
-            time_left_us: forward.time_left.as_micros() as u64,
+            forwarded: params.forwarded.0,
+            epoch: params.epoch.0,
+            time_left_us: params.time_left.as_micros() as u64,
             keep_outcome_us: window.max(MIN_OUTCOME_RETENTION).as_micros() as u64,
             request: offered,
         };
-        forwarding.send(forward.link, offer);
+        forwarding.send(params.link, offer);
     }
 
     /// Records that the gateway does not forward a request that it was offered.
--- a/src/server/load_report.rs
+++ b/src/server/load_report.rs
@@ -1,8 +1,7 @@
 //! Parses load reports from a header, a callback, or the response body of a capacity probe.
 //!
-//! The names in a report are defined by the settings; see `src/config/settings.rs` for their meaning. Non-numeric values
-//! are skipped, and invalid input gives an empty report instead of an error, because load reports are optional hints for
-//! scheduling.
+//! The settings define the names in a report; see `src/config/settings.rs` for their meaning. Non-numeric values are
+//! skipped, and invalid input gives an empty report, because load reports are optional hints for scheduling.
 
 use simd_json::prelude::*;
 use simd_json::tape::Value;
