--- a/src/server/engine.rs
+++ b/src/server/engine.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Passes each message to its handler in the submodules.
+    /// Passes each message to its handler.
     fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::RequestSubmitted { id, request, reply } => {
--- a/src/server/engine/migration.rs
+++ b/src/server/engine/migration.rs
@@ -45,8 +45,8 @@
 }
 
 impl MigrationState {
-    /// Records whether a successor accepts requests. When it stops, the requests that migrated to it are lost and
-    /// their names are forgotten.
+    /// Records whether a successor accepts requests. If it no longer does, the requests that migrated to it are
+    /// lost, and their names are forgotten.
     fn set_accepts_requests(&mut self, accepts_requests: bool) {
         let before = std::mem::take(self);
         *self = match (before, accepts_requests) {
--- a/src/server/engine/site_forwarding/candidates.rs
+++ b/src/server/engine/site_forwarding/candidates.rs
@@ -126,7 +126,7 @@
         let deadline_s = self.clock.at(request.deadline);
         let latest_start_s =
             self.dispatcher.latest_start(request.class, request.estimated_work_s, deadline_s);
-        // A request that was rejected with time left has the lowest value here, so the other site serves it last, too.
+        // A request rejected with time left has the lowest value here, and should come last at the other site, too.
         let start_in_s = latest_start_s - self.clock.at(Instant::now());
         self.offer_rejected(id, start_in_s, retry_after_s)
     }
