--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -53,7 +53,7 @@
             return;
         }
         let draw = uniform_draw(self.seed ^ u64::from(request.id.0));
-        let ignores_affinity = self.affinity.explores(self.now, draw);
+        let ignores_affinity = self.affinity.should_explore(self.now, draw);
         let mut tracked = TrackedRequest::new(request, work, objective_s, first_asked_at, priority);
         tracked.uses_affinity &= !ignores_affinity;
         self.track(tracked);
