--- a/src/scheduling/hedging.rs
+++ b/src/scheduling/hedging.rs
@@ -1,8 +1,9 @@
-//! Hedging: whether an overdue attempt is given up for another one at another worker.
+//! Hedging: whether an overdue attempt is replaced by an attempt at another worker.
 //!
-//! Where the settings allow two attempts in flight, the second one is a hedged request: the first answer counts. Else the
-//! overdue attempt is cancelled; when its end arrives, `continue_request` in `attempt_progress.rs` queues the request again, and
-//! `retry.rs` limits the workers. Where neither is allowed, the attempt is only abandoned.
+//! If the settings allow two attempts in flight, the second one is a hedged request, and the first response wins. If they
+//! only allow cancellation, the overdue attempt is cancelled. Once its end is reported, `continue_request` in
+//! `attempt_progress.rs` queues the request again, and `retry.rs` restricts the workers. If neither is allowed, the attempt
+//! is only marked abandoned.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::RequestId;
@@ -11,7 +12,7 @@
 use crate::scheduling::state::SchedulerState;
 
 impl SchedulerState {
-    /// Moves an overdue attempt elsewhere, where its class permits that and another worker can take it.
+    /// Replaces an overdue attempt if the request class allows it and another worker can take the request.
     pub(crate) fn replace_overdue_attempt(&mut self, id: RequestId, attempt: usize) {
         let Some(tracked) = self.requests.all.get(&id) else { return };
         if !self.may_replace_attempt(tracked, attempt) {
@@ -36,18 +37,18 @@
         if self.idempotency_of(tracked) == Idempotency::NonIdempotent {
             return false;
         }
-        if self.settings.hedging_allowed && !self.has_worker_for_repeat(tracked) {
+        if self.settings.hedging_allowed && !self.has_worker_for_resend(tracked) {
             return false;
         }
-        // A late start where overload is not seen: another attempt would add to it.
+        // Without overload detection a late start may be caused by overload, which another attempt would aggravate.
         let may_be_queued = overdue.started_at.is_none() && !self.detects_overload();
         !may_be_queued && !self.is_fleet_full()
     }
 
-    /// Whether any worker in service has a free slot and may be sent a repeat.
-    fn has_worker_for_repeat(&self, tracked: &TrackedRequest) -> bool {
+    /// Whether any worker in service has a free slot and may be sent the request again.
+    fn has_worker_for_resend(&self, tracked: &TrackedRequest) -> bool {
         self.fleet.ready_workers().any(|worker| {
-            !worker.is_ejected() && self.free_slots(worker) >= 1.0 && self.may_repeat_at(tracked, worker)
+            !worker.is_ejected() && self.free_slots(worker) >= 1.0 && self.may_resend_to(tracked, worker)
         })
     }
 }
--- a/src/scheduling/retry.rs
+++ b/src/scheduling/retry.rs
@@ -1,20 +1,21 @@
-//! Retry: whether a request may be sent again after attempts that may have run, and what may be answered then.
+//! Retry: whether a request may be sent again after attempts that may have run, and whether it may be rejected then.
 
 use crate::scheduling::request_table::{Attempt, TrackedRequest};
 use crate::scheduling::settings::{DeduplicationScope, Idempotency};
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::worker::Worker;
 
-/// A repeat must arrive within the first nine tenths of the deduplication window.
+/// Fraction of the deduplication window kept as a margin: a retry must arrive within the first nine tenths.
 const WINDOW_MARGIN: f64 = 0.1;
 
 impl SchedulerState {
-    /// Whether a worker may be sent the request though earlier attempts may have run: no effect twice.
+    /// Whether the request may be sent to the worker without risking that it takes effect twice, given that earlier
+    /// attempts may have run.
     ///
-    /// An idempotent request may; a non-idempotent one may not; one with an idempotency key may within its deduplication
-    /// window, at workers that know the key. The window counts from the first attempt that may have run to the arrival
-    /// of the repeat's last byte, which a connection that comes up late delays by the connect timeout.
-    pub(crate) fn may_repeat_at(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
+    /// An idempotent request always may, and a non-idempotent one never. A request with an idempotency key may within its
+    /// deduplication window, at workers that know the key. The window lasts from the first attempt that may have run to
+    /// the arrival of the retry's last byte. A slow connect can delay that byte by up to the connect timeout.
+    pub(crate) fn may_resend_to(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
         let class = &self.settings.classes[tracked.request.class];
         let Some(first) = tracked.attempts.iter().find(|attempt| attempt.may_have_run()) else { return true };
         match class.idempotency {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether no attempt is in flight and none may follow, whatever workers there will be.
+    /// Whether no attempt is in flight and no further attempt is allowed at any worker.
     pub(crate) fn is_out_of_attempts(&self, tracked: &TrackedRequest) -> bool {
         let is_non_idempotent = self.idempotency_of(tracked) == Idempotency::NonIdempotent;
         let may_have_run = tracked.attempts.iter().any(Attempt::may_have_run);
@@ -40,8 +41,8 @@
         (has_used_all || is_non_idempotent && may_have_run) && !tracked.has_attempt_in_flight()
     }
 
-    /// Whether the request may be answered as rejected, which tells the client that a retry is harmless: it never ran, or
-    /// running it again has no effect, at whatever worker.
+    /// Whether the request may be answered as rejected, which tells the client that a retry is safe: the request never
+    /// ran, or running it again has no effect at any worker.
     pub(crate) fn may_reject(&self, tracked: &TrackedRequest) -> bool {
         let class = &self.settings.classes[tracked.request.class];
         let never_ran = !tracked.attempts.iter().any(Attempt::may_have_run);
