--- a/src/scheduling.rs
+++ b/src/scheduling.rs
@@ -12,7 +12,7 @@
 //! | may it be sent again? | `retry.rs` |
 //! | when is an attempt overdue, and is it hedged or cancelled? | `overdue.rs`, `hedging.rs` |
 //! | how does a request end? | `final_answer.rs` |
-//! | who is ejected and readmitted? | `outlier_detection.rs`; after which faults: `attempt_progress.rs`, `judge_worker` |
+//! | who is ejected and readmitted? | `outlier_detection.rs`; after which faults: `attempt_progress.rs`, `update_worker` |
 //! | how much may a worker get that has just started? | `slow_start.rs`, `scheduler_share.rs`, `recent_sends.rs` |
 //! | what does the start, progress or end of an attempt mean for its worker and its request? | `attempt_progress.rs` |
 //! | what does a new endpoint list change? | `endpoint_update.rs` |
--- a/src/scheduling/affinity.rs
+++ b/src/scheduling/affinity.rs
@@ -1,15 +1,17 @@
 //! Affinity: which workers probably have the data that a request needs, and how much run time that saves.
 //!
-//! A request may name data (an account, a file) by an affinity key. A worker needs the data to run the request: it caches
-//! some of it and fetches the rest while the request occupies its slots. How many keys a worker caches, for how long, and
-//! how much a miss costs (possibly nothing) is not configured anywhere but learned from run times. Each run is recorded
-//! under the worker's [`Locality`] for the key, with the difference between its run time and the usual one at that worker.
-//! The differences between localities are the savings of preferring one over another.
+//! A request may name data (an account, a file) by an affinity key. A worker needs the data to run the
+//! request: it caches some of it and fetches the rest while the request occupies its slots. How many keys a
+//! worker caches, for how long, and how much a miss costs (possibly nothing) is not configured anywhere but
+//! learned from run times. Each run is recorded under the worker's [`Locality`] for the key, with the
+//! difference between its run time and the usual one at that worker. The differences between localities are
+//! the savings of preferring one over another.
 //!
-//! Preferred workers depend only on the key and the endpoint list (rendezvous hashing, weighted by slots). All schedulers
-//! therefore choose the same ones without communication, and a worker that joins or leaves moves only its own share of the
-//! keys. A key that is requested often has more preferred workers. They are a prefix of one ordering of all workers, so
-//! schedulers that count different request rates still agree on most of them.
+//! Preferred workers depend only on the key and the endpoint list (rendezvous hashing, weighted by slots).
+//! All schedulers therefore choose the same ones without communication, and a worker that joins or leaves
+//! moves only its own share of the keys. A key that is requested often has more preferred workers. They are a
+//! prefix of one ordering of all workers, so schedulers that count different request rates still agree on
+//! most of them.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +29,8 @@
 const REQUEST_TIME_CONSTANT_S: f64 = 30.0;
 /// Time constant of the decay of the extra run times by locality.
 const RUN_TIME_CONSTANT_S: f64 = 60.0;
-/// Number of runs that weigh as much as the prior saving. Without a prior no worker would ever be preferred, and no run
-/// could show a saving.
+/// Number of runs that weigh as much as the prior saving. Without a prior no worker would ever be preferred,
+/// and no run could show a saving.
 const PRIOR_RUNS: f64 = 10.0;
 /// Saving assumed for a cached key before any run has been observed, in multiples of the mean run time.
 const PRIOR_SAVING: f64 = 0.3;
@@ -36,19 +38,20 @@
 const MAX_EXPLORING_FRACTION: f64 = 0.05;
 /// A saving up to this multiple of the mean run time counts as noise.
 const MIN_SAVING: f64 = 0.15;
-/// Number of preferred workers of a key for each worker that its share of the requests would keep busy. More than one,
-/// because workers cache other keys too.
+/// Number of preferred workers of a key for each worker that its share of the requests would keep busy. More
+/// than one, because workers cache other keys too.
 const PREFERRED_WORKERS_PER_SHARE: f64 = 2.0;
 /// Maximum number of recently sent keys remembered for each worker.
 pub(crate) const MAX_RECENT_KEYS: usize = 8;
-/// Larger deviations from the usual run time, in multiples of the mean, have other causes than a fetch and are clamped.
+/// Larger deviations from the usual run time, in multiples of the mean, have other causes than a fetch and
+/// are clamped.
 const MAX_EXTRA_RUNS: f64 = 3.0;
 
 /// How close a worker is to the data of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Locality {
-    /// This scheduler recently sent the worker the key. The number is the bit length of the count of other keys sent
-    /// there since.
+    /// This scheduler recently sent the worker the key. The number is the bit length of the count of other
+    /// keys sent there since.
     RecentlySent(usize),
     /// The worker is one of those that all schedulers prefer for the key.
     Preferred,
@@ -89,15 +92,16 @@
 pub(crate) struct AffinityStatistics {
     keys: BTreeMap<u64, KeyStatistics>,
     requests: DecayingMean,
-    /// Extra run time over the usual one at the worker, by locality, in multiples of the fleet's mean run time.
+    /// Extra run time over the usual one at the worker, by locality, in multiples of the fleet's mean run
+    /// time.
     extra_run_time: [DecayingMean; LOCALITY_COUNT],
 }
 
 impl AffinityStatistics {
     /// Counts a request for a key and chooses the key's preferred workers once it is requested repeatedly.
     ///
-    /// `ready_workers` is called for each request of such a key, because the endpoint list and the known worker sizes
-    /// change.
+    /// `ready_workers` is called for each request of such a key, because the endpoint list and the known
+    /// worker sizes change.
     pub(crate) fn count_request(
         &mut self,
         now: f64,
@@ -119,8 +123,8 @@
         statistics.preferred_workers = order.into_iter().take(preferred_count).collect();
     }
 
-    /// Evicts keys that were requested once or long ago when a new key exceeds the limit. If all keys are requested
-    /// repeatedly, all are evicted: with so many in use, no preference would help.
+    /// Evicts keys that were requested once or long ago when a new key exceeds the limit. If all keys are
+    /// requested repeatedly, all are evicted: with so many in use, no preference would help.
     fn evict_keys_if_full(&mut self, now: f64, key: u64) {
         if self.keys.len() < MAX_KEYS || self.keys.contains_key(&key) {
             return;
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Whether a request should ignore affinity to measure how much it saves. The fewer such runs have been observed, the
-    /// more often it should. `draw` is uniform over (0, 1].
+    /// Whether a request should ignore affinity to measure how much it saves. The fewer such runs have been
+    /// observed, the more often it should. `draw` is uniform over (0, 1].
     pub(crate) fn should_explore(&self, now: f64, draw: f64) -> bool {
         let unrelated = &self.extra_run_time[Locality::Unrelated.index()];
         let runs = unrelated.remaining_weight(now, RUN_TIME_CONSTANT_S);
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Records the extra run time of a run over the usual one at its worker, in multiples of the fleet's mean run time.
+    /// Records the extra run time of a run over the usual one at its worker, in multiples of the fleet's mean
+    /// run time.
     pub(crate) fn record_run(&mut self, now: f64, locality: Locality, extra_runs: f64) {
         let extra_runs = extra_runs.clamp(-MAX_EXTRA_RUNS, MAX_EXTRA_RUNS);
         self.extra_run_time[locality.index()].add(now, RUN_TIME_CONSTANT_S, extra_runs, 1.0);
@@ -180,7 +185,8 @@
     }
 }
 
-/// Orders the workers by preference for a key (weighted rendezvous hashing); the order is the same at all schedulers.
+/// Orders the workers by preference for a key (weighted rendezvous hashing); the order is the same at all
+/// schedulers.
 fn rendezvous_order(key: u64, workers: Vec<WeightedWorker>) -> Vec<u64> {
     let sort_key = |worker: WeightedWorker| {
         let draw = uniform_draw(seeded_hash(key, WorkerId(worker.stable_id)));
--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -1,4 +1,4 @@
-//! What is learned when an attempt starts, progresses or ends, and what follows for its worker and its request.
+//! Updates statistics, the worker and the request when an attempt starts, progresses or ends.
 
 use crate::scheduling::affinity::Locality;
 use crate::scheduling::capacity_probe::FREE_SLOT_LIFETIME_S;
@@ -12,24 +12,26 @@
 use crate::scheduling::request_table::AttemptChange;
 use crate::scheduling::state::SchedulerState;
 
-/// An attempt that started later than this, or than two rounds, was queued at its worker.
+/// An attempt that took longer than this and longer than two rounds to start was queued at its worker.
 const MIN_QUEUED_S: f64 = 0.05;
-/// A success moves a worker's stability by this fraction.
+/// Smoothing factor by which a success moves a worker's stability toward 1, or toward 0 if it missed the
+/// objective.
 const STABILITY_GAIN: f64 = 0.1;
-/// A failure leaves this fraction of a worker's stability, where schedulers are few.
+/// Fraction of a worker's stability that remains after a failure if there are few schedulers.
 const STABILITY_AFTER_FAILURE: f64 = 0.7;
-/// A worker with a stability below this is ejected.
-const EJECTION_STABILITY: f64 = 0.3;
-/// This many resets with no notification between eject a worker; one may happen to a sound one.
-const EJECTING_RESETS: u32 = 2;
-/// After a rejection a worker gets nothing for this time per slot.
+/// A worker whose stability falls below this is ejected.
+const MIN_STABILITY: f64 = 0.3;
+/// This many resets without a notification in between eject a worker; a healthy worker may cause one.
+const RESETS_UNTIL_EJECTION: u32 = 2;
+/// A worker that rejected an attempt is sent nothing for this time multiplied by its slots.
 const REJECTION_BACKOFF_PER_SLOT_S: f64 = 0.1;
-/// ln: one run shows a worker in slow start to be this much faster or slower at the most (a factor of three).
+/// Maximum natural logarithm of the gain or loss in speed learned from one run in slow start (a factor of
+/// three).
 const MAX_LOG_GAIN: f64 = 1.1;
-/// A shorter run time counts as this: its logarithm is taken.
+/// Lower bound of a run time before its logarithm is taken.
 const MIN_RUN_TIME_S: f64 = 1e-4;
 
-/// What counts of an attempt that has ended.
+/// Data of an ended attempt that is used to update its worker and the statistics.
 struct EndedAttempt {
     worker: WorkerId,
     outcome: AttemptOutcome,
@@ -38,14 +40,14 @@
     sent_at: f64,
     started_at: Option<f64>,
     locality: Option<Locality>,
-    /// It was overdue, or being cancelled.
+    /// The attempt was overdue or being cancelled.
     was_abandoned: bool,
-    /// The latency objective was met.
+    /// The attempt ended within the latency objective.
     met_objective: bool,
 }
 
-/// A run that ended well.
-struct FinishedRun {
+/// The run of an attempt that succeeded.
+struct SuccessfulRun {
     worker: WorkerId,
     work: f64,
     run_time_s: f64,
@@ -53,12 +55,13 @@
 }
 
 impl SchedulerState {
-    /// An attempt has started to run.
+    /// Handles the start notification of an attempt.
     pub(crate) fn attempt_started(&mut self, id: RequestId, attempt: usize) {
         self.attempt_progressed(id, attempt, 0.0);
     }
 
-    /// An attempt has made progress; a fraction of 0 is its start. What was reported before is ignored.
+    /// Handles a progress notification of an attempt; a fraction of 0 is its start. Progress that was already
+    /// reported is ignored.
     pub(crate) fn attempt_progressed(&mut self, id: RequestId, attempt: usize, fraction: f64) {
         let Some(tracked) = self.requests.all.get_mut(&id) else { return };
         let Some(attempt) = tracked.attempts.get_mut(attempt) else { return };
@@ -100,17 +103,17 @@
         self.schedule_round(self.round_interval_s);
     }
 
-    /// An attempt has ended: its worker is judged by it, its run time is learned, and its request is closed, answered or
-    /// queued again.
+    /// Handles the end of an attempt: updates its worker and the run time statistics, and closes, answers or
+    /// requeues its request.
     pub(crate) fn attempt_ended(&mut self, ended: AttemptEnded) {
         let Some(attempt) = self.end_attempt(&ended) else { return };
-        self.judge_worker(&attempt);
+        self.update_worker(&attempt);
         self.apply_load_report(attempt.worker, ended.load, STALE_LOAD_WEIGHT);
         if attempt.outcome == AttemptOutcome::Succeeded {
             self.record_success(&attempt);
         }
         self.continue_request(&ended);
-        self.schedule_round(0.0); // a slot is free
+        self.schedule_round(0.0); // a slot has become free
     }
 
     fn end_attempt(&mut self, ended: &AttemptEnded) -> Option<EndedAttempt> {
@@ -132,11 +135,13 @@
         })
     }
 
-    /// Releases what the attempt held, and moves the worker's stability; ejects the worker where that calls for it.
-    fn judge_worker(&mut self, attempt: &EndedAttempt) {
+    /// Releases the capacity reserved for the attempt, updates the worker's stability, and ejects the worker
+    /// if necessary.
+    fn update_worker(&mut self, attempt: &EndedAttempt) {
         let now = self.now;
-        // With many schedulers each sees few attempts of a worker, so one failure counts for those that the others see.
-        let schedulers = (self.settings.scheduler_count as f64 / FEW_SCHEDULERS as f64).max(1.0);
+        // With many schedulers each one observes only a few of a worker's attempts, so a failure also counts
+        // for those that the other schedulers observe.
+        let failure_weight = (self.settings.scheduler_count as f64 / FEW_SCHEDULERS as f64).max(1.0);
         let Some(worker) = self.fleet.workers.get_mut(&attempt.worker) else { return };
         worker.release_capacity(&attempt.request, attempt.started_at.is_some());
         match attempt.outcome {
@@ -153,15 +158,15 @@
             | AttemptOutcome::TimedOut
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionReset => {
-                worker.stability *= STABILITY_AFTER_FAILURE.powf(schedulers);
+                worker.stability *= STABILITY_AFTER_FAILURE.powf(failure_weight);
             }
         }
         let was_reset = attempt.outcome == AttemptOutcome::ConnectionReset;
         worker.consecutive_resets += u32::from(was_reset);
         let is_connection_failure = attempt.outcome == AttemptOutcome::ConnectFailed
-            || was_reset && worker.consecutive_resets >= EJECTING_RESETS;
-        let is_unstable = worker.stability < EJECTION_STABILITY;
-        self.record_cancelled_wait(attempt);
+            || was_reset && worker.consecutive_resets >= RESETS_UNTIL_EJECTION;
+        let is_unstable = worker.stability < MIN_STABILITY;
+        self.record_wait_of_cancelled_attempt(attempt);
         if is_connection_failure {
             self.eject(attempt.worker, EjectionReason::ConnectionFailure);
         } else if is_unstable {
@@ -169,19 +174,20 @@
         }
     }
 
-    /// An attempt that was cancelled before it started shows how long starts take at present.
-    fn record_cancelled_wait(&mut self, attempt: &EndedAttempt) {
-        let was_in_vain = attempt.started_at.is_none() && attempt.outcome == AttemptOutcome::Cancelled;
+    /// Counts the wait of an attempt that was cancelled before it started as a recent start delay.
+    fn record_wait_of_cancelled_attempt(&mut self, attempt: &EndedAttempt) {
+        let was_cancelled_before_start =
+            attempt.started_at.is_none() && attempt.outcome == AttemptOutcome::Cancelled;
         let waited_s = self.now - attempt.sent_at;
-        // Others count with weight 0, which only moves the time of the mean.
-        let weight = f64::from(u8::from(was_in_vain));
+        // Other attempts are added with weight 0, which only advances the time of the decaying mean.
+        let weight = f64::from(u8::from(was_cancelled_before_start));
         self.statistics.recent_start_delay.add(self.now, LOAD_TIME_CONSTANT_S, waited_s, weight);
     }
 
-    /// Learns the run time, and readmits the worker if it was ejected.
+    /// Records the run time and readmits the worker if it was ejected.
     fn record_success(&mut self, attempt: &EndedAttempt) {
         if let Some(started_at) = attempt.started_at {
-            self.record_run(&FinishedRun {
+            self.record_run(&SuccessfulRun {
                 worker: attempt.worker,
                 work: attempt.work,
                 run_time_s: self.now - started_at,
@@ -200,9 +206,9 @@
         }
     }
 
-    /// Learns from a run. One in slow start tells nothing of other workers: it would make the allowances of all of them
-    /// too large.
-    fn record_run(&mut self, run: &FinishedRun) {
+    /// Updates the run time statistics. A run in slow start does not count for other workers, because it
+    /// would make the allowances of all of them too large.
+    fn record_run(&mut self, run: &SuccessfulRun) {
         let worker = self.fleet.workers.get(&run.worker);
         if worker.is_some_and(|worker| !self.is_in_slow_start(worker)) {
             self.record_warm_run(run);
@@ -211,7 +217,7 @@
         }
     }
 
-    fn record_warm_run(&mut self, run: &FinishedRun) {
+    fn record_warm_run(&mut self, run: &SuccessfulRun) {
         let log_ratio = (run.run_time_s.max(MIN_RUN_TIME_S) / run.work).ln();
         if let Some((locality, worker)) = run.locality.zip(self.fleet.workers.get(&run.worker)) {
             let extra_s = run.run_time_s - self.run_time_s(worker, run.work);
@@ -222,12 +228,13 @@
         self.fleet.record_run(run.worker, complexity, self.now, log_ratio);
     }
 
-    /// A run in slow start tells the worker's speed in the middle of it, against the least by the settings.
-    fn record_slow_start_run(&mut self, run: &FinishedRun) {
+    /// Updates the slow start gain: the worker's speed in the middle of the run relative to the configured
+    /// minimum.
+    fn record_slow_start_run(&mut self, run: &SuccessfulRun) {
         let Some(worker) = self.fleet.workers.get(&run.worker) else { return };
         let log_ratio = (run.run_time_s.max(MIN_RUN_TIME_S) / run.work).ln();
-        let least_speed = self.capacity_fraction(worker, run.run_time_s / 2.0);
-        let gain = self.kind_log_ratio(worker.info.kind) - log_ratio - least_speed.ln();
+        let min_speed = self.capacity_fraction(worker, run.run_time_s / 2.0);
+        let gain = self.kind_log_ratio(worker.info.kind) - log_ratio - min_speed.ln();
         let gain = gain.clamp(-MAX_LOG_GAIN, MAX_LOG_GAIN);
         let now = self.now;
         self.statistics.log_slow_start_gain.add(now, WORKER_TIME_CONSTANT_S, gain, 1.0);
@@ -236,7 +243,7 @@
         }
     }
 
-    /// Closes the request of an ended attempt, answers it, or queues it again.
+    /// Closes, answers or requeues the request of an attempt that has ended.
     fn continue_request(&mut self, ended: &AttemptEnded) {
         let id = ended.request;
         let Some(tracked) = self.requests.all.get(&id) else { return };
--- a/src/scheduling/capacity_probe.rs
+++ b/src/scheduling/capacity_probe.rs
@@ -1,8 +1,9 @@
-//! Capacity probes: which workers are asked for a free slot, and what their answers mean.
+//! Capacity probes: ask workers for free slots on behalf of queued requests.
 //!
-//! Where own traffic does not show free slots, a request sends probes to the next few workers in this scheduler's order,
-//! those of its own zone first, and again after ever longer delays. A worker that answers at once has a free slot and is
-//! a candidate for a moment. The same probe is the health check of an ejected worker.
+//! Where this scheduler's own traffic does not show free slots, probes are sent to the next few workers in
+//! its order, starting with its own zone, and are repeated with growing delays. A worker that answers
+//! immediately has a free slot and becomes a candidate for a short time. The same probe serves as the health
+//! check of an ejected worker.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::decaying_mean::LOAD_TIME_CONSTANT_S;
@@ -14,27 +15,27 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::worker::Worker;
 
-/// Workers that are probed at a time.
+/// Number of workers probed at a time.
 const PROBES_PER_ROUND: usize = 2;
-/// A queued request probes other workers after this, then after ever longer delays.
+/// Delay before a queued request probes more workers; it grows with each round of probes.
 pub(crate) const PROBE_RETRY_S: f64 = 0.025;
-/// By this factor the delay grows.
+/// Growth factor of that delay.
 const PROBE_RETRY_GROWTH: f64 = 1.5;
-/// A slot that was reported free counts as free for this long.
+/// How long a slot counts as free after a probe found it free.
 pub(crate) const FREE_SLOT_LIFETIME_S: f64 = 0.05;
-/// An answer takes no longer than this if it did not wait for a slot.
+/// Maximum response time of a probe that did not wait for a slot.
 pub(crate) const IMMEDIATE_ANSWER_S: f64 = 0.02;
-/// A load report in the answer to a probe is fresh: it replaces the estimate.
+/// Weight of a load report in the answer to a probe: it is fresh and replaces the estimate.
 const FRESH_LOAD_WEIGHT: f64 = 1.0;
 
-/// A worker to be probed, and its position after the one where this round of probes began.
+/// A worker to be probed, and its offset from the position at which this round of probes began.
 struct ProbeTarget {
     step: usize,
     worker: WorkerId,
 }
 
 impl SchedulerState {
-    /// Sends a round of probes for a request, where own traffic does not show free slots.
+    /// Sends a round of probes for a request unless this scheduler's own traffic shows free slots.
     pub(crate) fn probe_for_capacity(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.all.get(&id) else { return };
         if self.sees_free_slots() {
@@ -58,8 +59,9 @@
         self.statistics.busy_fraction.add(self.now, LOAD_TIME_CONSTANT_S, busy, 1.0);
     }
 
-    /// The next workers in this scheduler's order that may take the request and whose state is not known. The first round
-    /// goes through the own zone, then through the others; later ones through all.
+    /// Returns the next workers in this scheduler's order that may take the request and whose load is
+    /// unknown. The first round covers this scheduler's zone, then the other zones; later rounds cover all
+    /// zones at once.
     fn probe_targets(&self, tracked: &TrackedRequest) -> Vec<ProbeTarget> {
         let workers = self.fleet.candidate_order.len();
         let is_first_round = tracked.probe_rounds == 0;
@@ -69,8 +71,8 @@
             let id = self.fleet.candidate_order[(self.next_probe_position + step) % workers];
             let worker = &self.fleet.workers[&id];
             let is_own_zone = worker.info.zone == self.settings.zone;
-            let is_zone_due = !is_first_round || is_own_zone == (step < workers);
-            if is_zone_due && self.is_worth_probing(tracked, worker) {
+            let is_zone_probed = !is_first_round || is_own_zone == (step < workers);
+            if is_zone_probed && self.is_worth_probing(tracked, worker) {
                 targets.push(ProbeTarget { step, worker: id });
             }
             if targets.len() == PROBES_PER_ROUND {
@@ -81,17 +83,18 @@
     }
 
     fn is_worth_probing(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
-        let is_known_free = self.now - worker.free_slot_seen_at < FREE_SLOT_LIFETIME_S;
+        let has_known_free_slot = self.now - worker.free_slot_seen_at < FREE_SLOT_LIFETIME_S;
         let is_rejecting = self.now < worker.rejecting_until;
-        let is_probed_already = worker.probe_sent_at > f64::NEG_INFINITY;
-        if worker.is_ejected() || is_known_free || is_rejecting || is_probed_already {
+        let awaits_answer = worker.probe_sent_at > f64::NEG_INFINITY;
+        if worker.is_ejected() || has_known_free_slot || is_rejecting || awaits_answer {
             return false;
         }
         self.is_eligible(tracked, worker)
     }
 
-    /// Takes the answer to a probe: the load, a free slot if it came at once, and the readmission of an ejected worker,
-    /// which is on probation then, as it may have answered beside its queue.
+    /// Handles the answer to a probe: applies its load report, records a free slot if the answer was
+    /// immediate, and readmits an ejected worker. That worker is on probation, because probes may bypass its
+    /// queue.
     pub(crate) fn probe_ended(&mut self, id: WorkerId, outcome: AttemptOutcome, load: LoadReport) {
         self.apply_load_report(id, load, FRESH_LOAD_WEIGHT);
         let Some(worker) = self.fleet.workers.get_mut(&id) else { return };
@@ -110,7 +113,7 @@
         self.schedule_round(0.0);
     }
 
-    /// Corrects the estimate of a worker's load by its report; a weight of 1 replaces it.
+    /// Updates the load estimate of a worker from its load report; a weight of 1 replaces the estimate.
     pub(crate) fn apply_load_report(&mut self, id: WorkerId, load: LoadReport, weight: f64) {
         let Some(worker) = self.fleet.workers.get(&id) else { return };
         let estimate = SlotEstimate {
--- a/src/scheduling/hedging.rs
+++ b/src/scheduling/hedging.rs
@@ -1,9 +1,9 @@
 //! Hedging: whether an overdue attempt is replaced by an attempt at another worker.
 //!
-//! If the settings allow two attempts in flight, the second one is a hedged request, and the first response wins. If they
-//! only allow cancellation, the overdue attempt is cancelled. Once its end is reported, `continue_request` in
-//! `attempt_progress.rs` queues the request again, and `retry.rs` restricts the workers. If neither is allowed, the attempt
-//! is only marked abandoned.
+//! If the settings allow two attempts in flight, the second one is a hedged request, and the first response
+//! wins. If they only allow cancellation, the overdue attempt is cancelled. Once its end is reported,
+//! `continue_request` in `attempt_progress.rs` queues the request again, and `retry.rs` restricts the
+//! workers. If neither is allowed, the attempt is only marked abandoned.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::RequestId;
@@ -40,7 +40,8 @@
         if self.settings.hedging_allowed && !self.has_worker_for_resend(tracked) {
             return false;
         }
-        // Without overload detection a late start may be caused by overload, which another attempt would aggravate.
+        // Without overload detection a late start may be caused by overload, which another attempt would
+        // aggravate.
         let may_be_queued = overdue.started_at.is_none() && !self.detects_overload();
         !may_be_queued && !self.is_fleet_full()
     }
--- a/src/scheduling/outlier_detection.rs
+++ b/src/scheduling/outlier_detection.rs
@@ -1,56 +1,60 @@
-//! Outlier detection: which workers are ejected, for how long, and when they are readmitted.
+//! Outlier detection: decides which workers are ejected, for how long, and when they are readmitted.
 //!
-//! | a worker | what follows |
+//! | event | consequence for the worker |
 //! | --- | --- |
-//! | cannot be connected to, or breaks a connection while a request is written | ejected |
-//! | resets two connections, or reports two requests `lost`, with no notification between | ejected |
-//! | is late to start or to progress an attempt (`overdue.rs`) | ejected, unless most of the fleet is ejected |
-//! | loses its stability: failures, timeouts, resets, missed objectives | ejected, unless most of the fleet is ejected |
-//! | answers a health check, or an attempt there progresses or succeeds | readmitted, on probation |
+//! | connecting fails, or the connection breaks while a request is written | ejected |
+//! | two connection resets or `lost` requests without a notification in between | ejected |
+//! | an attempt is overdue to start or to progress (`overdue.rs`) | ejected, unless most of the fleet is ejected |
+//! | low stability after failures, timeouts, resets or missed objectives | ejected, unless most of the fleet is ejected |
+//! | a health check is answered, or an attempt progresses or succeeds | readmitted, on probation |
 //!
-//! An ejected worker gets no requests. Its backoff doubles with each ejection, until a request has succeeded there; when
-//! it is over a health check is sent, or, where probes are not allowed, the worker is readmitted. On probation a worker is
-//! opened slot by slot (`free_slots` in `load_estimate.rs`) and gets only idempotent requests until one has succeeded. One reset does
-//! not eject by itself, nor does a pooled connection that was closed already: sound workers show both. But where there are many
-//! schedulers (14 and more) one failure takes the stability below its limit. The limits are in `attempt_progress.rs`,
-//! `judge_worker`; what counts as which outcome is in `src/server/attempt_end.rs`.
+//! An ejected worker is sent no requests. Its backoff doubles with each ejection and is reset once a request
+//! succeeds there. After the backoff a health check is sent, or, where probes are not allowed, the worker is
+//! readmitted. On probation a worker is opened one slot at a time (`free_slots` in `load_estimate.rs`) and is
+//! sent only idempotent requests until one has succeeded.
+//!
+//! A single reset does not eject by itself, nor does a pooled connection that was already closed: both also
+//! happen with healthy workers. With many schedulers (14 and more), however, a single failure takes the
+//! stability below its limit. `update_worker` in `attempt_progress.rs` applies the limits;
+//! `src/server/attempt_end.rs` classifies the outcomes.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::identifiers::WorkerId;
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::worker::Health;
 
-/// Shortest backoff of an ejection, for one scheduler alone with its workers.
+/// Minimum backoff of an ejection, before scaling by the number of schedulers per worker.
 const MIN_EJECTION_BACKOFF_S: f64 = 0.5;
-/// Longest backoff of an ejection, for one scheduler alone with its workers.
+/// Maximum backoff of an ejection, before scaling by the number of schedulers per worker.
 const MAX_EJECTION_BACKOFF_S: f64 = 4.0;
-/// With more than this fraction of the fleet ejected, lateness does not eject: the fleet is overloaded then, and each
-/// ejection would load the rest further.
+/// If more than this fraction of the fleet is ejected, lateness and low stability no longer eject: the fleet
+/// is overloaded then, and each ejection would add load to the remaining workers.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
-/// An ejection lowers a worker's stability to this at the most.
+/// Maximum stability of a worker after an ejection.
 const EJECTED_STABILITY: f64 = 0.5;
-/// A worker is readmitted with this stability at the least.
+/// Minimum stability of a worker after its readmission.
 const READMITTED_STABILITY: f64 = 0.5;
 
 /// Why a worker is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionReason {
-    /// A connection failed, or was reset twice with no notification between.
+    /// A connection failed, or was reset twice without a notification in between.
     ConnectionFailure,
-    /// It was late, or its stability is low.
+    /// An attempt was overdue, or the worker's stability is low.
     LateOrUnstable,
 }
 
+/// Bounds of the ejection backoff, in seconds.
 struct BackoffBounds {
     min_s: f64,
     max_s: f64,
 }
 
 impl SchedulerState {
-    /// Ejects a worker until it has answered a health check, which is sent once its backoff is over.
+    /// Ejects a worker until it has answered a health check, which is sent after its backoff.
     ///
-    /// A connection failure always ejects. Lateness does not while more than [`MAX_EJECTED_FRACTION`] of the fleet is
-    /// ejected.
+    /// A connection failure always ejects; other reasons do not while more than [`MAX_EJECTED_FRACTION`] of
+    /// the fleet is ejected.
     pub(crate) fn eject(&mut self, id: WorkerId, reason: EjectionReason) {
         if !self.may_eject(reason) {
             return;
@@ -68,22 +72,23 @@
     }
 
     fn may_eject(&self, reason: EjectionReason) -> bool {
-        let fleet = self.fleet.candidate_order.len().max(1) as f64;
-        let ejected = self.fleet.ejected.len() as f64;
-        reason == EjectionReason::ConnectionFailure || ejected <= MAX_EJECTED_FRACTION * fleet
+        let fleet_size = self.fleet.candidate_order.len().max(1) as f64;
+        let ejected_workers = self.fleet.ejected.len() as f64;
+        reason == EjectionReason::ConnectionFailure || ejected_workers <= MAX_EJECTED_FRACTION * fleet_size
     }
 
-    /// All schedulers check an ejected worker, so each does it less often the more schedulers there are for a worker.
+    /// Scales the backoff with the number of schedulers per worker, because every scheduler checks an ejected
+    /// worker.
     fn ejection_backoff_bounds(&self) -> BackoffBounds {
-        let fleet = self.fleet.candidate_order.len().max(1) as f64;
-        let schedulers_per_worker = 1.0 + self.settings.scheduler_count as f64 / fleet;
+        let fleet_size = self.fleet.candidate_order.len().max(1) as f64;
+        let backoff_factor = 1.0 + self.settings.scheduler_count as f64 / fleet_size;
         BackoffBounds {
-            min_s: MIN_EJECTION_BACKOFF_S * schedulers_per_worker,
-            max_s: MAX_EJECTION_BACKOFF_S * schedulers_per_worker,
+            min_s: MIN_EJECTION_BACKOFF_S * backoff_factor,
+            max_s: MAX_EJECTION_BACKOFF_S * backoff_factor,
         }
     }
 
-    /// Readmits a worker that has shown that it works: it is on probation until a request has succeeded.
+    /// Readmits a worker that has proven healthy. It is on probation until a request has succeeded there.
     pub(crate) fn readmit(&mut self, id: WorkerId) {
         let Some(worker) = self.fleet.workers.get_mut(&id) else { return };
         if !worker.is_ejected() {
@@ -95,7 +100,8 @@
         self.fleet.ejected.retain(|ejected| *ejected != id);
     }
 
-    /// Sends health checks to the ejected workers whose backoff is over; where probes are not allowed, readmits them.
+    /// Sends health checks to the ejected workers whose backoff has elapsed, or readmits them where probes
+    /// are not allowed.
     pub(crate) fn check_ejected_workers(&mut self) {
         for id in self.fleet.ejected.clone() {
             let Some(worker) = self.fleet.workers.get_mut(&id) else { continue };
--- a/src/scheduling/overdue.rs
+++ b/src/scheduling/overdue.rs
@@ -1,14 +1,15 @@
-//! Overdue attempts: when an attempt is late, and what follows for its worker, its request and the queue.
+//! Overdue attempts: when an attempt is overdue, and the consequences for its worker, its request and the
+//! queue.
 //!
 //! | an attempt that | is overdue after |
 //! | --- | --- |
-//! | has not started | a multiple of the usual start delay, or of the mean run time; longer at a worker in slow start |
-//! | has started, where progress is reported | two missed notifications and [`MIN_OVERDUE_S`] |
-//! | has started, where it is not | [`MIN_OVERDUE_S`] and a multiple of its estimated run time |
+//! | has not started | a multiple of the mean start delay or the mean run time, whichever is longer; later in slow start |
+//! | has started, with progress reported | two missed notifications plus [`MIN_OVERDUE_S`] |
+//! | has started, without progress reports | [`MIN_OVERDUE_S`] plus a multiple of its estimated run time |
 //!
-//! Its worker is ejected (`outlier_detection.rs`), and the attempt is replaced where that is allowed (`hedging.rs`). A
-//! request that has not started and can no longer meet its objective is given up: it only delays what is queued behind
-//! it.
+//! The worker is ejected (`outlier_detection.rs`), and the attempt is replaced where that is allowed
+//! (`hedging.rs`). A request that has not started and can no longer meet its latency objective is given up,
+//! because it would only delay the requests queued behind it.
 
 use crate::scheduling::admission::OVERDUE_CHECK_INTERVAL_S;
 use crate::scheduling::capacity_probe::IMMEDIATE_ANSWER_S;
@@ -19,41 +20,42 @@
 use crate::scheduling::timer::Timer;
 use crate::scheduling::worker::Worker;
 
-/// No run is overdue before this, and no start before [`START_RUN_TIME_FACTOR`] times this: pauses and the network take
-/// that long.
+/// No run is overdue before this, and no start before [`START_RUN_TIME_FACTOR`] times this: process pauses
+/// and network delays can last that long.
 const MIN_OVERDUE_S: f64 = 0.4;
-/// A start is overdue after this many usual start delays ...
+/// A start is overdue after this multiple of the mean start delay.
 const START_DELAY_FACTOR: f64 = 1.8;
-/// ... but not before this many mean run times: a request may well be queued that long.
+/// A start is not overdue before this multiple of the mean run time, because requests are often queued that
+/// long.
 const START_RUN_TIME_FACTOR: f64 = 0.6;
-/// A run is overdue after this many times its estimate.
+/// A run is overdue after this multiple of its estimated run time.
 const RUN_TIME_FACTOR: f64 = 5.0;
 /// Progress is overdue after this many missed notifications.
 const MISSED_PROGRESS_NOTIFICATIONS: f64 = 2.0;
 
-/// Limits for attempts that have not started, in seconds.
+/// Time limits for attempts that have not started.
 struct StartLimits {
-    /// After this the worker is late.
+    /// The attempt is overdue after this.
     overdue_s: f64,
-    /// Where only capacity probes show load, an attempt that has not started is replaced after this. Infinite where load
-    /// reports show it: there it is not replaced at all.
+    /// Where only capacity probes show load, an attempt that has not started is replaced after this. Infinite
+    /// where load reports are available: such an attempt is not replaced then.
     replace_unstarted_s: f64,
 }
 
-/// What an attempt in flight has come to.
-struct CheckedAttempt {
+/// Result of the check of one attempt in flight.
+struct AttemptCheck {
     request: RequestId,
     attempt: usize,
     worker: WorkerId,
     is_overdue: bool,
-    is_to_be_replaced: bool,
+    should_replace: bool,
 }
 
 impl SchedulerState {
-    /// Looks over all attempts in flight and all ejected workers, and sets the timer for the next check.
+    /// Checks all attempts in flight and all ejected workers, and sets the timer for the next check.
     pub(crate) fn check_overdue(&mut self) {
         let limits = self.start_limits();
-        let mut checked = Vec::new();
+        let mut checks = Vec::new();
         let mut too_late = Vec::new();
         for (&id, tracked) in &self.requests.all {
             for (index, attempt) in tracked.attempts.iter().enumerate() {
@@ -61,7 +63,7 @@
                 if !attempt.is_in_flight() {
                     continue;
                 }
-                checked.push(self.check_attempt(tracked, index, worker, &limits));
+                checks.push(self.check_attempt(tracked, index, worker, &limits));
                 if self.is_too_late(tracked, attempt, worker) {
                     too_late.push(id);
                 }
@@ -70,12 +72,12 @@
         for id in too_late {
             self.give_final_answer(id);
         }
-        for attempt in checked {
-            if attempt.is_overdue {
-                self.eject(attempt.worker, EjectionReason::LateOrUnstable);
+        for check in checks {
+            if check.is_overdue {
+                self.eject(check.worker, EjectionReason::LateOrUnstable);
             }
-            if attempt.is_to_be_replaced {
-                self.replace_overdue_attempt(attempt.request, attempt.attempt);
+            if check.should_replace {
+                self.replace_overdue_attempt(check.request, check.attempt);
             }
         }
         self.check_ejected_workers();
@@ -84,14 +86,14 @@
     }
 
     fn start_limits(&self) -> StartLimits {
-        let by_run_time_s = START_RUN_TIME_FACTOR * MIN_OVERDUE_S.max(self.mean_run_time_s());
-        let by_start_delay_s = START_DELAY_FACTOR * self.mean_start_delay_s();
+        let run_time_limit_s = START_RUN_TIME_FACTOR * MIN_OVERDUE_S.max(self.mean_run_time_s());
+        let start_delay_limit_s = START_DELAY_FACTOR * self.mean_start_delay_s();
         let replace_unstarted_s = if self.relies_on_probes() {
             IMMEDIATE_ANSWER_S + 2.0 * self.settings.event_interval_s
         } else {
             f64::INFINITY
         };
-        StartLimits { overdue_s: by_run_time_s.max(by_start_delay_s), replace_unstarted_s }
+        StartLimits { overdue_s: run_time_limit_s.max(start_delay_limit_s), replace_unstarted_s }
     }
 
     fn check_attempt(
@@ -100,26 +102,28 @@
         index: usize,
         worker: &Worker,
         limits: &StartLimits,
-    ) -> CheckedAttempt {
+    ) -> AttemptCheck {
         let attempt = &tracked.attempts[index];
-        let silent_s = self.silent_s(attempt, worker);
+        let silence_s = self.silence_s(attempt, worker);
         let overdue_s = self.overdue_limit_s(tracked, attempt, worker, limits);
-        // Where own traffic does not show free slots, a late start may mean overload: another limit holds.
-        let is_start_awaited = attempt.started_at.is_none();
+        // Where this scheduler's own traffic does not show free slots, a late start may mean overload, so a
+        // different limit applies.
+        let awaits_start = attempt.started_at.is_none();
         let replace_after_s =
-            if is_start_awaited && !self.sees_free_slots() { limits.replace_unstarted_s } else { overdue_s };
-        CheckedAttempt {
+            if awaits_start && !self.sees_free_slots() { limits.replace_unstarted_s } else { overdue_s };
+        AttemptCheck {
             request: tracked.request.id,
             attempt: index,
             worker: attempt.worker,
-            is_overdue: silent_s > overdue_s,
-            is_to_be_replaced: silent_s > replace_after_s,
+            is_overdue: silence_s > overdue_s,
+            should_replace: silence_s > replace_after_s,
         }
     }
 
-    /// For how long nothing was received of an attempt. While its start is awaited any notification of the worker counts:
-    /// it is alive then, if overloaded, and other attempts would add to that.
-    fn silent_s(&self, attempt: &Attempt, worker: &Worker) -> f64 {
+    /// Seconds since the last notification of an attempt. While its start is awaited, any notification of the
+    /// worker counts: the worker is alive, though possibly overloaded, and another attempt would add to its
+    /// load.
+    fn silence_s(&self, attempt: &Attempt, worker: &Worker) -> f64 {
         let any_notification_counts = attempt.started_at.is_none() && !self.relies_on_probes();
         let last_notified_at = if any_notification_counts {
             attempt.last_notified_at.max(worker.last_notified_at)
@@ -145,7 +149,8 @@
         MIN_OVERDUE_S + RUN_TIME_FACTOR * self.run_time_s(worker, tracked.work)
     }
 
-    /// Whether a request whose attempt has not started can no longer earn anything, and may be rejected.
+    /// Whether a request whose attempt has not started can no longer finish within its latency objective, has
+    /// no value after it, and may be rejected.
     fn is_too_late(&self, tracked: &TrackedRequest, attempt: &Attempt, worker: &Worker) -> bool {
         if attempt.started_at.is_some() || tracked.is_closed() {
             return false;
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -1,14 +1,15 @@
 //! Placement: chooses the worker for a request, in three steps.
 //!
-//! 1. Eligibility: `is_eligible` applies the rules that also hold for capacity probes. It excludes draining workers,
-//!    workers that could run the request a second time, and workers that the request could make collapse in slow
-//!    start. `is_available` also excludes ejected and rejecting workers, workers on probation, and workers where the
-//!    request has failed.
-//! 2. Score ([`SchedulerState::score`]): ranks the eligible workers; lower is better. Urgent requests prefer the worker
-//!    that finishes first, bulk prefers the worker with the most free slots that still meets the latency objective.
-//! 3. Draw ([`draw_best`]): takes the best of a few candidates that are drawn at random, weighted by free capacity. The
-//!    draw keeps schedulers apart: all see the same free slots at the same time, so the best worker for one is the best
-//!    for all.
+//! 1. Eligibility: `is_eligible` applies the rules that also hold for capacity probes. It excludes draining
+//!    workers, workers that could run the request a second time, and workers that the request could make
+//!    collapse in slow start. `is_available` also excludes ejected and rejecting workers, workers on
+//!    probation, and workers where the request has failed.
+//! 2. Score ([`SchedulerState::score`]): ranks the eligible workers; lower is better. Urgent requests prefer
+//!    the worker that finishes first, bulk prefers the worker with the most free slots that still meets the
+//!    latency objective.
+//! 3. Draw ([`draw_best`]): takes the best of a few candidates that are drawn at random, weighted by free
+//!    capacity. The draw keeps schedulers apart: all see the same free slots at the same time, so the best
+//!    worker for one is the best for all.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::affinity::remember_key;
@@ -21,15 +22,15 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::worker::{Worker, MEDIUM_COMPLEXITY};
 
-/// A request safely meets its latency objective if it finishes within this fraction of its slack. Bulk may be sent to
-/// a slower worker only then.
+/// A request safely meets its latency objective if it finishes within this fraction of its slack. Bulk may be
+/// sent to a slower worker only then.
 const SAFE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// Weight in the bulk score of one average run time saved by affinity; an entirely free worker weighs 1.
 const AFFINITY_PREFERENCE: f64 = 5.0;
 /// Weight in the bulk score of a run time ratio equal to the fleet's mean; an entirely free worker weighs 1.
 const SLOWNESS_PREFERENCE: f64 = 0.1;
-/// Bulk score of a worker without free slots. It is negative so that workers that safely meet the objective rank ahead
-/// of those that may be late.
+/// Bulk score of a worker without free slots. It is negative so that workers that safely meet the objective
+/// rank ahead of those that may be late.
 const BULK_BASE_SCORE: f64 = -1.0;
 /// Factor on the estimated time to finish at a worker in another zone.
 const OTHER_ZONE_PENALTY: f64 = 1.1;
@@ -47,8 +48,8 @@
 pub(crate) struct RoundContext {
     /// Whether most of the queued requests are urgent.
     pub is_mostly_urgent: bool,
-    /// Expected fill level of the workers by the next endpoint list (reserved slots over slots); infinite if listed
-    /// weights do not show load.
+    /// Expected fill level of the workers by the next endpoint list (reserved slots over slots); infinite if
+    /// listed weights do not show load.
     pub fill_level: f64,
 }
 
@@ -60,12 +61,13 @@
     needs_affinity: bool,
     /// Time left until the latency objective, in seconds.
     slack_s: f64,
-    /// Whether to exclude workers that answered an attempt of the request with an error. Set only while there are other
-    /// candidates.
+    /// Whether to exclude workers that answered an attempt of the request with an error. Set only while there
+    /// are other candidates.
     avoids_failed_workers: bool,
     /// Queueing time assumed at a worker whose queue is unknown, in seconds.
     default_queue_s: f64,
-    /// Draw weight of a worker in this scheduler's zone. The zone as a whole weighs as much as all other zones together.
+    /// Draw weight of a worker in this scheduler's zone. The zone as a whole weighs as much as all other
+    /// zones together.
     own_zone_weight: f64,
     /// Draw weight of a worker with a pooled connection. Together these workers weigh as much as all others.
     pooled_connection_weight: f64,
@@ -147,8 +149,8 @@
 
     // ---- Eligibility ----
 
-    /// Whether the worker may be sent the request at all. Draining workers are sent nothing, even within the drain grace
-    /// period (`drain_grace_s`).
+    /// Whether the worker may be sent the request at all. Draining workers are sent nothing, even within the
+    /// drain grace period (`drain_grace_s`).
     pub(crate) fn is_eligible(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
         if !tracked.is_open() || self.now >= tracked.request.deadline {
             return false;
@@ -256,8 +258,8 @@
         queue_s.max(if is_in_slow_start { 0.0 } else { context.default_queue_s })
     }
 
-    /// Whether the worker is estimated to have free slots. Where listed weights show load, a worker below the fill level
-    /// takes one request of this scheduler in addition to those of other schedulers.
+    /// Whether the worker is estimated to have free slots. Where listed weights show load, a worker below the
+    /// fill level takes one request of this scheduler in addition to those of other schedulers.
     fn has_free_slots(
         &self,
         needed_slots: f64,
@@ -273,8 +275,8 @@
         is_first_of_scheduler || self.relies_on_probes() || free_slots >= MIN_FREE_FRACTION * needed_slots
     }
 
-    /// Whether the request may be sent to a worker without free capacity, where it is queued. It may not if it
-    /// would be late there and lose its value.
+    /// Whether the request may be sent to a worker without free capacity, where it is queued. It may not if
+    /// it would be late there and lose its value.
     fn may_queue_at(
         &self,
         tracked: &TrackedRequest,
@@ -297,9 +299,10 @@
 
     /// Returns the score of a worker; lower is better.
     ///
-    /// The score is the estimated time to finish, raised by low stability. Bulk that safely meets its objective prefers
-    /// the worker with the most free slots instead, and among equally free workers the fastest. Speed is ignored where
-    /// overload cannot be detected: all schedulers would converge on the fast workers, which the draw already favors.
+    /// The score is the estimated time to finish, raised by low stability. Bulk that safely meets its
+    /// objective prefers the worker with the most free slots instead, and among equally free workers the
+    /// fastest. Speed is ignored where overload cannot be detected: all schedulers would converge on the fast
+    /// workers, which the draw already favors.
     fn score(&self, worker: &Worker, estimate: &PlacementEstimate, context: &PlacementContext) -> f64 {
         let score = estimate.time_to_finish_s / worker.stability.max(MIN_SCORE_STABILITY);
         let is_bulk = !context.is_urgent
@@ -320,8 +323,9 @@
 
     // ---- Draw ----
 
-    /// Weight of a worker in the random draw: its free capacity where that is known, otherwise its size, zone and pooled
-    /// connection. A worker in slow start is always drawn, as its allowance already limits the requests sent there.
+    /// Weight of a worker in the random draw: its free capacity where that is known, otherwise its size, zone
+    /// and pooled connection. A worker in slow start is always drawn, as its allowance already limits the
+    /// requests sent there.
     fn draw_weight(&self, worker: &Worker, estimate: &PlacementEstimate, context: &PlacementContext) -> f64 {
         if !estimate.has_free_capacity {
             return BUSY_DRAW_WEIGHT;
@@ -370,8 +374,8 @@
     tracked.request.memory <= free || memory.held_here == 0.0
 }
 
-/// Returns the best of a weighted sample of the candidates, drawn without replacement (`draw` is uniform over (0, 1]).
-/// Candidates with infinite weight are added to the sample and do not count toward its size.
+/// Returns the best of a weighted sample of the candidates, drawn without replacement (`draw` is uniform over
+/// (0, 1]). Candidates with infinite weight are added to the sample and do not count toward its size.
 pub(crate) fn draw_best(
     mut candidates: Vec<Candidate>,
     sample_size: usize,
--- a/src/scheduling/retry.rs
+++ b/src/scheduling/retry.rs
@@ -1,4 +1,5 @@
-//! Retry: whether a request may be sent again after attempts that may have run, and whether it may be rejected then.
+//! Retry: whether a request may be sent again after attempts that may have run, and whether it may be
+//! rejected then.
 
 use crate::scheduling::request_table::{Attempt, TrackedRequest};
 use crate::scheduling::settings::{DeduplicationScope, Idempotency};
@@ -9,12 +10,13 @@
 const WINDOW_MARGIN: f64 = 0.1;
 
 impl SchedulerState {
-    /// Whether the request may be sent to the worker without risking that it takes effect twice, given that earlier
-    /// attempts may have run.
+    /// Whether the request may be sent to the worker without risking that it takes effect twice, given that
+    /// earlier attempts may have run.
     ///
-    /// An idempotent request always may, and a non-idempotent one never. A request with an idempotency key may within its
-    /// deduplication window, at workers that know the key. The window lasts from the first attempt that may have run to
-    /// the arrival of the retry's last byte. A slow connect can delay that byte by up to the connect timeout.
+    /// An idempotent request always may, and a non-idempotent one never. A request with an idempotency key
+    /// may within its deduplication window, at workers that know the key. The window lasts from the first
+    /// attempt that may have run to the arrival of the retry's last byte. A slow connect can delay that byte
+    /// by up to the connect timeout.
     pub(crate) fn may_resend_to(&self, tracked: &TrackedRequest, worker: &Worker) -> bool {
         let class = &self.settings.classes[tracked.request.class];
         let Some(first) = tracked.attempts.iter().find(|attempt| attempt.may_have_run()) else { return true };
@@ -41,8 +43,8 @@
         (has_used_all || is_non_idempotent && may_have_run) && !tracked.has_attempt_in_flight()
     }
 
-    /// Whether the request may be answered as rejected, which tells the client that a retry is safe: the request never
-    /// ran, or running it again has no effect at any worker.
+    /// Whether the request may be answered as rejected, which tells the client that a retry is safe: the
+    /// request never ran, or running it again has no effect at any worker.
     pub(crate) fn may_reject(&self, tracked: &TrackedRequest) -> bool {
         let class = &self.settings.classes[tracked.request.class];
         let never_ran = !tracked.attempts.iter().any(Attempt::may_have_run);
--- a/src/scheduling/scheduler_share/tests.rs
+++ b/src/scheduling/scheduler_share/tests.rs
@@ -8,31 +8,43 @@
 }
 
 #[test]
-fn fixed_shares_add_up_to_one_and_stay_with_their_schedulers() {
+fn fixed_shares_add_up_to_one_and_are_kept_as_the_budget_grows() {
     for (total, salt) in (MIN_FIXED_SHARES..300).zip(0..) {
         let mut holders = Vec::new();
         for tenths in 10..80 {
             let shares: Vec<_> =
                 (0..total).map(|index| fixed_share(index, total, f64::from(tenths) / 10.0, salt)).collect();
             let sum: f64 = shares.iter().flatten().sum();
-            assert!((sum - 1.0).abs() < 1e-9, "{sum} of {total} schedulers at {tenths}");
-            assert!(holders.iter().all(|&index: &usize| shares[index].is_some()), "one lost its share");
+            assert!(
+                (sum - 1.0).abs() < 1e-9,
+                "shares of {total} schedulers add up to {sum} at {tenths} tenths of the budget"
+            );
+            assert!(
+                holders.iter().all(|&index: &usize| shares[index].is_some()),
+                "a scheduler lost its share as the budget grew"
+            );
             holders = (0..total).filter(|&index| shares[index].is_some()).collect();
         }
     }
 }
 
 #[test]
-fn granted_requests_average_the_budget_and_vary_like_random_draws() {
+fn granted_requests_average_to_the_budget_with_bounded_variance() {
     for (total, budget) in [(10, 4.0), (40, 3.0), (300, 8.5), (300, 0.7), (1000, 30.0), (10, 25.0)] {
         let in_interval = |number| -> f64 {
             (0..total).map(|index| granted_requests(index, total, budget, 77, number)).sum()
         };
         let by_interval: Vec<f64> = (0..400).map(in_interval).collect();
         let mean = by_interval.iter().sum::<f64>() / 400.0;
-        assert!((mean - budget).abs() < 0.15 * budget.sqrt().max(1.0), "{mean} of {budget} among {total}");
-        let most = by_interval.iter().copied().fold(0.0, f64::max);
-        assert!(most <= budget + 3.0 * budget.sqrt() + 3.0, "{most} of {budget} among {total}");
+        assert!(
+            (mean - budget).abs() < 0.15 * budget.sqrt().max(1.0),
+            "{total} schedulers are granted {mean} on average, budget {budget}"
+        );
+        let max_granted = by_interval.iter().copied().fold(0.0, f64::max);
+        assert!(
+            max_granted <= budget + 3.0 * budget.sqrt() + 3.0,
+            "{total} schedulers are granted up to {max_granted}, budget {budget}"
+        );
     }
 }
 
@@ -46,17 +58,17 @@
                 .map(|index| granted_requests(index, total, mean_grants_per_interval(allowed), 9, number))
                 .sum()
         };
-        let most = (0..1000).map(sum).fold(0.0, f64::max);
+        let max_granted = (0..1000).map(sum).fold(0.0, f64::max);
         assert!(
-            most <= 0.9 * collapse_threshold(allowed),
-            "{most} of {} among {total}",
+            max_granted <= 0.9 * collapse_threshold(allowed),
+            "{total} schedulers are granted up to {max_granted}, collapse threshold {}",
             collapse_threshold(allowed)
         );
     }
 }
 
 #[test]
-fn every_scheduler_gets_grants_and_a_larger_budget_takes_none_away() {
+fn every_scheduler_gets_grants_and_a_larger_budget_revokes_none() {
     let granted_intervals =
         |index| (0..2000).filter(|number| granted_requests(index, 100, 4.0, 5, *number) > 0.0).count();
     assert!((0..100).all(|index| (40..130).contains(&granted_intervals(index))));
@@ -67,7 +79,7 @@
 }
 
 #[test]
-fn shares_of_several_workers_go_to_different_schedulers() {
+fn shares_of_different_budgets_go_to_different_schedulers() {
     let schedulers_with_share =
         |salt| (0..100).filter(move |&index| fixed_share(index, 100, 1.0, salt).is_some());
     let mut counts = [0; 100];
--- a/src/scheduling/slow_start/tests.rs
+++ b/src/scheduling/slow_start/tests.rs
@@ -12,26 +12,30 @@
             let age_s = f64::from(tenths) / 10.0;
             let interval = GrantInterval::at(age_s, 7, &settings(index));
             assert!(
-                interval.began_s <= age_s + 1e-9 && age_s < interval.began_s + 3.0 + 1e-9,
-                "{interval:?} at {age_s}"
+                interval.start_s <= age_s + 1e-9 && age_s < interval.start_s + 3.0 + 1e-9,
+                "{interval:?} does not contain age {age_s}"
             );
             assert!(
-                interval.number == last.number && interval.began_s == last.began_s
+                interval.number == last.number && interval.start_s == last.start_s
                     || interval.number == last.number + 1
             );
             last = interval;
         }
-        assert!((9..=10).contains(&last.number), "ten intervals in thirty seconds: {last:?}");
+        assert!(
+            (9..=10).contains(&last.number),
+            "expected ten intervals in thirty seconds, last is {last:?}"
+        );
     }
 }
 
-/// If all began at the same time, one overload window would hold the grants of two intervals of every scheduler.
+/// Guards against intervals that start at the same time for all schedulers: one overload window would then
+/// contain the grants of two intervals of every scheduler.
 #[test]
-fn grant_intervals_of_many_schedulers_begin_at_all_times() {
-    let mut begun_in_tenth = [0; 10];
+fn grant_intervals_of_many_schedulers_have_uniform_phases() {
+    let mut starts_by_phase = [0; 10];
     for index in 0..1000 {
         let interval = GrantInterval::at(9.0, 7, &settings(index));
-        begun_in_tenth[(((interval.began_s / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
+        starts_by_phase[(((interval.start_s / 3.0).rem_euclid(1.0)) * 10.0) as usize % 10] += 1;
     }
-    assert!(begun_in_tenth.iter().all(|&count| (60..150).contains(&count)), "{begun_in_tenth:?}");
+    assert!(starts_by_phase.iter().all(|&count| (60..150).contains(&count)), "{starts_by_phase:?}");
 }
