--- a/src/scheduling/affinity.rs
+++ b/src/scheduling/affinity.rs
@@ -45,7 +45,7 @@
 pub(crate) const MAX_RECENT_KEYS: usize = 8;
 /// Larger deviations from the usual run time, in multiples of the mean, have other causes than a fetch and
 /// are clamped.
-const MAX_EXTRA_RUNS: f64 = 3.0;
+const MAX_EXTRA_RUN_TIMES: f64 = 3.0;
 
 /// How close a worker is to the data of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,6 +59,7 @@
     Unrelated,
 }
 
+/// Number of localities that are told apart: four depths of `RecentlySent`, `Preferred` and `Unrelated`.
 const LOCALITY_COUNT: usize = 6;
 
 impl Locality {
@@ -71,6 +72,7 @@
     }
 }
 
+/// Request count and preferred workers of a key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct KeyStatistics {
     requests: DecayingMean,
@@ -87,7 +89,7 @@
     pub weight: f64,
 }
 
-/// Request statistics by key and run time statistics by locality.
+/// Request counts by key and run time statistics by locality.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AffinityStatistics {
     keys: BTreeMap<u64, KeyStatistics>,
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Whether a request should ignore affinity to measure how much it saves. The fewer such runs have been
-    /// observed, the more often it should. `draw` is uniform over (0, 1].
+    /// Whether a request should ignore affinity to measure how much it saves. The fewer runs at unrelated
+    /// workers have been observed, the more often it should. `draw` is uniform over (0, 1].
     pub(crate) fn should_explore(&self, now: f64, draw: f64) -> bool {
         let unrelated = &self.extra_run_time[Locality::Unrelated.index()];
         let runs = unrelated.remaining_weight(now, RUN_TIME_CONSTANT_S);
@@ -164,19 +166,19 @@
 
     /// Records the extra run time of a run over the usual one at its worker, in multiples of the fleet's mean
     /// run time.
-    pub(crate) fn record_run(&mut self, now: f64, locality: Locality, extra_runs: f64) {
-        let extra_runs = extra_runs.clamp(-MAX_EXTRA_RUNS, MAX_EXTRA_RUNS);
-        self.extra_run_time[locality.index()].add(now, RUN_TIME_CONSTANT_S, extra_runs, 1.0);
+    pub(crate) fn record_run(&mut self, now: f64, locality: Locality, extra_run_times: f64) {
+        let extra_run_times = extra_run_times.clamp(-MAX_EXTRA_RUN_TIMES, MAX_EXTRA_RUN_TIMES);
+        self.extra_run_time[locality.index()].add(now, RUN_TIME_CONSTANT_S, extra_run_times, 1.0);
     }
 
     /// Run time saved by this locality over an unrelated one, in multiples of the fleet's mean run time.
     pub(crate) fn saving(&self, now: f64, locality: Locality) -> f64 {
-        let extra_runs = |locality: Locality, prior| {
+        let extra_run_times = |locality: Locality, prior| {
             let extra = &self.extra_run_time[locality.index()];
             extra.value_or(now, RUN_TIME_CONSTANT_S, PRIOR_RUNS, prior)
         };
         let prior = if locality == Locality::Unrelated { 0.0 } else { PRIOR_SAVING };
-        let saving = extra_runs(Locality::Unrelated, prior) - extra_runs(locality, 0.0);
+        let saving = extra_run_times(Locality::Unrelated, prior) - extra_run_times(locality, 0.0);
         if saving > MIN_SAVING {
             saving
         } else {
@@ -185,8 +187,8 @@
     }
 }
 
-/// Orders the workers by preference for a key (weighted rendezvous hashing); the order is the same at all
-/// schedulers.
+/// Returns the stable ids of the workers, ordered by preference for a key (weighted rendezvous hashing). The
+/// order is the same at all schedulers.
 fn rendezvous_order(key: u64, workers: Vec<WeightedWorker>) -> Vec<u64> {
     let sort_key = |worker: WeightedWorker| {
         let draw = uniform_draw(seeded_hash(key, WorkerId(worker.stable_id)));
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -32,7 +32,7 @@
 /// Bulk score of a worker without free slots. It is negative so that workers that safely meet the objective
 /// rank ahead of those that may be late.
 const BULK_BASE_SCORE: f64 = -1.0;
-/// Factor on the estimated time to finish at a worker in another zone.
+/// Multiplier for the estimated time to finish at a worker in another zone.
 const OTHER_ZONE_PENALTY: f64 = 1.1;
 /// A worker counts as free if at least this fraction of the slots that the request needs is free.
 const MIN_FREE_FRACTION: f64 = 0.5;
@@ -102,7 +102,7 @@
 }
 
 impl SchedulerState {
-    /// Chooses a worker for a request. With `None` the request stays queued.
+    /// Chooses a worker for a request, or returns `None` if the request should stay queued.
     pub(crate) fn choose_worker(
         &self,
         tracked: &TrackedRequest,
--- a/src/scheduling/scheduler_share/tests.rs
+++ b/src/scheduling/scheduler_share/tests.rs
@@ -17,7 +17,7 @@
             let sum: f64 = shares.iter().flatten().sum();
             assert!(
                 (sum - 1.0).abs() < 1e-9,
-                "shares of {total} schedulers add up to {sum} at {tenths} tenths of the budget"
+                "shares of {total} schedulers add up to {sum} at a budget growth of {tenths} tenths"
             );
             assert!(
                 holders.iter().all(|&index: &usize| shares[index].is_some()),
