--- a/src/scheduling.rs
+++ b/src/scheduling.rs
@@ -12,7 +12,7 @@
 //! | retries | `retry.rs` |
 //! | overdue attempts, hedging and cancellation | `overdue.rs`, `hedging.rs` |
 //! | final answers | `final_answer.rs` |
-//! | ejection and readmission of workers | `outlier_detection.rs`, `judge_worker` in `attempt_progress.rs` |
+//! | ejection and readmission of workers | `outlier_detection.rs`, `update_worker` in `attempt_progress.rs` |
 //! | slow start of new workers | `slow_start.rs`, `scheduler_share.rs`, `recent_sends.rs` |
 //! | effects of an attempt's start, progress and end | `attempt_progress.rs` |
 //! | endpoint list updates | `endpoint_update.rs` |
