--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -121,7 +121,7 @@
         // Two event intervals early, so that the answer is in time even if the timer comes late.
         let deadline_in_s = (time_left_s - 2.0 * self.settings.event_interval_s).max(0.0);
         self.set_timer(deadline_in_s, Timer::Deadline(id));
-        self.fleet.hold_capacity_of(&tracked);
+        self.fleet.reserve_capacity_for(&tracked);
         self.requests.add(tracked);
         self.probe_for_capacity(id);
         self.schedule_round(self.round_interval_s);
--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -6,7 +6,7 @@
 use crate::scheduling::event::AttemptEnded;
 use crate::scheduling::fleet::STALE_LOAD_WEIGHT;
 use crate::scheduling::identifiers::{RequestId, WorkerId};
-use crate::scheduling::load_estimate::FEW_SCHEDULERS;
+use crate::scheduling::load_estimate::SMALL_GROUP_SCHEDULERS;
 use crate::scheduling::outlier_detection::EjectionReason;
 use crate::scheduling::request::{AttemptOutcome, Request};
 use crate::scheduling::request_table::AttemptChange;
@@ -136,7 +136,7 @@
     fn judge_worker(&mut self, attempt: &EndedAttempt) {
         let now = self.now;
         // With many schedulers each sees few attempts of a worker, so one failure counts for those that the others see.
-        let schedulers = (self.settings.scheduler_count as f64 / FEW_SCHEDULERS as f64).max(1.0);
+        let schedulers = (self.settings.scheduler_count as f64 / SMALL_GROUP_SCHEDULERS as f64).max(1.0);
         let Some(worker) = self.fleet.workers.get_mut(&attempt.worker) else { return };
         worker.release_capacity(&attempt.request, attempt.started_at.is_some());
         match attempt.outcome {
--- a/src/scheduling/capacity_probe.rs
+++ b/src/scheduling/capacity_probe.rs
@@ -115,7 +115,7 @@
         let Some(worker) = self.fleet.workers.get(&id) else { return };
         let estimate = SlotEstimate {
             total: self.fleet.slots_of(worker),
-            held_by_others: self.slots_held_by_others(worker),
+            reserved_by_others: self.slots_reserved_by_others(worker),
         };
         self.fleet.apply_load_report(id, load, weight, estimate, self.now);
     }
--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -116,7 +116,7 @@
     /// Hands a request over to another process of this scheduler: nothing of it is left here.
     pub fn hand_over(&mut self, id: RequestId) -> Option<RequestRecord> {
         let tracked = self.state.requests.remove(id)?;
-        self.state.fleet.release_capacity_of(&tracked);
+        self.state.fleet.release_capacity_for(&tracked);
         Some(RequestRecord(tracked))
     }
 
--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -5,7 +5,7 @@
 
 use crate::scheduling::action::Action;
 use crate::scheduling::endpoint::WorkerInfo;
-use crate::scheduling::fleet::SlotSums;
+use crate::scheduling::fleet::SlotTotals;
 use crate::scheduling::random::seeded_hash;
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::timer::Timer;
@@ -45,8 +45,8 @@
     fn update_quota_share(&mut self) {
         let slots = self.fleet.ready_slots();
         let scheduler_count = self.settings.scheduler_count as f64;
-        let even_share = SlotSums { slots, held_here: slots / scheduler_count, held_by_all: slots };
-        let held = self.fleet.held_slots();
+        let even_share = SlotTotals { slots, reserved_here: slots / scheduler_count, reserved_by_all: slots };
+        let held = self.fleet.reserved_slots();
         let traffic_share = self.statistics.traffic_share(self.now, held, even_share);
         self.set_quota_share(traffic_share);
     }
--- a/src/scheduling/fleet.rs
+++ b/src/scheduling/fleet.rs
@@ -17,20 +17,20 @@
 
 /// Slots of some workers, and what is held of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct SlotSums {
+pub(crate) struct SlotTotals {
     /// All slots.
     pub slots: f64,
     /// Held by this scheduler's attempts.
-    pub held_here: f64,
+    pub reserved_here: f64,
     /// Held by all schedulers.
-    pub held_by_all: f64,
+    pub reserved_by_all: f64,
 }
 
 /// The estimate of a worker's slots that a load report corrects.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotEstimate {
     pub total: f64,
-    pub held_by_others: f64,
+    pub reserved_by_others: f64,
 }
 
 /// The load of a worker for each of its cores, by its listed weight.
@@ -70,21 +70,22 @@
     }
 
     /// Slots of the ready workers that are not ejected, and what this scheduler holds there.
-    pub(crate) fn in_service_slots(&self) -> SlotSums {
-        let mut sums = SlotSums::default();
+    pub(crate) fn in_service_slots(&self) -> SlotTotals {
+        let mut sums = SlotTotals::default();
         for worker in self.ready_workers().filter(|worker| !worker.is_ejected()) {
             sums.slots += self.slots_of(worker);
-            sums.held_here += worker.slots.held_here;
+            sums.reserved_here += worker.slots.reserved_here;
         }
         sums
     }
 
     /// What this scheduler and what all hold at the ready workers.
-    pub(crate) fn held_slots(&self) -> SlotSums {
-        let mut sums = SlotSums::default();
+    pub(crate) fn reserved_slots(&self) -> SlotTotals {
+        let mut sums = SlotTotals::default();
         for worker in self.ready_workers() {
-            sums.held_here += worker.slots.held_here;
-            sums.held_by_all = sums.held_by_all + worker.slots.held_here + worker.slots.held_by_others;
+            sums.reserved_here += worker.slots.reserved_here;
+            sums.reserved_by_all =
+                sums.reserved_by_all + worker.slots.reserved_here + worker.slots.reserved_by_others;
         }
         sums
     }
@@ -102,15 +103,17 @@
         if let Some(free) = load.free_slots {
             worker.slots.total = estimate.total.max(free.round());
             let queued = load.queue_length.unwrap_or(0.0);
-            let held_by_others = (worker.slots.total - free + queued - worker.slots.held_here).max(0.0);
-            let correction = weight * (held_by_others - estimate.held_by_others);
-            worker.slots.held_by_others = estimate.held_by_others + correction;
+            let reserved_by_others =
+                (worker.slots.total - free + queued - worker.slots.reserved_here).max(0.0);
+            let correction = weight * (reserved_by_others - estimate.reserved_by_others);
+            worker.slots.reserved_by_others = estimate.reserved_by_others + correction;
             worker.slots.updated_at = now;
             self.kinds[worker.info.kind].slots = worker.slots.total;
         }
         if let Some(free) = load.free_memory {
             worker.memory.total = worker.memory.total.max(free.round()).max(estimate.total);
-            worker.memory.held_by_others = (worker.memory.total - free - worker.memory.held_here).max(0.0);
+            worker.memory.reserved_by_others =
+                (worker.memory.total - free - worker.memory.reserved_here).max(0.0);
         }
     }
 
@@ -123,8 +126,9 @@
             let cores =
                 if kind.load_per_request > 0.0 { (1.0 / kind.load_per_request).round() } else { kind.slots };
             let Some(worker) = self.workers.get_mut(id) else { continue };
-            let held_by_others = (load * cores - worker.slots.held_here).max(0.0);
-            worker.slots.held_by_others += STALE_LOAD_WEIGHT * (held_by_others - worker.slots.held_by_others);
+            let reserved_by_others = (load * cores - worker.slots.reserved_here).max(0.0);
+            worker.slots.reserved_by_others +=
+                STALE_LOAD_WEIGHT * (reserved_by_others - worker.slots.reserved_by_others);
         }
         for worker in self.workers.values_mut() {
             worker.slots.updated_at = now;
@@ -154,16 +158,16 @@
     }
 
     /// Counts the attempts of a request that are in flight, when it comes from another process of this scheduler.
-    pub(crate) fn hold_capacity_of(&mut self, request: &TrackedRequest) {
+    pub(crate) fn reserve_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
-                worker.hold_capacity(&request.request, attempt.started_at.is_some());
+                worker.reserve_capacity(&request.request, attempt.started_at.is_some());
             }
         }
     }
 
     /// Releases what the attempts of a request hold, when it goes to another process of this scheduler.
-    pub(crate) fn release_capacity_of(&mut self, request: &TrackedRequest) {
+    pub(crate) fn release_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
                 worker.release_capacity(&request.request, attempt.started_at.is_some());
@@ -197,11 +201,11 @@
             self.apply_entry(info);
         }
         self.workers
-            .retain(|_, worker| worker.info.state != WorkerState::Gone || worker.slots.held_here > 0.0);
+            .retain(|_, worker| worker.info.state != WorkerState::Gone || worker.slots.reserved_here > 0.0);
         self.count_ready_workers();
-        self.candidate_order = self.ids_of(Worker::is_ready);
+        self.candidate_order = self.worker_ids_where(Worker::is_ready);
         self.candidate_order.sort_by_cached_key(|&id| order(id));
-        self.ejected = self.ids_of(|worker| worker.is_ready() && worker.is_ejected());
+        self.ejected = self.worker_ids_where(|worker| worker.is_ready() && worker.is_ejected());
     }
 
     fn apply_entry(&mut self, info: WorkerInfo) {
@@ -226,12 +230,12 @@
         }
     }
 
-    fn ids_of(&self, condition: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
+    fn worker_ids_where(&self, condition: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
         self.workers.values().filter(|worker| condition(worker)).map(|worker| worker.info.id).collect()
     }
 
     /// Rebuilds the list of ejected workers after states were taken over, in candidate order.
-    pub(crate) fn relist_ejected(&mut self) {
+    pub(crate) fn rebuild_ejected(&mut self) {
         let ejected = self.candidate_order.iter().filter(|id| self.workers[id].is_ejected());
         self.ejected = ejected.copied().collect();
     }
--- a/src/scheduling/gossip.rs
+++ b/src/scheduling/gossip.rs
@@ -36,7 +36,7 @@
 
 /// The slots that a scheduler holds at one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HeldSlots {
+pub(crate) struct WorkerReservation {
     pub worker: WorkerKey,
     pub slots: u8,
 }
@@ -46,11 +46,11 @@
 struct Message {
     /// The sender's time in milliseconds, modulo 2^32.
     sent_at_ms: u32,
-    held: Vec<HeldSlots>,
+    held: Vec<WorkerReservation>,
 }
 
 /// Encodes a message. If there are too many workers for one message, those with the most held slots are named.
-fn encode(now: f64, mut held: Vec<HeldSlots>) -> Vec<u8> {
+fn encode(now: f64, mut held: Vec<WorkerReservation>) -> Vec<u8> {
     held.sort_by_key(|entry| (std::cmp::Reverse(entry.slots), entry.worker));
     held.truncate((MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES);
     let mut message = Vec::with_capacity(HEADER_BYTES + ENTRY_BYTES * held.len());
@@ -74,7 +74,7 @@
     let mut held = Vec::with_capacity(bytes.len() / ENTRY_BYTES);
     while bytes.has_remaining() {
         let worker = WorkerKey(bytes.get_u16());
-        held.push(HeldSlots { worker, slots: bytes.get_u8() });
+        held.push(WorkerReservation { worker, slots: bytes.get_u8() });
     }
     Some(Message { sent_at_ms, held })
 }
@@ -105,7 +105,7 @@
 
 /// What the others say of one worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct HeldByOthers {
+pub(crate) struct ReservedByOthers {
     /// Slots that they hold there.
     pub slots: f64,
     /// How many of them have sent a message lately.
@@ -116,14 +116,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct GossipState {
     received: Vec<Option<ReceivedMessage>>,
-    last_sent: Vec<HeldSlots>,
+    last_sent: Vec<WorkerReservation>,
     /// Messages due since what is held here last changed.
     unchanged: u32,
 }
 
 impl GossipState {
     /// The message that is due, if what is held has changed or the others must be shown that this scheduler lives.
-    pub(crate) fn next_message(&mut self, now: f64, held: Vec<HeldSlots>) -> Option<Vec<u8>> {
+    pub(crate) fn next_message(&mut self, now: f64, held: Vec<WorkerReservation>) -> Option<Vec<u8>> {
         self.unchanged = if held == self.last_sent { self.unchanged + 1 } else { 0 };
         self.last_sent.clone_from(&held);
         if self.unchanged.is_multiple_of(UNCHANGED_SEND_RATIO) {
@@ -156,8 +156,13 @@
     }
 
     /// Slots that others hold at a worker. A message's figures decay with the mean run time.
-    pub(crate) fn held_by_others(&self, now: f64, worker: WorkerKey, mean_run_s: f64) -> HeldByOthers {
-        let mut sum = HeldByOthers { slots: 0.0, live_schedulers: 0 };
+    pub(crate) fn reserved_by_others(
+        &self,
+        now: f64,
+        worker: WorkerKey,
+        mean_run_s: f64,
+    ) -> ReservedByOthers {
+        let mut sum = ReservedByOthers { slots: 0.0, live_schedulers: 0 };
         for received in self.live_messages(now) {
             let entry = received.message.held.iter().find(|entry| entry.worker == worker);
             let slots = entry.map_or(0.0, |entry| f64::from(entry.slots));
--- a/src/scheduling/gossip/tests.rs
+++ b/src/scheduling/gossip/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn held(worker: u16, slots: u8) -> HeldSlots {
-    HeldSlots { worker: WorkerKey(worker), slots }
+fn held(worker: u16, slots: u8) -> WorkerReservation {
+    WorkerReservation { worker: WorkerKey(worker), slots }
 }
 
 /// Slots held by others at worker 7, and how many of them are live; nothing decays.
 fn held_at_seven(gossip: &GossipState, now: f64) -> (f64, usize) {
-    let others = gossip.held_by_others(now, WorkerKey(7), f64::INFINITY);
+    let others = gossip.reserved_by_others(now, WorkerKey(7), f64::INFINITY);
     (others.slots, others.live_schedulers)
 }
 
@@ -43,8 +43,8 @@
         gossip.receive(10.0, 1, 3, bytes);
     }
     gossip.receive(10.0, 3, 3, &valid);
-    let others = gossip.held_by_others(10.0, WorkerKey(7), 1.0);
-    assert_eq!(others, HeldByOthers { slots: 0.0, live_schedulers: 0 });
+    let others = gossip.reserved_by_others(10.0, WorkerKey(7), 1.0);
+    assert_eq!(others, ReservedByOthers { slots: 0.0, live_schedulers: 0 });
 }
 
 #[test]
--- a/src/scheduling/handover.rs
+++ b/src/scheduling/handover.rs
@@ -58,7 +58,7 @@
                 apply_worker(own, learned);
             }
         }
-        fleet.relist_ejected();
+        fleet.rebuild_ejected();
         (self.statistics, self.affinity)
     }
 }
@@ -70,8 +70,8 @@
     }
     *own = Worker {
         info: own.info.clone(),
-        slots: Capacity { held_here: own.slots.held_here, ..learned.slots },
-        memory: Capacity { held_here: own.memory.held_here, ..learned.memory },
+        slots: Capacity { reserved_here: own.slots.reserved_here, ..learned.slots },
+        memory: Capacity { reserved_here: own.memory.reserved_here, ..learned.memory },
         attempts_not_started: own.attempts_not_started,
         recent_sends: std::mem::take(&mut own.recent_sends),
         ..learned
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -19,7 +19,7 @@
 /// With more than this fraction of the probed workers busy the fleet is full: late requests would only take slots.
 const OVERLOADED_BUSY_FRACTION: f64 = 0.55;
 /// This many schedulers see enough by their own traffic: all workers are candidates.
-pub(crate) const FEW_SCHEDULERS: usize = 4;
+pub(crate) const SMALL_GROUP_SCHEDULERS: usize = 4;
 /// Keeps a listed weight of 0 from dividing by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
@@ -27,7 +27,7 @@
     /// Whether so few schedulers share the workers that own traffic shows most of what happens there.
     pub(crate) fn is_small_scheduler_group(&self) -> bool {
         let enough_workers = self.fleet.candidate_order.len() / 2;
-        self.settings.scheduler_count <= FEW_SCHEDULERS.max(enough_workers)
+        self.settings.scheduler_count <= SMALL_GROUP_SCHEDULERS.max(enough_workers)
     }
 
     /// Whether own traffic shows which workers have free slots. Otherwise capacity probes ask for them, at the price of
@@ -60,16 +60,16 @@
 
     /// Slots that other schedulers hold at a worker: what their gossip says, and for those that are silent their part of
     /// the last known figure.
-    pub(crate) fn slots_held_by_others(&self, worker: &Worker) -> f64 {
+    pub(crate) fn slots_reserved_by_others(&self, worker: &Worker) -> f64 {
         let key = WorkerKey::new(worker.info.stable_id);
-        let gossip = self.gossip.held_by_others(self.now, key, self.mean_run_time_s());
+        let gossip = self.gossip.reserved_by_others(self.now, key, self.mean_run_time_s());
         let other_schedulers = (self.settings.scheduler_count as f64 - 1.0).max(1.0);
         let silent_fraction = (1.0 - gossip.live_schedulers as f64 / other_schedulers).max(0.0);
-        gossip.slots + silent_fraction * self.last_known_held_by_others(worker)
+        gossip.slots + silent_fraction * self.last_known_reserved_by_others(worker)
     }
 
     /// The last known figure, which fades to the usual load within a mean run time.
-    fn last_known_held_by_others(&self, worker: &Worker) -> f64 {
+    fn last_known_reserved_by_others(&self, worker: &Worker) -> f64 {
         let has_other_schedulers = self.settings.scheduler_count > 1;
         // Where grants go by interval, only some schedulers may send to a worker in slow start: the usual load, which is
         // seen at warm workers, tells nothing of it.
@@ -78,7 +78,7 @@
         let has_usual_load = has_other_schedulers && !(grants_by_interval && self.is_in_slow_start(worker));
         let usual = f64::from(u8::from(has_usual_load)) * self.busy_fraction() * self.fleet.slots_of(worker);
         let age_s = (self.now - worker.slots.updated_at).max(0.0);
-        usual + (worker.slots.held_by_others - usual) * (-age_s / self.mean_run_time_s()).exp()
+        usual + (worker.slots.reserved_by_others - usual) * (-age_s / self.mean_run_time_s()).exp()
     }
 
     /// Slots estimated free for this scheduler. A worker on probation is opened step by step.
@@ -89,8 +89,8 @@
         } else {
             1.0
         };
-        let held = still_held * (self.slots_held_by_others(worker) + worker.slots.held_here);
-        let probation_limit = 1.0 + worker.successes_since_readmission - worker.slots.held_here;
+        let held = still_held * (self.slots_reserved_by_others(worker) + worker.slots.reserved_here);
+        let probation_limit = 1.0 + worker.successes_since_readmission - worker.slots.reserved_here;
         (self.fleet.slots_of(worker) - held).min(probation_limit)
     }
 
@@ -98,7 +98,7 @@
     pub(crate) fn fill_level(&self) -> f64 {
         let is_filled = |worker: &&Worker| !worker.is_ejected() && !self.is_in_slow_start(worker);
         let load = |worker: &Worker| WorkerLoad {
-            held: worker.slots.held_here + worker.slots.held_by_others,
+            held: worker.slots.reserved_here + worker.slots.reserved_by_others,
             slots: self.fleet.slots_of(worker),
         };
         let loads: Vec<_> = self.fleet.ready_workers().filter(is_filled).map(load).collect();
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -11,7 +11,7 @@
 use crate::scheduling::action::Action;
 use crate::scheduling::affinity::remember_key;
 use crate::scheduling::identifiers::{RequestId, WorkerId};
-use crate::scheduling::load_estimate::FEW_SCHEDULERS;
+use crate::scheduling::load_estimate::SMALL_GROUP_SCHEDULERS;
 use crate::scheduling::load_shedding::MAX_OBJECTIVE_STRETCH;
 use crate::scheduling::random::{seeded_hash, uniform_draw};
 use crate::scheduling::request_table::{Attempt, TrackedRequest};
@@ -110,7 +110,7 @@
                 candidates.extend(self.candidate(tracked, worker, &context));
             }
         }
-        let sample = (FEW_SCHEDULERS * self.candidates.len()).div_ceil(self.settings.scheduler_count);
+        let sample = (SMALL_GROUP_SCHEDULERS * self.candidates.len()).div_ceil(self.settings.scheduler_count);
         let request_seed = self.seed ^ u64::from(tracked.request.id.0);
         draw_best(candidates, sample.max(MIN_SAMPLE), |id| uniform_draw(seeded_hash(request_seed, id)))
     }
@@ -204,8 +204,8 @@
         let request = &tracked.request;
         let free_slots = self.free_slots(worker);
         let slots_below_level = context.round.fill_level * self.fleet.slots_of(worker)
-            - worker.slots.held_here
-            - worker.slots.held_by_others;
+            - worker.slots.reserved_here
+            - worker.slots.reserved_by_others;
         let has_memory = has_memory(tracked, worker);
         let is_in_slow_start = self.is_in_slow_start(worker);
         let is_own_zone = worker.info.zone == self.settings.zone;
@@ -247,7 +247,7 @@
         if !is_below_level {
             return false;
         }
-        let is_first_from_here = self.settings.weights_show_load && worker.slots.held_here < 1.0;
+        let is_first_from_here = self.settings.weights_show_load && worker.slots.reserved_here < 1.0;
         is_first_from_here || self.relies_on_probes() || free_slots >= MIN_FREE_PART * needed_slots
     }
 
@@ -332,7 +332,7 @@
             remember_key(&mut worker.recent_affinity_keys, key);
         }
         tracked.attempts.push(Attempt::new(worker_id, self.now, starts_reported, locality));
-        worker.hold_capacity(&tracked.request, !starts_reported);
+        worker.reserve_capacity(&tracked.request, !starts_reported);
         worker.last_dispatched_at = self.now;
         let (class, work) = (tracked.request.class, tracked.work);
         self.count_sent_work(worker_id, class, work);
@@ -343,8 +343,8 @@
 /// Whether the request fits a worker's memory, or nothing of this scheduler is there.
 fn has_memory(tracked: &TrackedRequest, worker: &Worker) -> bool {
     let memory = &worker.memory;
-    let free = memory.total - memory.held_by_others - memory.held_here;
-    tracked.request.memory <= free || memory.held_here == 0.0
+    let free = memory.total - memory.reserved_by_others - memory.reserved_here;
+    tracked.request.memory <= free || memory.reserved_here == 0.0
 }
 
 /// The best of a sample of candidates, drawn without replacement by their weights (`draw` is uniform over (0, 1]).
--- a/src/scheduling/round.rs
+++ b/src/scheduling/round.rs
@@ -100,7 +100,7 @@
         if self.sees_free_slots() {
             let sums = self.fleet.in_service_slots();
             let share = sums.slots / self.settings.scheduler_count as f64;
-            let room = share + share.sqrt().max(MIN_EXTRA_ATTEMPTS) - sums.held_here;
+            let room = share + share.sqrt().max(MIN_EXTRA_ATTEMPTS) - sums.reserved_here;
             queue.truncate(room.max(0.0).ceil() as usize + self.fleet.candidate_order.len());
             room
         } else {
--- a/src/scheduling/statistics.rs
+++ b/src/scheduling/statistics.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::decaying_mean::{DecayingMean, WORKER_TIME_CONSTANT_S};
-use crate::scheduling::fleet::SlotSums;
+use crate::scheduling::fleet::SlotTotals;
 
 /// Keeps a share of the traffic from dividing by zero.
 const MIN_SLOTS: f64 = 1e-9;
@@ -28,9 +28,9 @@
     /// Priority of the requests by Eq. 1.
     pub priority: DecayingMean,
     /// Slots that this scheduler held at the workers when lists came.
-    pub held_here: DecayingMean,
+    pub reserved_here: DecayingMean,
     /// Slots that all schedulers held at the workers when lists came.
-    pub held_by_all: DecayingMean,
+    pub reserved_by_all: DecayingMean,
     /// Estimated work of all requests.
     pub work: DecayingMean,
     /// By class: the longest time to the deadline, which a client's first attempt has.
@@ -49,10 +49,10 @@
     /// The fraction of the traffic that comes to this scheduler, from what it and all hold at the workers.
     ///
     /// `expected` counts as one more list: an even share of all slots. The shares of all schedulers sum to one.
-    pub(crate) fn traffic_share(&mut self, now: f64, held: SlotSums, expected: SlotSums) -> f64 {
-        self.held_here.add(now, WORKER_TIME_CONSTANT_S, held.held_here, 1.0);
-        self.held_by_all.add(now, WORKER_TIME_CONSTANT_S, held.held_by_all, 1.0);
-        let held_by_all = (self.held_by_all.sum + expected.held_by_all).max(MIN_SLOTS);
-        (self.held_here.sum + expected.held_here) / held_by_all
+    pub(crate) fn traffic_share(&mut self, now: f64, held: SlotTotals, expected: SlotTotals) -> f64 {
+        self.reserved_here.add(now, WORKER_TIME_CONSTANT_S, held.reserved_here, 1.0);
+        self.reserved_by_all.add(now, WORKER_TIME_CONSTANT_S, held.reserved_by_all, 1.0);
+        let reserved_by_all = (self.reserved_by_all.sum + expected.reserved_by_all).max(MIN_SLOTS);
+        (self.reserved_here.sum + expected.reserved_here) / reserved_by_all
     }
 }
--- a/src/scheduling/worker.rs
+++ b/src/scheduling/worker.rs
@@ -34,10 +34,10 @@
 pub(crate) struct Capacity {
     pub total: f64,
     /// Estimate of what other schedulers hold.
-    pub held_by_others: f64,
+    pub reserved_by_others: f64,
     /// What this scheduler's attempts hold.
-    pub held_here: f64,
-    /// When `held_by_others` was last updated.
+    pub reserved_here: f64,
+    /// When `reserved_by_others` was last updated.
     pub updated_at: f64,
 }
 
@@ -110,8 +110,8 @@
     /// A new process on the same machine: only the machine's size and this scheduler's attempts stay.
     pub(crate) fn restarted(&self) -> Self {
         let mut worker = Worker { slots: self.slots, memory: self.memory, ..Worker::unknown() };
-        worker.slots.held_by_others = 0.0;
-        worker.memory.held_by_others = 0.0;
+        worker.slots.reserved_by_others = 0.0;
+        worker.memory.reserved_by_others = 0.0;
         worker.attempts_not_started = self.attempts_not_started;
         worker
     }
@@ -130,28 +130,28 @@
     }
 
     /// Counts an attempt of this request as held there.
-    pub(crate) fn hold_capacity(&mut self, request: &Request, has_started: bool) {
-        self.slots.held_here += request.slots;
-        self.memory.held_here += request.memory;
+    pub(crate) fn reserve_capacity(&mut self, request: &Request, has_started: bool) {
+        self.slots.reserved_here += request.slots;
+        self.memory.reserved_here += request.memory;
         self.attempts_not_started += usize::from(!has_started);
     }
 
     /// An attempt of this request holds nothing there any more.
     pub(crate) fn release_capacity(&mut self, request: &Request, had_started: bool) {
-        self.slots.held_here = (self.slots.held_here - request.slots).max(0.0);
-        self.memory.held_here = (self.memory.held_here - request.memory).max(0.0);
+        self.slots.reserved_here = (self.slots.reserved_here - request.slots).max(0.0);
+        self.memory.reserved_here = (self.memory.reserved_here - request.memory).max(0.0);
         self.attempts_not_started = self.attempts_not_started.saturating_sub(usize::from(!had_started));
     }
 
     /// An attempt of this scheduler has started there; if it had been queued, all slots were taken.
     pub(crate) fn attempt_started(&mut self, now: f64, total_slots: f64, was_queued: bool) {
         self.attempts_not_started = self.attempts_not_started.saturating_sub(1);
-        let running_here = self.slots.held_here - self.attempts_not_started as f64;
+        let running_here = self.slots.reserved_here - self.attempts_not_started as f64;
         self.slots.total = self.slots.total.max(running_here);
         let other_slots = total_slots - running_here;
-        let held_by_others =
-            if was_queued { other_slots } else { self.slots.held_by_others.min(other_slots) };
-        self.slots.held_by_others = held_by_others.max(0.0);
+        let reserved_by_others =
+            if was_queued { other_slots } else { self.slots.reserved_by_others.min(other_slots) };
+        self.slots.reserved_by_others = reserved_by_others.max(0.0);
         self.slots.updated_at = now;
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -104,8 +104,8 @@
 }
 
 /// How many of 60 simultaneous requests are inside their tenant's quota of 100 a second, at a scheduler that has
-/// `in_flight` requests at workers while all workers together hold `held_by_all`.
-fn requests_inside_quota(in_flight: u32, held_by_all: f64) -> usize {
+/// `in_flight` requests at workers while all workers together hold `reserved_by_all`.
+fn requests_inside_quota(in_flight: u32, reserved_by_all: f64) -> usize {
     let tenants = vec![Tenant { name: String::new(), quota_per_s: 100.0 }];
     let settings = Settings { tenants, weight_over_quota: 0.05, ..settings_of_a_hundred() };
     let mut scheduler = TestScheduler::new(settings, workers_with_load(&[0.0; 60]));
@@ -116,7 +116,7 @@
         scheduler.send(Event::AttemptStarted { request: RequestId(id), attempt: 0 });
     }
     for _ in 0..8 {
-        scheduler.update_workers(workers_with_load(&[held_by_all / 60.0; 60]));
+        scheduler.update_workers(workers_with_load(&[reserved_by_all / 60.0; 60]));
         scheduler.run(0.25);
     }
     (100..160).for_each(|id| drop(scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)))));
