--- a/src/scheduling/endpoint.rs
+++ b/src/scheduling/endpoint.rs
@@ -1,18 +1,18 @@
-//! A worker as the endpoint list shows it, and what it reports of its load.
+//! Entries of the endpoint list, and load reports of workers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::identifiers::WorkerId;
 use crate::scheduling::settings::LoadReportField;
 
-/// Whether a worker takes work.
+/// Whether a worker accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// It takes work.
+    /// The worker accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The worker accepts no new requests but finishes those it has.
     Draining,
-    /// It is not listed any more.
+    /// The worker is no longer listed.
     #[default]
     Gone,
 }
@@ -20,27 +20,27 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// The worker.
+    /// This process's number for the worker.
     pub id: WorkerId,
-    /// A number of it that is the same at all schedulers and for each of its processes.
+    /// A number for the worker that is the same at all schedulers and survives restarts of the worker.
     pub stable_id: u64,
-    /// Whether it takes work.
+    /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// Its zone.
+    /// Index of the worker's zone.
     pub zone: u16,
-    /// Its cell.
+    /// Number of the worker's cell.
     pub cell: u16,
-    /// Its kind.
+    /// Index of the worker's kind.
     pub kind: usize,
-    /// Clock time of its last start; 0 for long ago.
+    /// Time of the worker's last start, in seconds on the caller's clock; 0 if long ago.
     pub started_at_s: f64,
-    /// Its size as listed, in the list's own unit; 0 where that is not told. Where
-    /// [`Settings::weights_show_load`](crate::scheduling::Settings::weights_show_load) is set, lowered by what it
-    /// holds.
+    /// The worker's listed size, in the list's own unit; 0 if not listed. If
+    /// [`Settings::weights_show_load`](crate::scheduling::Settings::weights_show_load) is set, the weight is lowered by
+    /// the worker's load.
     pub weight: f64,
 }
 
-/// A load report; what is not reported is `None`.
+/// A load report of a worker. Values that it does not contain are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Free slots.
@@ -52,8 +52,7 @@
 }
 
 impl LoadReport {
-    /// Sets one reported value. Fields that the decisions do not use are ignored; a value that is not finite counts as
-    /// not reported.
+    /// Sets the value of a field. Unused fields are ignored, and a value that is not finite counts as not reported.
     pub fn set(&mut self, field: LoadReportField, value: f64) {
         let value = value.is_finite().then_some(value);
         match field {
--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -1,7 +1,7 @@
-//! What a new endpoint list changes, and, in the simulator, when discovery is polled again after a failure.
+//! Applies endpoint lists and, in the simulator, schedules the next poll after a failed one.
 //!
-//! On real sockets `src/server/discovery.rs` polls and watches by itself: the engine ignores `Action::WatchEndpointList` and never
-//! hands in `Event::DiscoveryFailed`.
+//! On real sockets `src/server/discovery.rs` polls and watches on its own: the engine ignores `Action::WatchEndpointList`
+//! and never sends `Event::DiscoveryFailed`.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::endpoint::WorkerInfo;
@@ -10,13 +10,13 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::timer::Timer;
 
-/// Backoff after the first failed poll; it doubles with each further one.
+/// Backoff after the first failed poll; doubles with each further failure.
 const MIN_POLL_BACKOFF_S: f64 = 0.5;
-/// The backoff doubles this often at the most.
+/// The backoff doubles at most this many times.
 const MAX_POLL_DOUBLINGS: u32 = 6;
 
 impl SchedulerState {
-    /// Applies a list: the fleet, the quota shares that follow from its load figures, and the candidates.
+    /// Applies an endpoint list: updates the fleet, the quota share (if the list shows load) and the candidates.
     pub(crate) fn apply_endpoint_list(
         &mut self,
         complete_snapshot: bool,
@@ -41,25 +41,27 @@
         self.schedule_round(0.0);
     }
 
-    /// Takes this scheduler's fraction of the traffic, by what it and all hold, as its share of the quotas.
+    /// Sets this scheduler's share of the quotas to its fraction of the traffic, measured by reserved slots.
     fn update_quota_share(&mut self) {
         let slots = self.fleet.ready_slots();
         let scheduler_count = self.settings.scheduler_count as f64;
         let even_share = SlotTotals { slots, reserved_here: slots / scheduler_count, reserved_by_all: slots };
-        let held = self.fleet.reserved_slots();
-        let traffic_share = self.statistics.traffic_share(self.now, held, even_share);
+        let reserved = self.fleet.reserved_slots();
+        let traffic_share = self.statistics.traffic_share(self.now, reserved, even_share);
         self.set_quota_share(traffic_share);
     }
 
-    /// The candidates of the next round: all ready workers where own traffic shows free slots, else none until workers
-    /// answer capacity probes.
+    /// Resets the candidates for the next round: all ready workers if this scheduler's own traffic shows free slots,
+    /// otherwise none until workers answer capacity probes.
     pub(crate) fn reset_candidates(&mut self) {
         self.candidates =
             if self.sees_free_slots() { self.fleet.candidate_order.clone() } else { Vec::new() };
     }
 
-    /// Backs off after a failed poll of discovery. The schedulers' delays differ by their index, so that they do not all
-    /// poll at once; the longest stays within the time after which a change counts as notified.
+    /// Backs off after a failed poll of discovery.
+    ///
+    /// The delay grows with the scheduler's index so that schedulers do not all poll at once. The longest delay stays
+    /// within `max_poll_interval_s`, after which a scheduler counts as notified of a change.
     pub(crate) fn discovery_failed(&mut self) {
         if !self.settings.discovery_polled {
             return;
--- a/src/scheduling/fleet.rs
+++ b/src/scheduling/fleet.rs
@@ -1,4 +1,5 @@
-//! The workers as listed, and what follows from the endpoint list: their order, their kinds, who is ejected.
+//! The fleet: all listed workers, their kinds, and the state derived from the endpoint list (candidate order, ejected
+//! workers).
 
 use std::collections::BTreeMap;
 
@@ -8,48 +9,49 @@
 use crate::scheduling::request_table::TrackedRequest;
 use crate::scheduling::worker::{Worker, WorkerKind};
 
-/// Slots of a kind that has not shown how many requests it runs at once.
+/// Slots assumed per worker for a kind whose concurrency has not been observed yet.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Listed weights are rounded: a load below this is none.
+/// Loads below this count as zero, because listed weights are rounded.
 const MIN_LOAD: f64 = 0.04;
-/// Load figures that are about a second old move an estimate by this fraction.
+/// Weight of load figures that are about a second old when they correct an estimate.
 pub(crate) const STALE_LOAD_WEIGHT: f64 = 0.5;
 
-/// Slots of some workers, and what is held of them.
+/// Total and reserved slots, summed over a set of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct SlotTotals {
     /// All slots.
     pub slots: f64,
-    /// Held by this scheduler's attempts.
+    /// Slots reserved by this scheduler's attempts.
     pub reserved_here: f64,
-    /// Held by all schedulers.
+    /// Slots reserved by all schedulers.
     pub reserved_by_all: f64,
 }
 
-/// The estimate of a worker's slots that a load report corrects.
+/// The estimate of a worker's slots before a load report corrects it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotEstimate {
     pub total: f64,
     pub reserved_by_others: f64,
 }
 
-/// The load of a worker for each of its cores, by its listed weight.
+/// A worker's load as derived from its listed weight.
 #[derive(Clone, Copy, Debug)]
 struct ListedLoad {
     kind: usize,
+    /// Reserved slots per core.
     load: f64,
 }
 
-/// The workers as listed.
+/// All listed workers and their kinds.
 #[derive(Default)]
 pub(crate) struct Fleet {
     pub workers: BTreeMap<WorkerId, Worker>,
     pub kinds: Vec<WorkerKind>,
-    /// The ready workers in this scheduler's own candidate order.
+    /// The ready workers, in an order that differs between schedulers.
     pub candidate_order: Vec<WorkerId>,
     /// The ready workers that are ejected.
     pub ejected: Vec<WorkerId>,
-    /// When a list last showed what all schedulers hold.
+    /// When an endpoint list last contained load figures.
     pub loads_listed_at: f64,
 }
 
@@ -59,17 +61,17 @@
         self.candidate_order.iter().map(|id| &self.workers[id])
     }
 
-    /// All slots of a worker, as it or its kind has shown.
+    /// Total slots of a worker: the larger of its own estimate and that of its kind.
     pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
         worker.slots.total.max(self.kinds[worker.info.kind].slots)
     }
 
-    /// All slots of the ready workers, as far as their kinds have shown.
+    /// Total slots of the ready workers, estimated by kind.
     pub(crate) fn ready_slots(&self) -> f64 {
         self.kinds.iter().map(|kind| kind.ready_workers * kind.slots).sum()
     }
 
-    /// Slots of the ready workers that are not ejected, and what this scheduler holds there.
+    /// Total slots of the ready workers that are not ejected, and the slots that this scheduler has reserved there.
     pub(crate) fn in_service_slots(&self) -> SlotTotals {
         let mut sums = SlotTotals::default();
         for worker in self.ready_workers().filter(|worker| !worker.is_ejected()) {
@@ -79,7 +81,7 @@
         sums
     }
 
-    /// What this scheduler and what all hold at the ready workers.
+    /// Slots of the ready workers that are reserved by this scheduler and by all schedulers.
     pub(crate) fn reserved_slots(&self) -> SlotTotals {
         let mut sums = SlotTotals::default();
         for worker in self.ready_workers() {
@@ -90,7 +92,7 @@
         sums
     }
 
-    /// Applies a load report with this weight: 1 replaces the estimate.
+    /// Corrects the estimate by a load report. A `weight` of 1 replaces the estimate.
     pub(crate) fn apply_load_report(
         &mut self,
         id: WorkerId,
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Applies the load that listed weights show of all workers. A worker left out of the list keeps its weight.
+    /// Corrects the estimates by the load that listed weights show. Workers missing
+    /// from the list count as updated too, because their weight is unchanged.
     pub(crate) fn apply_listed_loads(&mut self, listed: &[WorkerId], now: f64) {
         self.learn_load_per_request(listed);
         for id in listed {
@@ -136,7 +139,8 @@
         self.loads_listed_at = now;
     }
 
-    /// The smallest load that a worker of a kind ever showed is that of one request: it tells the number of cores.
+    /// Learns the load that one request causes on each kind of worker: the smallest load ever listed for the kind. Its
+    /// inverse is the number of cores.
     fn learn_load_per_request(&mut self, listed: &[WorkerId]) {
         let loads: Vec<_> = listed.iter().filter_map(|id| self.listed_load(*id)).collect();
         for ListedLoad { kind, load } in loads {
@@ -149,7 +153,7 @@
         }
     }
 
-    /// The load that a worker's listed weight shows: the weight is divided by 1 + requests held per core.
+    /// Derives a worker's load from its listed weight, which is its idle weight divided by 1 + requests per core.
     fn listed_load(&self, id: WorkerId) -> Option<ListedLoad> {
         let worker = self.workers.get(&id).filter(|worker| worker.info.weight > 0.0)?;
         let idle_weight = self.kinds[worker.info.kind].idle_weight;
@@ -157,7 +161,8 @@
         Some(ListedLoad { kind: worker.info.kind, load })
     }
 
-    /// Counts the attempts of a request that are in flight, when it comes from another process of this scheduler.
+    /// Reserves capacity for the in-flight attempts of a request that is taken over from another process of this
+    /// scheduler.
     pub(crate) fn reserve_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
@@ -166,7 +171,8 @@
         }
     }
 
-    /// Releases what the attempts of a request hold, when it goes to another process of this scheduler.
+    /// Releases the capacity reserved for the in-flight attempts of a request that is handed over to another process of
+    /// this scheduler.
     pub(crate) fn release_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Adds ln(run time / estimated work) of a run to the figures of its worker and of the worker's kind.
+    /// Records ln(run time / estimated work) of a completed run for its worker and for the worker's kind.
     pub(crate) fn record_run(&mut self, id: WorkerId, complexity: usize, now: f64, log_ratio: f64) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let kind = &mut self.kinds[worker.info.kind];
@@ -184,8 +190,8 @@
         worker.log_run_time_ratio.add(now, WORKER_TIME_CONSTANT_S, log_ratio, 1.0);
     }
 
-    /// Applies a list. In a complete snapshot workers that are absent have left. `order` gives each worker's place among
-    /// the candidates.
+    /// Applies an endpoint list. Workers that a complete snapshot does not contain are removed, once they have no slots
+    /// reserved here. Candidates are sorted by `order`.
     pub(crate) fn apply_list(
         &mut self,
         complete_snapshot: bool,
@@ -213,7 +219,7 @@
         self.kinds.resize_with(kinds, || WorkerKind { slots: INITIAL_SLOTS, ..WorkerKind::default() });
         let worker = self.workers.entry(info.id).or_insert_with(Worker::unknown);
         if info.started_at_s > worker.info.started_at_s {
-            // A new process: what was learned of the old one's health and load is void.
+            // The worker's process has restarted, so its health and load are unknown again.
             *worker = worker.restarted();
         }
         let kind = &mut self.kinds[info.kind];
@@ -234,7 +240,7 @@
         self.workers.values().filter(|worker| condition(worker)).map(|worker| worker.info.id).collect()
     }
 
-    /// Rebuilds the list of ejected workers after states were taken over, in candidate order.
+    /// Rebuilds the list of ejected workers, in candidate order, after their health was replaced.
     pub(crate) fn rebuild_ejected(&mut self) {
         let ejected = self.candidate_order.iter().filter(|id| self.workers[id].is_ejected());
         self.ejected = ejected.copied().collect();
--- a/src/scheduling/gossip.rs
+++ b/src/scheduling/gossip.rs
@@ -1,30 +1,31 @@
-//! Gossip: what schedulers that may send each other datagrams tell about the slots they hold at each worker.
+//! Gossip between schedulers about the slots that each has reserved at each worker.
 //!
-//! Load reports tell of a worker only when one of its requests ends, and only to the scheduler that sent it. Between two
-//! reports the load that others send is estimated. A gossip message names all slots that its sender holds, so any one of
-//! them may be lost, late, duplicated or reordered: the newest counts, and none counts for longer than [`LIFETIME_S`].
+//! A load report arrives only when a request ends, and only at the scheduler that sent the request. Between two reports
+//! the load from other schedulers must be estimated, and gossip improves that estimate. A message lists all slots that
+//! its sender has reserved, so messages may be lost, delayed, duplicated or reordered: the newest message of each sender
+//! counts, for at most [`MESSAGE_LIFETIME_S`].
 //!
-//! Gossip is a hint. It moves the estimate of a worker's load and nothing else: no worker is used, left out or trusted
-//! because of it.
+//! Gossip is only a hint. It adjusts the estimated load of a worker; it never makes a worker eligible, ineligible or
+//! trusted.
 
 use bytes::{Buf, BufMut};
 
 use crate::scheduling::random::uniform_draw;
 
-/// The longest message, in bytes.
+/// Maximum length of a message.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
-/// A message is due this often: nine in a row may be lost before the sender counts as silent.
+/// Interval at which messages are due. Nine in a row may be lost before the sender counts as silent.
 pub(crate) const INTERVAL_S: f64 = 0.05;
-/// While nothing changes, one message in this many is sent.
-const UNCHANGED_SEND_RATIO: u32 = 4;
-/// A received message counts for this long.
-const LIFETIME_S: f64 = 0.5;
-/// Messages of another version are ignored.
+/// While the reservations do not change, a message is sent only once in this many intervals.
+const KEEPALIVE_INTERVALS: u32 = 4;
+/// Received messages expire after this time.
+const MESSAGE_LIFETIME_S: f64 = 0.5;
+/// Version of the message format. Messages of other versions are ignored.
 const VERSION: u8 = 1;
 const HEADER_BYTES: usize = 5;
 const ENTRY_BYTES: usize = 3;
 
-/// A worker in a message: the same for all schedulers, whatever endpoint lists they have.
+/// Identifies a worker in a message. It is the same at all schedulers, regardless of their endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WorkerKey(u16);
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// The slots that a scheduler holds at one worker.
+/// The slots that a scheduler has reserved at one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WorkerReservation {
     pub worker: WorkerKey,
@@ -46,17 +47,17 @@
 struct Message {
     /// The sender's time in milliseconds, modulo 2^32.
     sent_at_ms: u32,
-    held: Vec<WorkerReservation>,
+    reservations: Vec<WorkerReservation>,
 }
 
-/// Encodes a message. If there are too many workers for one message, those with the most held slots are named.
-fn encode(now: f64, mut held: Vec<WorkerReservation>) -> Vec<u8> {
-    held.sort_by_key(|entry| (std::cmp::Reverse(entry.slots), entry.worker));
-    held.truncate((MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES);
-    let mut message = Vec::with_capacity(HEADER_BYTES + ENTRY_BYTES * held.len());
+/// Encodes a message. If the reservations do not fit into one message, the largest are kept.
+fn encode(now: f64, mut reservations: Vec<WorkerReservation>) -> Vec<u8> {
+    reservations.sort_by_key(|entry| (std::cmp::Reverse(entry.slots), entry.worker));
+    reservations.truncate((MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES);
+    let mut message = Vec::with_capacity(HEADER_BYTES + ENTRY_BYTES * reservations.len());
     message.put_u8(VERSION);
     message.put_u32((now * 1e3) as u64 as u32);
-    for entry in held {
+    for entry in reservations {
         message.put_u16(entry.worker.0);
         message.put_u8(entry.slots);
     }
@@ -71,69 +72,73 @@
         return None;
     }
     let sent_at_ms = bytes.get_u32();
-    let mut held = Vec::with_capacity(bytes.len() / ENTRY_BYTES);
+    let mut reservations = Vec::with_capacity(bytes.len() / ENTRY_BYTES);
     while bytes.has_remaining() {
         let worker = WorkerKey(bytes.get_u16());
-        held.push(WorkerReservation { worker, slots: bytes.get_u8() });
+        reservations.push(WorkerReservation { worker, slots: bytes.get_u8() });
     }
-    Some(Message { sent_at_ms, held })
+    Some(Message { sent_at_ms, reservations })
 }
 
-/// Whether these bytes are a gossip message.
+/// Whether `bytes` is a well-formed gossip message.
 pub(crate) fn is_message(bytes: &[u8]) -> bool {
     decode(bytes).is_some()
 }
 
-/// The last message of one other scheduler.
+/// The newest message received from another scheduler.
 #[derive(Debug)]
 struct ReceivedMessage {
-    at: f64,
+    received_at: f64,
     message: Message,
 }
 
 impl ReceivedMessage {
     fn is_live(&self, now: f64) -> bool {
-        now - self.at <= LIFETIME_S
+        now - self.received_at <= MESSAGE_LIFETIME_S
     }
 
-    /// Whether a message that was sent then replaces this one. Time goes on at the sender, also over a restart: what is
-    /// not newer was reordered.
+    /// Whether a message sent at `sent_at_ms` replaces this one. The sender's clock continues across restarts, so a message
+    /// that is not newer was duplicated or reordered. Once this message has expired, any message replaces it.
     fn is_replaced_by(&self, now: f64, sent_at_ms: u32) -> bool {
-        sent_at_ms.wrapping_sub(self.message.sent_at_ms) as i32 > 0 || now - self.at > LIFETIME_S
+        sent_at_ms.wrapping_sub(self.message.sent_at_ms) as i32 > 0
+            || now - self.received_at > MESSAGE_LIFETIME_S
     }
 }
 
-/// What the others say of one worker.
+/// Slots of one worker that other schedulers have reserved, according to their gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReservedByOthers {
-    /// Slots that they hold there.
+    /// Sum over all live schedulers.
     pub slots: f64,
-    /// How many of them have sent a message lately.
+    /// Number of other schedulers with an unexpired message.
     pub live_schedulers: usize,
 }
 
-/// The last messages of the other schedulers, by their numbers, and what was sent last from here.
+/// The newest message of each other scheduler, and the state of this scheduler's own messages.
 #[derive(Debug, Default)]
 pub(crate) struct GossipState {
+    /// By scheduler index.
     received: Vec<Option<ReceivedMessage>>,
-    last_sent: Vec<WorkerReservation>,
-    /// Messages due since what is held here last changed.
-    unchanged: u32,
+    /// This scheduler's reservations in the last interval.
+    last_reservations: Vec<WorkerReservation>,
+    /// Intervals since this scheduler's reservations last changed.
+    unchanged_intervals: u32,
 }
 
 impl GossipState {
-    /// The message that is due, if what is held has changed or the others must be shown that this scheduler lives.
-    pub(crate) fn next_message(&mut self, now: f64, held: Vec<WorkerReservation>) -> Option<Vec<u8>> {
-        self.unchanged = if held == self.last_sent { self.unchanged + 1 } else { 0 };
-        self.last_sent.clone_from(&held);
-        if self.unchanged.is_multiple_of(UNCHANGED_SEND_RATIO) {
-            Some(encode(now, held))
+    /// Returns the message to send in this interval, if the reservations have changed or a keepalive is due.
+    pub(crate) fn next_message(&mut self, now: f64, reservations: Vec<WorkerReservation>) -> Option<Vec<u8>> {
+        self.unchanged_intervals =
+            if reservations == self.last_reservations { self.unchanged_intervals + 1 } else { 0 };
+        self.last_reservations.clone_from(&reservations);
+        if self.unchanged_intervals.is_multiple_of(KEEPALIVE_INTERVALS) {
+            Some(encode(now, reservations))
         } else {
             None
         }
     }
 
-    /// Takes a message of scheduler `from`; what is malformed or from no scheduler is ignored.
+    /// Stores a message from scheduler `from`. Malformed messages and unknown senders are ignored.
     pub(crate) fn receive(&mut self, now: f64, from: usize, scheduler_count: usize, bytes: &[u8]) {
         let Some(message) = decode(bytes) else { return };
         if from >= scheduler_count {
@@ -142,7 +147,7 @@
         self.received.resize_with(scheduler_count, || None);
         let last = &mut self.received[from];
         if last.as_ref().is_none_or(|last| last.is_replaced_by(now, message.sent_at_ms)) {
-            *last = Some(ReceivedMessage { at: now, message });
+            *last = Some(ReceivedMessage { received_at: now, message });
         }
     }
 
@@ -150,12 +155,12 @@
         self.received.iter().flatten().filter(move |received| received.is_live(now))
     }
 
-    /// How many other schedulers have sent a message lately.
+    /// Number of other schedulers with an unexpired message.
     pub(crate) fn live_schedulers(&self, now: f64) -> usize {
         self.live_messages(now).count()
     }
 
-    /// Slots that others hold at a worker. A message's figures decay with the mean run time.
+    /// Slots that other schedulers have reserved at a worker. The figures of a message decay with the mean run time.
     pub(crate) fn reserved_by_others(
         &self,
         now: f64,
@@ -164,9 +169,9 @@
     ) -> ReservedByOthers {
         let mut sum = ReservedByOthers { slots: 0.0, live_schedulers: 0 };
         for received in self.live_messages(now) {
-            let entry = received.message.held.iter().find(|entry| entry.worker == worker);
+            let entry = received.message.reservations.iter().find(|entry| entry.worker == worker);
             let slots = entry.map_or(0.0, |entry| f64::from(entry.slots));
-            sum.slots += slots * (-(now - received.at) / mean_run_s).exp();
+            sum.slots += slots * (-(now - received.received_at) / mean_run_s).exp();
             sum.live_schedulers += 1;
         }
         sum
--- a/src/scheduling/worker.rs
+++ b/src/scheduling/worker.rs
@@ -1,7 +1,8 @@
-//! What is known of one worker and of a kind of worker: health, run times, capacity, and what it was sent lately.
+//! Per-worker and per-kind state: health, run times, capacity and recent sends.
 //!
-//! These are records. Who is ejected is decided in `outlier_detection.rs`, what may be sent during slow start in
-//! `slow_start.rs`. Both records are handed over in an upgrade: fields are stored by position, so their order stays.
+//! This module only stores state. `outlier_detection.rs` decides on ejection and `slow_start.rs` limits sends during slow
+//! start. [`Worker`] and [`WorkerKind`] are handed over in an upgrade; postcard stores fields by position, so their order
+//! must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,52 +12,52 @@
 use crate::scheduling::request::Request;
 use crate::scheduling::settings::DeduplicationScope;
 
-/// Complexity classes, as many as in the paper; each spans a factor of two of work.
+/// Number of complexity classes, as in the paper. Each class spans a factor of two of estimated work.
 pub(crate) const COMPLEXITY_CLASSES: usize = 5;
-/// The class of a request with the fleet's mean work.
+/// The class of an average request.
 pub(crate) const MEDIUM_COMPLEXITY: usize = 2;
 
-/// Whether a worker is in service.
+/// Whether a worker is in service or ejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Health {
-    /// It gets requests. After a readmission it is on probation until a request has succeeded.
+    /// The worker gets requests. After readmission it is on probation until a request succeeds.
     #[default]
     InService,
-    /// It gets none until a health check or a request there has succeeded.
+    /// The worker gets no requests until it is readmitted; see `outlier_detection.rs`.
     Ejected {
         /// When the next health check is due.
         next_check_at: f64,
     },
 }
 
-/// Slots or memory of a worker: all of it, and who holds how much.
+/// Slots or memory of a worker: the total and the reserved amounts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Capacity {
     pub total: f64,
-    /// Estimate of what other schedulers hold.
+    /// Estimated amount reserved by other schedulers.
     pub reserved_by_others: f64,
-    /// What this scheduler's attempts hold.
+    /// Amount reserved by this scheduler's attempts.
     pub reserved_here: f64,
     /// When `reserved_by_others` was last updated.
     pub updated_at: f64,
 }
 
-/// What is known of a kind of worker.
+/// What has been learned about a kind of worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WorkerKind {
     /// ln(run time / estimated work).
     pub log_run_time_ratio: DecayingMean,
-    /// Slots of one worker.
+    /// Slots per worker.
     pub slots: f64,
-    /// How many workers of this kind are ready.
+    /// Number of ready workers of this kind.
     pub ready_workers: f64,
-    /// The largest weight listed: that of a worker that holds nothing.
+    /// The largest weight ever listed, which is the weight of an idle worker.
     pub idle_weight: f64,
-    /// By how much one held request raises the load of a worker: one core in all its cores. 0 while unknown.
+    /// Load that one request adds to a worker: 1 / number of cores. 0 while unknown.
     pub load_per_request: f64,
 }
 
-/// What is known of a worker.
+/// A listed worker and what has been learned about it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Worker {
     pub info: WorkerInfo,
@@ -64,34 +65,34 @@
     pub log_ratio_by_complexity: [DecayingMean; COMPLEXITY_CLASSES],
     /// ln(run time / estimated work) over all classes.
     pub log_run_time_ratio: DecayingMean,
-    /// ln(speed shown / least speed by the settings) during slow start.
+    /// ln(observed speed / minimum speed by the settings) during slow start.
     pub log_slow_start_gain: DecayingMean,
-    /// Decaying share of attempts that went well and in time, from 0 to 1.
+    /// Decaying fraction of attempts that succeeded in time, from 0 to 1.
     pub stability: f64,
     pub health: Health,
-    /// Time until the next health check after an ejection; doubles with each ejection.
+    /// Time from an ejection to the health check. Doubles with each ejection.
     pub ejection_backoff_s: f64,
-    /// Requests that succeeded since it was last readmitted; infinite if it never was ejected.
+    /// Requests that succeeded since the last readmission; infinite if the worker was never readmitted.
     pub successes_since_readmission: f64,
     pub slots: Capacity,
     pub memory: Capacity,
-    /// Attempts sent there and not known to have started.
+    /// Attempts sent to the worker that are not known to have started.
     pub attempts_not_started: usize,
-    /// It rejected an attempt: until then it gets none.
+    /// The worker rejected an attempt and gets no others until this time.
     pub rejecting_until: f64,
-    /// When any attempt there last started, progressed or succeeded.
+    /// When an attempt last started, progressed or succeeded on the worker.
     pub last_notified_at: f64,
-    /// Connections to it that were reset since then.
+    /// Connections reset since `last_notified_at`.
     pub consecutive_resets: u32,
-    /// When a capacity probe was sent, while its answer is awaited; else minus infinity.
+    /// When the outstanding capacity probe was sent; minus infinity if there is none.
     pub probe_sent_at: f64,
-    /// When it last answered a probe at once, which shows a free slot.
+    /// When the worker last answered a probe at once, which shows that it had a free slot.
     pub free_slot_seen_at: f64,
-    /// When it was last sent an attempt.
+    /// When an attempt was last sent to the worker.
     pub last_dispatched_at: f64,
-    /// Work it was sent lately, while in slow start.
+    /// Work recently sent to the worker while in slow start.
     pub recent_sends: RecentSends,
-    /// The affinity keys that it was sent lately, the latest first.
+    /// Affinity keys of requests recently sent to the worker, most recent first.
     pub recent_affinity_keys: Vec<u64>,
 }
 
@@ -107,7 +108,8 @@
         }
     }
 
-    /// A new process on the same machine: only the machine's size and this scheduler's attempts stay.
+    /// The state after the worker's process restarted on the same machine: only the size of the machine and this
+    /// scheduler's attempts are kept.
     pub(crate) fn restarted(&self) -> Self {
         let mut worker = Worker { slots: self.slots, memory: self.memory, ..Worker::unknown() };
         worker.slots.reserved_by_others = 0.0;
@@ -124,26 +126,26 @@
         matches!(self.health, Health::Ejected { .. })
     }
 
-    /// Whether it was readmitted and has not served a request since.
+    /// Whether the worker was readmitted and no request has succeeded since.
     pub(crate) fn is_on_probation(&self) -> bool {
         self.successes_since_readmission < 1.0
     }
 
-    /// Counts an attempt of this request as held there.
+    /// Reserves capacity for an attempt of this request.
     pub(crate) fn reserve_capacity(&mut self, request: &Request, has_started: bool) {
         self.slots.reserved_here += request.slots;
         self.memory.reserved_here += request.memory;
         self.attempts_not_started += usize::from(!has_started);
     }
 
-    /// An attempt of this request holds nothing there any more.
+    /// Releases the capacity of an attempt of this request.
     pub(crate) fn release_capacity(&mut self, request: &Request, had_started: bool) {
         self.slots.reserved_here = (self.slots.reserved_here - request.slots).max(0.0);
         self.memory.reserved_here = (self.memory.reserved_here - request.memory).max(0.0);
         self.attempts_not_started = self.attempts_not_started.saturating_sub(usize::from(!had_started));
     }
 
-    /// An attempt of this scheduler has started there; if it had been queued, all slots were taken.
+    /// Records that an attempt of this scheduler has started. If the attempt was queued first, all slots were in use.
     pub(crate) fn attempt_started(&mut self, now: f64, total_slots: f64, was_queued: bool) {
         self.attempts_not_started = self.attempts_not_started.saturating_sub(1);
         let running_here = self.slots.reserved_here - self.attempts_not_started as f64;
@@ -157,7 +159,7 @@
 }
 
 impl DeduplicationScope {
-    /// Whether two workers drop each other's repeats.
+    /// Whether the two workers share a deduplication scope.
     pub(crate) fn includes(self, first: &Worker, second: &Worker) -> bool {
         match self {
             DeduplicationScope::All => true,
