--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -1,7 +1,7 @@
 //! Applies endpoint lists and, in the simulator, schedules the next poll after a failed one.
 //!
-//! On real sockets `src/server/discovery.rs` polls and watches on its own: the engine ignores `Action::WatchEndpointList`
-//! and never sends `Event::DiscoveryFailed`.
+//! On real sockets `src/server/discovery.rs` polls and watches on its own: the engine ignores
+//! `Action::WatchEndpointList` and never sends `Event::DiscoveryFailed`.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::endpoint::WorkerInfo;
--- a/src/scheduling/gossip.rs
+++ b/src/scheduling/gossip.rs
@@ -2,8 +2,8 @@
 //!
 //! A load report arrives only when a request ends, and only at the scheduler that sent the request. Between two reports
 //! the load from other schedulers must be estimated, and gossip improves that estimate. A message lists all slots that
-//! its sender has reserved, so messages may be lost, delayed, duplicated or reordered: the newest message of each sender
-//! counts, for at most [`MESSAGE_LIFETIME_S`].
+//! its sender has reserved, so messages may be lost, delayed, duplicated or reordered: the newest message of each
+//! sender counts, for at most [`MESSAGE_LIFETIME_S`].
 //!
 //! Gossip is only a hint. It adjusts the estimated load of a worker; it never makes a worker eligible, ineligible or
 //! trusted.
@@ -97,8 +97,8 @@
         now - self.received_at <= MESSAGE_LIFETIME_S
     }
 
-    /// Whether a message sent at `sent_at_ms` replaces this one. The sender's clock continues across restarts, so a message
-    /// that is not newer was duplicated or reordered. Once this message has expired, any message replaces it.
+    /// Whether a message sent at `sent_at_ms` replaces this one. The sender's clock continues across restarts, so a
+    /// message that is not newer was duplicated or reordered. Once this message has expired, any message replaces it.
     fn is_replaced_by(&self, now: f64, sent_at_ms: u32) -> bool {
         sent_at_ms.wrapping_sub(self.message.sent_at_ms) as i32 > 0
             || now - self.received_at > MESSAGE_LIFETIME_S
--- a/src/scheduling/handover.rs
+++ b/src/scheduling/handover.rs
@@ -1,7 +1,8 @@
-//! What one process of a scheduler passes to another in an upgrade: what it has learned, and single requests.
+//! State that one process of a scheduler hands over to another in an upgrade: learned state and individual requests.
 //!
-//! Without it the new process would take every worker for one with few slots, half of them busy, and could run a request
-//! twice that must run once. Both records are stored by position: their fields keep their order.
+//! Without it the new process would assume that every worker has few slots, half of them busy, and could run a
+//! non-idempotent request twice. postcard stores the fields of both records by position, so their order must not
+//! change.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +13,7 @@
 use crate::scheduling::statistics::TrafficStatistics;
 use crate::scheduling::worker::{Capacity, Worker, WorkerKind};
 
-/// What a scheduler has learned, for another process of it to start from.
+/// What one process of a scheduler has learned, for the initialization of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
     statistics: TrafficStatistics,
@@ -31,12 +32,12 @@
         }
     }
 
-    /// The workers that it knows something of.
+    /// The workers that the state includes.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.workers.iter().map(|worker| worker.info.id)
     }
 
-    /// The same in another process's numbers. Workers without a number there are left out.
+    /// Translates worker ids to those of another process. Workers without an id there are dropped.
     pub fn renumbered(mut self, number: impl Fn(WorkerId) -> Option<WorkerId>) -> Self {
         self.workers.retain_mut(|worker| match number(worker.info.id) {
             Some(id) => {
@@ -48,14 +49,14 @@
         self
     }
 
-    /// Applies it to the workers that are listed here, and gives back what it says of the traffic.
+    /// Applies the state to the workers that are listed here, and returns the traffic and affinity statistics.
     pub(crate) fn apply_to(self, fleet: &mut Fleet) -> (TrafficStatistics, AffinityStatistics) {
-        for (own, kind) in fleet.kinds.iter_mut().zip(self.kinds) {
-            *own = WorkerKind { ready_workers: own.ready_workers, ..kind };
+        for (current, learned) in fleet.kinds.iter_mut().zip(self.kinds) {
+            *current = WorkerKind { ready_workers: current.ready_workers, ..learned };
         }
         for learned in self.workers {
-            if let Some(own) = fleet.workers.get_mut(&learned.info.id) {
-                apply_worker(own, learned);
+            if let Some(current) = fleet.workers.get_mut(&learned.info.id) {
+                apply_worker(current, learned);
             }
         }
         fleet.rebuild_ejected();
@@ -63,44 +64,45 @@
     }
 }
 
-/// What this process holds at a worker and has sent there stays its own. Of another run of the worker nothing is known.
-fn apply_worker(own: &mut Worker, learned: Worker) {
-    if own.info.started_at_s != learned.info.started_at_s {
+/// Replaces what is known about a worker, except for this process's own reservations and sends. Does
+/// nothing if the start times differ, which means that the worker has restarted in between.
+fn apply_worker(current: &mut Worker, learned: Worker) {
+    if current.info.started_at_s != learned.info.started_at_s {
         return;
     }
-    *own = Worker {
-        info: own.info.clone(),
-        slots: Capacity { reserved_here: own.slots.reserved_here, ..learned.slots },
-        memory: Capacity { reserved_here: own.memory.reserved_here, ..learned.memory },
-        attempts_not_started: own.attempts_not_started,
-        recent_sends: std::mem::take(&mut own.recent_sends),
+    *current = Worker {
+        info: current.info.clone(),
+        slots: Capacity { reserved_here: current.slots.reserved_here, ..learned.slots },
+        memory: Capacity { reserved_here: current.memory.reserved_here, ..learned.memory },
+        attempts_not_started: current.attempts_not_started,
+        recent_sends: std::mem::take(&mut current.recent_sends),
         ..learned
     };
 }
 
-/// What a scheduler knows of a request, for another process of it to go on with.
+/// A tracked request, which another process of the scheduler can take over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord(pub(crate) TrackedRequest);
 
-/// What a request needs of a worker, and whose it is.
+/// The capacity that a request needs at a worker, and the tenant that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestNeeds {
-    /// Index into the tenants.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Slots that it holds while it runs.
+    /// Slots that the request needs while it runs.
     pub slots: f64,
-    /// Memory that it holds while it runs.
+    /// Memory that the request needs while it runs.
     pub memory: f64,
 }
 
 impl RequestRecord {
-    /// What the request needs, and whose it is.
+    /// The capacity that the request needs, and its tenant.
     pub fn needs(&self) -> RequestNeeds {
         let request = &self.0.request;
         RequestNeeds { tenant: request.tenant, slots: request.slots, memory: request.memory }
     }
 
-    /// The same in another process's numbers; `workers` are those of the attempts, in their order.
+    /// Replaces the request id, the deadline and the workers of the attempts (in order) by those of another process.
     pub fn renumbered(mut self, id: RequestId, deadline: f64, workers: &[WorkerId]) -> Self {
         self.0.request.id = id;
         self.0.request.deadline = deadline;
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -1,7 +1,7 @@
-//! Estimates of how loaded the workers are: who holds how many slots, how many are free, whether the fleet is full.
+//! Estimates of the load of workers: reserved slots, free slots, and whether the fleet is full.
 //!
-//! What other schedulers hold is known from load reports, listed weights or gossip, as the settings allow; between two of these the
-//! estimate decays to the usual load. Nothing is decided here.
+//! Reservations of other schedulers are learned from load reports, listed weights or gossip, as the settings allow.
+//! Between updates the estimate decays to the typical load. This module makes no decisions.
 
 use crate::scheduling::action::CapacitySummary;
 use crate::scheduling::gossip::WorkerKey;
@@ -10,33 +10,34 @@
 use crate::scheduling::water_filling::{self, WorkerLoad};
 use crate::scheduling::worker::{Worker, MEDIUM_COMPLEXITY};
 
-/// The busy fraction of workers before anything was observed.
+/// Busy fraction assumed before anything was observed.
 const INITIAL_BUSY_FRACTION: f64 = 0.5;
-/// The age of listed weights when they come: they are renewed every 0.5 to 1.2 s, and late.
+/// Age of listed weights on arrival. They are refreshed every 0.5 to 1.2 s and arrive with a delay.
 const LISTED_WEIGHT_AGE_S: f64 = 0.8;
-/// A pooled connection is expected to be open for this fraction of the workers' idle timeout.
+/// A pooled connection is expected to stay open for this fraction of the workers' idle timeout.
 const POOLED_FRACTION_OF_IDLE_TIMEOUT: f64 = 0.5;
-/// With more than this fraction of the probed workers busy the fleet is full: late requests would only take slots.
+/// The fleet counts as full if more than this fraction of workers had no free slot when probed or sent a request. On a
+/// full fleet, late requests would only take slots from others.
 const OVERLOADED_BUSY_FRACTION: f64 = 0.55;
-/// This many schedulers see enough by their own traffic: all workers are candidates.
+/// Up to this many schedulers see enough of the load in their own traffic, so all workers are candidates.
 pub(crate) const SMALL_GROUP_SCHEDULERS: usize = 4;
-/// Keeps a listed weight of 0 from dividing by zero.
+/// Minimum listed weight, so that a weight of 0 cannot cause a division by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
 impl SchedulerState {
-    /// Whether so few schedulers share the workers that own traffic shows most of what happens there.
+    /// Whether so few schedulers share the workers that this scheduler's own traffic shows most of their load.
     pub(crate) fn is_small_scheduler_group(&self) -> bool {
-        let enough_workers = self.fleet.candidate_order.len() / 2;
-        self.settings.scheduler_count <= SMALL_GROUP_SCHEDULERS.max(enough_workers)
+        let half_of_fleet = self.fleet.candidate_order.len() / 2;
+        self.settings.scheduler_count <= SMALL_GROUP_SCHEDULERS.max(half_of_fleet)
     }
 
-    /// Whether own traffic shows which workers have free slots. Otherwise capacity probes ask for them, at the price of
-    /// work at the workers and of a round trip.
+    /// Whether this scheduler's own traffic shows which workers have free slots. Otherwise it sends capacity probes,
+    /// which cost the workers some effort and the request a round trip.
     pub(crate) fn sees_free_slots(&self) -> bool {
         self.is_small_scheduler_group() || !self.settings.capacity_probes_allowed
     }
 
-    /// Whether overload at a worker can be told from a fault there: by own traffic, by probes, or by load figures.
+    /// Whether overload of a worker can be distinguished from a fault: by own traffic, by probes or by load figures.
     pub(crate) fn detects_overload(&self) -> bool {
         self.is_small_scheduler_group()
             || self.settings.capacity_probes_allowed
@@ -44,7 +45,7 @@
             || !self.settings.load_report_fields.is_empty()
     }
 
-    /// Whether nothing but the answers to capacity probes tells of a worker's load.
+    /// Whether answers to capacity probes are the only source of load figures.
     pub(crate) fn relies_on_probes(&self) -> bool {
         !self.sees_free_slots() && self.settings.load_report_fields.is_empty()
     }
@@ -53,13 +54,13 @@
         self.statistics.busy_fraction.load_value_or(self.now, INITIAL_BUSY_FRACTION)
     }
 
-    /// Whether the fleet is full, where no scheduler sees that in its own queue: hardly any worker has a slot free.
+    /// Whether hardly any worker has a free slot, where schedulers cannot see that from their own queues.
     pub(crate) fn is_fleet_full(&self) -> bool {
         !self.sees_free_slots() && self.busy_fraction() > OVERLOADED_BUSY_FRACTION
     }
 
-    /// Slots that other schedulers hold at a worker: what their gossip says, and for those that are silent their part of
-    /// the last known figure.
+    /// Slots that other schedulers have reserved at a worker: the sum of their gossip, plus a proportional part of the
+    /// last known figure for schedulers without recent gossip.
     pub(crate) fn slots_reserved_by_others(&self, worker: &Worker) -> f64 {
         let key = WorkerKey::new(worker.info.stable_id);
         let gossip = self.gossip.reserved_by_others(self.now, key, self.mean_run_time_s());
@@ -68,33 +69,36 @@
         gossip.slots + silent_fraction * self.last_known_reserved_by_others(worker)
     }
 
-    /// The last known figure, which fades to the usual load within a mean run time.
+    /// The last known figure, which decays to the typical load with the mean run time as time constant.
     fn last_known_reserved_by_others(&self, worker: &Worker) -> f64 {
         let has_other_schedulers = self.settings.scheduler_count > 1;
-        // Where grants go by interval, only some schedulers may send to a worker in slow start: the usual load, which is
-        // seen at warm workers, tells nothing of it.
+        // With grants by interval only some schedulers may send to a worker in slow start, so the typical load, which
+        // is observed at warm workers, does not apply to it.
         let grants_by_interval =
             !self.detects_overload() && !scheduler_share::fixed_shares_suffice(self.settings.scheduler_count);
-        let has_usual_load = has_other_schedulers && !(grants_by_interval && self.is_in_slow_start(worker));
-        let usual = f64::from(u8::from(has_usual_load)) * self.busy_fraction() * self.fleet.slots_of(worker);
+        let has_typical_load = has_other_schedulers && !(grants_by_interval && self.is_in_slow_start(worker));
+        let typical =
+            f64::from(u8::from(has_typical_load)) * self.busy_fraction() * self.fleet.slots_of(worker);
         let age_s = (self.now - worker.slots.updated_at).max(0.0);
-        usual + (worker.slots.reserved_by_others - usual) * (-age_s / self.mean_run_time_s()).exp()
+        typical + (worker.slots.reserved_by_others - typical) * (-age_s / self.mean_run_time_s()).exp()
     }
 
-    /// Slots estimated free for this scheduler. A worker on probation is opened step by step.
+    /// Slots estimated to be free for this scheduler. A worker on probation is limited to one slot, plus one for each
+    /// success since its readmission.
     pub(crate) fn free_slots(&self, worker: &Worker) -> f64 {
-        // Gossip is fresh: by the next round a part of what is held has ended.
-        let still_held = if self.gossip.live_schedulers(self.now) > 0 {
+        // Gossip is fresh, so some of the reserved slots will be released by the next round.
+        let still_reserved = if self.gossip.live_schedulers(self.now) > 0 {
             (-2.0 * self.round_interval_s / self.mean_run_time_s()).exp()
         } else {
             1.0
         };
-        let held = still_held * (self.slots_reserved_by_others(worker) + worker.slots.reserved_here);
+        let reserved = still_reserved * (self.slots_reserved_by_others(worker) + worker.slots.reserved_here);
         let probation_limit = 1.0 + worker.successes_since_readmission - worker.slots.reserved_here;
-        (self.fleet.slots_of(worker) - held).min(probation_limit)
+        (self.fleet.slots_of(worker) - reserved).min(probation_limit)
     }
 
-    /// How full the workers will be by the next list, if all schedulers fill them evenly (held slots over slots).
+    /// Fill level (reserved slots / total slots) expected by the next endpoint list, if all schedulers fill the workers
+    /// evenly.
     pub(crate) fn fill_level(&self) -> f64 {
         let is_filled = |worker: &&Worker| !worker.is_ejected() && !self.is_in_slow_start(worker);
         let load = |worker: &Worker| WorkerLoad {
@@ -106,7 +110,7 @@
         water_filling::fill_level(&loads, age_s / self.mean_run_time_s())
     }
 
-    /// What a worker can do, for comparison with others: its listed size, at the speed it has shown, as far as it is warm.
+    /// Capacity of a worker relative to others: its listed size, scaled by its observed speed and its slow start.
     pub(crate) fn relative_capacity(&self, worker: &Worker) -> f64 {
         worker.info.weight.max(MIN_WEIGHT) * self.capacity_fraction(worker, 0.0)
             / self.run_time_ratio(worker, MEDIUM_COMPLEXITY)
@@ -118,20 +122,21 @@
         self.now - worker.last_dispatched_at < expected_open_s
     }
 
-    /// How many candidates without a pooled connection there are for each with one; 1 at the least.
+    /// Number of candidates without a pooled connection per candidate with one, but at least 1.
     pub(crate) fn candidates_per_pooled_connection(&self) -> f64 {
         let candidates = self.candidates.iter().map(|id| &self.fleet.workers[id]);
         let pooled = candidates.filter(|worker| self.has_pooled_connection(worker)).count();
         (self.candidates.len() as f64 / pooled.max(1) as f64 - 1.0).max(1.0)
     }
 
-    /// By how many mean runs a request with this affinity key is shorter at this worker than at an unrelated one.
+    /// Time saved by running a request with this affinity key on this worker instead of an unrelated one, in multiples
+    /// of the mean run time.
     pub(crate) fn affinity_saving(&self, key: u64, worker: &Worker) -> f64 {
         let locality = self.affinity.locality(key, worker.info.stable_id, &worker.recent_affinity_keys);
         self.affinity.saving(self.now, locality)
     }
 
-    /// The capacity of the workers in service, and the queue in front of it.
+    /// The capacity of the workers in service, and the backlog of queued requests.
     pub(crate) fn capacity_summary(&self) -> CapacitySummary {
         let mut slots = 0.0;
         let mut free = 0.0;
--- a/src/scheduling/recent_sends.rs
+++ b/src/scheduling/recent_sends.rs
@@ -1,32 +1,32 @@
-//! The work that a worker in slow start was sent lately.
+//! Work recently sent to a worker in slow start.
 //!
-//! A worker collapses by what all schedulers send it within a window, against what it can do at that moment. All that
-//! arrives counts, also what is cancelled before it runs. Estimates by the clients' hints alone would let too much
-//! through: a small allowance admits only requests with small hints, which are those whose hints say too little. So
-//! a request counts for no less than the mean of its class; see `SchedulerState::slow_start_work`.
+//! A worker collapses if all schedulers together send it too much work within a window, relative to its current
+//! capacity. Everything that arrives counts, even requests that are cancelled before they run. Clients' hints alone
+//! would admit too much: a small allowance admits only requests with small hints, and those tend to be underestimates.
+//! Each request therefore counts for at least the mean work of its class; see `SchedulerState::slow_start_work`.
 
 use serde::{Deserialize, Serialize};
 
-/// Work sent at one time.
+/// Work sent at one instant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct SentWork {
-    at: f64,
+    sent_at: f64,
     work: f64,
 }
 
-/// What a worker was sent lately.
+/// The sends to one worker, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RecentSends(Vec<SentWork>);
 
 impl RecentSends {
-    /// Adds work sent now, and forgets what was sent before `keep_from`.
-    pub(crate) fn add(&mut self, keep_from: f64, now: f64, work: f64) {
-        self.0.retain(|sent| sent.at >= keep_from);
-        self.0.push(SentWork { at: now, work });
+    /// Adds work sent now, and drops entries from before `window_start`.
+    pub(crate) fn add(&mut self, window_start: f64, now: f64, work: f64) {
+        self.0.retain(|sent| sent.sent_at >= window_start);
+        self.0.push(SentWork { sent_at: now, work });
     }
 
-    /// The work sent at `from` or later.
-    pub(crate) fn work_since(&self, from: f64) -> f64 {
-        self.0.iter().filter(|sent| sent.at >= from).map(|sent| sent.work).sum()
+    /// Total work sent at `start` or later.
+    pub(crate) fn work_since(&self, start: f64) -> f64 {
+        self.0.iter().filter(|sent| sent.sent_at >= start).map(|sent| sent.work).sum()
     }
 }
--- a/src/scheduling/settings.rs
+++ b/src/scheduling/settings.rs
@@ -1,65 +1,65 @@
-//! What a deployment states about its request classes, tenants, workers and schedulers.
+//! Settings of a deployment: request classes, tenants, workers and schedulers.
 //!
-//! Times are seconds. `src/config/settings.rs` maps the keys of the platform's configuration to these fields.
+//! Times are in seconds. `src/config/settings.rs` maps the keys of the platform's configuration to these fields.
 
-/// What running a request of a class more than once may do.
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// Requests may run any number of times.
     Idempotent,
-    /// It carries an idempotency key: workers of one scope drop repeats for a while.
+    /// Requests carry an idempotency key. Workers within one scope drop repeats for a limited time.
     WithKey,
-    /// It must not run a second time.
+    /// Requests must run at most once.
     NonIdempotent,
 }
 
-/// Which workers drop each other's repeats of a request with an idempotency key.
+/// Scope in which workers drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every worker.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// Workers of the same zone.
     Zone,
-    /// Those of one cell.
+    /// Workers of the same cell.
     Cell,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// What the deployment calls it.
+    /// Name of the class in the configuration.
     pub name: String,
-    /// The latency objective of a request without work of its own; see `objective_per_work`.
+    /// Latency objective of a request without any estimated work; see `objective_per_work`.
     pub latency_objective_s: f64,
-    /// What each second of estimated work adds to the latency objective, in seconds.
+    /// Seconds added to the latency objective for each second of estimated work.
     pub objective_per_work: f64,
-    /// How long a client waits in all.
+    /// Time after which the client stops waiting.
     pub deadline_s: f64,
-    /// Weight of a request, or of a unit of its work, against other classes.
+    /// Weight of a request, or of a unit of its work, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the objective still earns.
+    /// Fraction of the weight that an answer after the objective still earns.
     pub weight_after_objective: f64,
-    /// Whether it may run more than once.
+    /// Whether requests may run more than once.
     pub idempotency: Idempotency,
-    /// With idempotency keys: which workers drop each other's repeats.
+    /// With idempotency keys: the workers among which repeats are dropped.
     pub deduplication_scope: DeduplicationScope,
-    /// With idempotency keys: for how long repeats are dropped, counted from the send of the first attempt that may
-    /// have run.
+    /// With idempotency keys: how long repeats are dropped, counted from when the first attempt that may have run was
+    /// sent.
     pub deduplication_window_s: f64,
-    /// The only kind of worker that runs it, if it is tied to one.
+    /// The only kind of worker that can run the class; `None` if any kind can.
     pub required_kind: Option<usize>,
 }
 
-/// A customer with a quota of the service.
+/// A customer with a request quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// What the deployment calls it.
+    /// Name of the tenant in the configuration.
     pub name: String,
-    /// Requests a second inside its quota, over all schedulers.
+    /// Quota in requests per second, over all schedulers.
     pub quota_per_s: f64,
 }
 
-/// A value in a worker's load report.
+/// A field of a worker's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
     /// Free slots.
@@ -68,91 +68,92 @@
     FreeMemory,
     /// Requests queued at the worker.
     Queue,
-    /// A value that the decisions do not use.
+    /// A field that the scheduler does not use.
     Other,
 }
 
-/// All that a deployment states at start. [`Settings::default`] gives safe values for what it leaves out.
+/// Settings of a scheduler. [`Settings::default`] has safe values for everything that a deployment does not set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This scheduler's number among those that share the workers, from 0.
+    /// Index of this scheduler among those that share the workers, from 0.
     pub scheduler_index: usize,
-    /// How many schedulers share the workers, this one included.
+    /// Number of schedulers that share the workers, including this one.
     pub scheduler_count: usize,
-    /// This scheduler's zone.
+    /// Index of this scheduler's zone.
     pub zone: u16,
-    /// How often events are handed in, at most.
+    /// Interval at which events are delivered.
     pub event_interval_s: f64,
     /// The request classes, by index.
     pub classes: Vec<RequestClass>,
-    /// The tenants, by index; may be empty.
+    /// The tenants, by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a fraction.
+    /// Weight of a request that exceeds its tenant's quota, as a fraction of its weight within the quota.
     pub weight_over_quota: f64,
-    /// The values of a load report, in order.
+    /// The fields of a load report, in order.
     pub load_report_fields: Vec<LoadReportField>,
-    /// What the values of a load report are called, in the same order.
+    /// The names of the load report fields, in the same order.
     pub load_report_names: Vec<String>,
     /// The names of the zones, by index.
     pub zones: Vec<String>,
     /// The names of the kinds of worker, by index.
     pub worker_kinds: Vec<String>,
-    /// A connection that is not up within this time counts as failed.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout_s: f64,
-    /// Workers close connections that were idle for this long.
+    /// Idle time after which workers close a connection.
     pub connection_idle_timeout_s: f64,
-    /// A final answer is still in time this long after the client's deadline.
+    /// Time after the client's deadline during which a final answer is still accepted.
     pub answer_slack_s: f64,
-    /// Workers notify the scheduler when a request starts to run.
+    /// Whether workers notify the scheduler when a request starts to run.
     pub starts_reported: bool,
-    /// Interval between a worker's progress notifications; 0 for none.
+    /// Interval between progress notifications of a running request; 0 if workers send none.
     pub progress_interval_s: f64,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Workers may be probed.
+    /// Whether workers may be sent capacity probes.
     pub capacity_probes_allowed: bool,
-    /// Schedulers may send each other gossip.
+    /// Whether schedulers may send each other gossip.
     pub gossip_allowed: bool,
-    /// Longest `Retry-After` that a client heeds; 0 where it is not passed on.
+    /// Longest `Retry-After` that clients honor; 0 if it is not forwarded to them.
     pub max_retry_after_s: f64,
-    /// The endpoint list must be polled.
+    /// Whether the endpoint list must be polled.
     pub discovery_polled: bool,
-    /// The list's weights are sizes divided by 1 + requests held per core, as they were some time earlier.
+    /// Whether listed weights show load: the size of a worker divided by 1 + requests per core, a short time ago.
     pub weights_show_load: bool,
-    /// Without a watch, the longest interval between polls of the endpoint list.
+    /// Maximum interval between polls of the endpoint list if there is no watch.
     pub max_poll_interval_s: f64,
-    /// How long a scheduler may still send to a worker after it was notified that the worker is draining.
+    /// How long a scheduler may still send requests to a worker after being notified that it is draining.
     pub drain_grace_s: f64,
-    /// A worker starts at this fraction of its capacity or more ...
+    /// Minimum fraction of its capacity that a worker has when it starts.
     pub slow_start_fraction: f64,
-    /// ... and has all of it after this long at the latest.
+    /// Maximum time after its start until a worker has its full capacity.
     pub slow_start_duration_s: f64,
-    /// Sent more than this multiple of its present capacity ...
+    /// A worker in slow start collapses if it is sent more than this multiple of its current capacity within
+    /// `overload_window_s`.
     pub collapse_multiple: f64,
-    /// ... within this window, a worker in slow start collapses.
+    /// Window for `collapse_multiple`.
     pub overload_window_s: f64,
 }
 
-/// The extremes over classes and tenants against which Eq. 1 scales a request.
+/// Bounds over all classes and tenants by which Eq. 1 normalizes the priority of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoringBounds {
     /// The tightest latency objective of all classes, in seconds.
     pub min_latency_objective_s: f64,
-    /// The largest quota of all tenants, in requests a second.
+    /// The largest quota of all tenants, in requests per second.
     pub max_quota_per_s: f64,
     /// The highest priority weight of all classes.
     pub max_priority_weight: f64,
 }
 
-/// A quota or weight of 0 everywhere must not divide by zero.
+/// Lower limit of the maxima, so that quotas or weights that are all 0 cannot cause a division by zero.
 const MIN_BOUND: f64 = 1e-9;
 
 impl Settings {
-    /// The extremes over classes and tenants against which Eq. 1 scales a request.
+    /// Bounds over all classes and tenants by which Eq. 1 normalizes the priority of a request.
     pub fn scoring_bounds(&self) -> ScoringBounds {
         let objectives = self.classes.iter().map(|class| class.latency_objective_s);
         let quotas = self.tenants.iter().map(|tenant| tenant.quota_per_s);
--- a/src/scheduling/worker.rs
+++ b/src/scheduling/worker.rs
@@ -1,8 +1,8 @@
 //! Per-worker and per-kind state: health, run times, capacity and recent sends.
 //!
-//! This module only stores state. `outlier_detection.rs` decides on ejection and `slow_start.rs` limits sends during slow
-//! start. [`Worker`] and [`WorkerKind`] are handed over in an upgrade; postcard stores fields by position, so their order
-//! must not change.
+//! This module only stores state. `outlier_detection.rs` decides on ejection and `slow_start.rs` limits sends during
+//! slow start. [`Worker`] and [`WorkerKind`] are handed over in an upgrade; postcard stores fields by position, so
+//! their order must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -65,7 +65,7 @@
     pub log_ratio_by_complexity: [DecayingMean; COMPLEXITY_CLASSES],
     /// ln(run time / estimated work) over all classes.
     pub log_run_time_ratio: DecayingMean,
-    /// ln(observed speed / minimum speed by the settings) during slow start.
+    /// ln(observed speed / minimum speed according to the settings) during slow start.
     pub log_slow_start_gain: DecayingMean,
     /// Decaying fraction of attempts that succeeded in time, from 0 to 1.
     pub stability: f64,
