--- a/src/scheduling/fleet.rs
+++ b/src/scheduling/fleet.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Corrects the estimates by the load that listed weights show. Workers missing
-    /// from the list count as updated too, because their weight is unchanged.
+    /// Corrects the estimates by the load that listed weights show. Workers missing from the list
+    /// count as updated too, because their weight is unchanged.
     pub(crate) fn apply_listed_loads(&mut self, listed: &[WorkerId], now: f64) {
         self.learn_load_per_request(listed);
         for id in listed {
--- a/src/scheduling/gossip.rs
+++ b/src/scheduling/gossip.rs
@@ -1,9 +1,9 @@
 //! Gossip between schedulers about the slots that each has reserved at each worker.
 //!
 //! A load report arrives only when a request ends, and only at the scheduler that sent the request. Between two reports
-//! the load from other schedulers must be estimated, and gossip improves that estimate. A message lists all slots that
-//! its sender has reserved, so messages may be lost, delayed, duplicated or reordered: the newest message of each
-//! sender counts, for at most [`MESSAGE_LIFETIME_S`].
+//! the load from other schedulers must be estimated, and gossip improves that estimate. Each message contains all
+//! reservations of its sender, so messages may be lost, delayed, duplicated or reordered: only the newest message of
+//! each sender counts, for at most [`MESSAGE_LIFETIME_S`].
 //!
 //! Gossip is only a hint. It adjusts the estimated load of a worker; it never makes a worker eligible, ineligible or
 //! trusted.
@@ -16,7 +16,7 @@
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
 /// Interval at which messages are due. Nine in a row may be lost before the sender counts as silent.
 pub(crate) const INTERVAL_S: f64 = 0.05;
-/// While the reservations do not change, a message is sent only once in this many intervals.
+/// Number of intervals between messages while the reservations do not change.
 const KEEPALIVE_INTERVALS: u32 = 4;
 /// Received messages expire after this time.
 const MESSAGE_LIFETIME_S: f64 = 0.5;
@@ -108,7 +108,7 @@
 /// Slots of one worker that other schedulers have reserved, according to their gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReservedByOthers {
-    /// Sum over all live schedulers.
+    /// Sum over all schedulers with an unexpired message.
     pub slots: f64,
     /// Number of other schedulers with an unexpired message.
     pub live_schedulers: usize,
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -54,7 +54,8 @@
         self.statistics.busy_fraction.load_value_or(self.now, INITIAL_BUSY_FRACTION)
     }
 
-    /// Whether hardly any worker has a free slot, where schedulers cannot see that from their own queues.
+    /// Whether hardly any worker has a free slot. Always false if this scheduler's own traffic shows free slots,
+    /// because its queue then shows that the fleet is full.
     pub(crate) fn is_fleet_full(&self) -> bool {
         !self.sees_free_slots() && self.busy_fraction() > OVERLOADED_BUSY_FRACTION
     }
--- a/src/scheduling/recent_sends.rs
+++ b/src/scheduling/recent_sends.rs
@@ -14,7 +14,7 @@
     work: f64,
 }
 
-/// The sends to one worker, oldest first.
+/// Work recently sent to one worker, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RecentSends(Vec<SentWork>);
 
--- a/src/scheduling/worker.rs
+++ b/src/scheduling/worker.rs
@@ -45,7 +45,7 @@
 /// What has been learned about a kind of worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WorkerKind {
-    /// ln(run time / estimated work).
+    /// Mean of ln(run time / estimated work).
     pub log_run_time_ratio: DecayingMean,
     /// Slots per worker.
     pub slots: f64,
@@ -61,16 +61,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Worker {
     pub info: WorkerInfo,
-    /// ln(run time / estimated work) by complexity class.
+    /// Mean of ln(run time / estimated work) by complexity class.
     pub log_ratio_by_complexity: [DecayingMean; COMPLEXITY_CLASSES],
-    /// ln(run time / estimated work) over all classes.
+    /// Mean of ln(run time / estimated work) over all classes.
     pub log_run_time_ratio: DecayingMean,
-    /// ln(observed speed / minimum speed according to the settings) during slow start.
+    /// Mean of ln(observed speed / minimum speed according to the settings) during slow start.
     pub log_slow_start_gain: DecayingMean,
     /// Decaying fraction of attempts that succeeded in time, from 0 to 1.
     pub stability: f64,
     pub health: Health,
-    /// Time from an ejection to the health check. Doubles with each ejection.
+    /// Time from an ejection to the next health check. Doubles with each ejection until a request succeeds.
     pub ejection_backoff_s: f64,
     /// Requests that succeeded since the last readmission; infinite if the worker was never readmitted.
     pub successes_since_readmission: f64,
@@ -97,6 +97,7 @@
 }
 
 impl Worker {
+    /// A worker about which nothing has been learned.
     pub(crate) fn unknown() -> Self {
         Worker {
             stability: 1.0,
