--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -117,7 +117,7 @@
     /// Removes a request and returns its record, for handover to another process of this scheduler.
     pub fn hand_over(&mut self, id: RequestId) -> Option<RequestRecord> {
         let tracked = self.state.requests.remove(id)?;
-        self.state.fleet.release_capacity_of(&tracked);
+        self.state.fleet.release_capacity_for(&tracked);
         Some(RequestRecord(tracked))
     }
 
--- a/src/scheduling/fleet.rs
+++ b/src/scheduling/fleet.rs
@@ -1,4 +1,5 @@
-//! The workers as listed, and what follows from the endpoint list: their order, their kinds, who is ejected.
+//! The fleet: all listed workers, their kinds, and the state derived from the endpoint list (candidate order, ejected
+//! workers).
 
 use std::collections::BTreeMap;
 
@@ -8,48 +9,49 @@
 use crate::scheduling::request_table::TrackedRequest;
 use crate::scheduling::worker::{Worker, WorkerKind};
 
-/// Slots of a kind that has not shown how many requests it runs at once.
+/// Slots assumed per worker for a kind whose concurrency has not been observed yet.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Listed weights are rounded: a load below this is none.
+/// Loads below this count as zero, because listed weights are rounded.
 const MIN_LOAD: f64 = 0.04;
-/// Load figures that are about a second old move an estimate by this fraction.
+/// Weight of load figures that are about a second old when they correct an estimate.
 pub(crate) const STALE_LOAD_WEIGHT: f64 = 0.5;
 
-/// Slots of some workers, and what is held of them.
+/// Total and reserved slots, summed over a set of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct SlotSums {
+pub(crate) struct SlotTotals {
     /// All slots.
     pub slots: f64,
-    /// Held by this scheduler's attempts.
-    pub held_here: f64,
-    /// Held by all schedulers.
-    pub held_by_all: f64,
+    /// Slots reserved by this scheduler's attempts.
+    pub reserved_here: f64,
+    /// Slots reserved by all schedulers.
+    pub reserved_by_all: f64,
 }
 
-/// The estimate of a worker's slots that a load report corrects.
+/// The estimate of a worker's slots before a load report corrects it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotEstimate {
     pub total: f64,
-    pub held_by_others: f64,
+    pub reserved_by_others: f64,
 }
 
-/// The load of a worker for each of its cores, by its listed weight.
+/// A worker's load as derived from its listed weight.
 #[derive(Clone, Copy, Debug)]
 struct ListedLoad {
     kind: usize,
+    /// Reserved slots per core.
     load: f64,
 }
 
-/// The workers as listed.
+/// All listed workers and their kinds.
 #[derive(Default)]
 pub(crate) struct Fleet {
     pub workers: BTreeMap<WorkerId, Worker>,
     pub kinds: Vec<WorkerKind>,
-    /// The ready workers in this scheduler's own candidate order.
+    /// The ready workers, in an order that differs between schedulers.
     pub candidate_order: Vec<WorkerId>,
     /// The ready workers that are ejected.
     pub ejected: Vec<WorkerId>,
-    /// When a list last showed what all schedulers hold.
+    /// When an endpoint list last contained load figures.
     pub loads_listed_at: f64,
 }
 
@@ -59,37 +61,38 @@
         self.candidate_order.iter().map(|id| &self.workers[id])
     }
 
-    /// All slots of a worker, as it or its kind has shown.
+    /// Total slots of a worker: the larger of its own estimate and that of its kind.
     pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
         worker.slots.total.max(self.kinds[worker.info.kind].slots)
     }
 
-    /// All slots of the ready workers, as far as their kinds have shown.
+    /// Total slots of the ready workers, estimated by kind.
     pub(crate) fn ready_slots(&self) -> f64 {
         self.kinds.iter().map(|kind| kind.ready_workers * kind.slots).sum()
     }
 
-    /// Slots of the ready workers that are not ejected, and what this scheduler holds there.
-    pub(crate) fn in_service_slots(&self) -> SlotSums {
-        let mut sums = SlotSums::default();
+    /// Total slots of the ready workers that are not ejected, and the slots that this scheduler has reserved there.
+    pub(crate) fn in_service_slots(&self) -> SlotTotals {
+        let mut sums = SlotTotals::default();
         for worker in self.ready_workers().filter(|worker| !worker.is_ejected()) {
             sums.slots += self.slots_of(worker);
-            sums.held_here += worker.slots.held_here;
+            sums.reserved_here += worker.slots.reserved_here;
         }
         sums
     }
 
-    /// What this scheduler and what all hold at the ready workers.
-    pub(crate) fn held_slots(&self) -> SlotSums {
-        let mut sums = SlotSums::default();
+    /// Slots of the ready workers that are reserved by this scheduler and by all schedulers.
+    pub(crate) fn reserved_slots(&self) -> SlotTotals {
+        let mut sums = SlotTotals::default();
         for worker in self.ready_workers() {
-            sums.held_here += worker.slots.held_here;
-            sums.held_by_all = sums.held_by_all + worker.slots.held_here + worker.slots.held_by_others;
+            sums.reserved_here += worker.slots.reserved_here;
+            sums.reserved_by_all =
+                sums.reserved_by_all + worker.slots.reserved_here + worker.slots.reserved_by_others;
         }
         sums
     }
 
-    /// Applies a load report with this weight: 1 replaces the estimate.
+    /// Corrects the estimate by a load report. A `weight` of 1 replaces the estimate.
     pub(crate) fn apply_load_report(
         &mut self,
         id: WorkerId,
@@ -102,19 +105,22 @@
         if let Some(free) = load.free_slots {
             worker.slots.total = estimate.total.max(free.round());
             let queued = load.queue_length.unwrap_or(0.0);
-            let held_by_others = (worker.slots.total - free + queued - worker.slots.held_here).max(0.0);
-            let correction = weight * (held_by_others - estimate.held_by_others);
-            worker.slots.held_by_others = estimate.held_by_others + correction;
+            let reserved_by_others =
+                (worker.slots.total - free + queued - worker.slots.reserved_here).max(0.0);
+            let correction = weight * (reserved_by_others - estimate.reserved_by_others);
+            worker.slots.reserved_by_others = estimate.reserved_by_others + correction;
             worker.slots.updated_at = now;
             self.kinds[worker.info.kind].slots = worker.slots.total;
         }
         if let Some(free) = load.free_memory {
             worker.memory.total = worker.memory.total.max(free.round()).max(estimate.total);
-            worker.memory.held_by_others = (worker.memory.total - free - worker.memory.held_here).max(0.0);
+            worker.memory.reserved_by_others =
+                (worker.memory.total - free - worker.memory.reserved_here).max(0.0);
         }
     }
 
-    /// Applies the load that listed weights show of all workers. A worker left out of the list keeps its weight.
+    /// Corrects the estimates by the load that listed weights show. Workers missing from the list
+    /// count as updated too, because their weight is unchanged.
     pub(crate) fn apply_listed_loads(&mut self, listed: &[WorkerId], now: f64) {
         self.learn_load_per_request(listed);
         for id in listed {
@@ -123,8 +129,9 @@
             let cores =
                 if kind.load_per_request > 0.0 { (1.0 / kind.load_per_request).round() } else { kind.slots };
             let Some(worker) = self.workers.get_mut(id) else { continue };
-            let held_by_others = (load * cores - worker.slots.held_here).max(0.0);
-            worker.slots.held_by_others += STALE_LOAD_WEIGHT * (held_by_others - worker.slots.held_by_others);
+            let reserved_by_others = (load * cores - worker.slots.reserved_here).max(0.0);
+            worker.slots.reserved_by_others +=
+                STALE_LOAD_WEIGHT * (reserved_by_others - worker.slots.reserved_by_others);
         }
         for worker in self.workers.values_mut() {
             worker.slots.updated_at = now;
@@ -132,7 +139,8 @@
         self.loads_listed_at = now;
     }
 
-    /// The smallest load that a worker of a kind ever showed is that of one request: it tells the number of cores.
+    /// Learns the load that one request causes on each kind of worker: the smallest load ever listed for the kind. Its
+    /// inverse is the number of cores.
     fn learn_load_per_request(&mut self, listed: &[WorkerId]) {
         let loads: Vec<_> = listed.iter().filter_map(|id| self.listed_load(*id)).collect();
         for ListedLoad { kind, load } in loads {
@@ -145,7 +153,7 @@
         }
     }
 
-    /// The load that a worker's listed weight shows: the weight is divided by 1 + requests held per core.
+    /// Derives a worker's load from its listed weight, which is its idle weight divided by 1 + requests per core.
     fn listed_load(&self, id: WorkerId) -> Option<ListedLoad> {
         let worker = self.workers.get(&id).filter(|worker| worker.info.weight > 0.0)?;
         let idle_weight = self.kinds[worker.info.kind].idle_weight;
@@ -153,17 +161,19 @@
         Some(ListedLoad { kind: worker.info.kind, load })
     }
 
-    /// Counts the attempts of a request that are in flight, when it comes from another process of this scheduler.
-    pub(crate) fn hold_capacity_of(&mut self, request: &TrackedRequest) {
+    /// Reserves capacity for the in-flight attempts of a request that is taken over from another process of this
+    /// scheduler.
+    pub(crate) fn reserve_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
-                worker.hold_capacity(&request.request, attempt.started_at.is_some());
+                worker.reserve_capacity(&request.request, attempt.started_at.is_some());
             }
         }
     }
 
-    /// Releases what the attempts of a request hold, when it goes to another process of this scheduler.
-    pub(crate) fn release_capacity_of(&mut self, request: &TrackedRequest) {
+    /// Releases the capacity reserved for the in-flight attempts of a request that is handed over to another process of
+    /// this scheduler.
+    pub(crate) fn release_capacity_for(&mut self, request: &TrackedRequest) {
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
                 worker.release_capacity(&request.request, attempt.started_at.is_some());
@@ -171,7 +181,7 @@
         }
     }
 
-    /// Adds ln(run time / estimated work) of a run to the figures of its worker and of the worker's kind.
+    /// Records ln(run time / estimated work) of a completed run for its worker and for the worker's kind.
     pub(crate) fn record_run(&mut self, id: WorkerId, complexity: usize, now: f64, log_ratio: f64) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let kind = &mut self.kinds[worker.info.kind];
@@ -180,8 +190,8 @@
         worker.log_run_time_ratio.add(now, WORKER_TIME_CONSTANT_S, log_ratio, 1.0);
     }
 
-    /// Applies a list. In a complete snapshot workers that are absent have left. `order` gives each worker's place among
-    /// the candidates.
+    /// Applies an endpoint list. Workers that a complete snapshot does not contain are removed, once they have no slots
+    /// reserved here. Candidates are sorted by `order`.
     pub(crate) fn apply_list(
         &mut self,
         complete_snapshot: bool,
@@ -197,11 +207,11 @@
             self.apply_entry(info);
         }
         self.workers
-            .retain(|_, worker| worker.info.state != WorkerState::Gone || worker.slots.held_here > 0.0);
+            .retain(|_, worker| worker.info.state != WorkerState::Gone || worker.slots.reserved_here > 0.0);
         self.count_ready_workers();
-        self.candidate_order = self.ids_of(Worker::is_ready);
+        self.candidate_order = self.worker_ids_where(Worker::is_ready);
         self.candidate_order.sort_by_cached_key(|&id| order(id));
-        self.ejected = self.ids_of(|worker| worker.is_ready() && worker.is_ejected());
+        self.ejected = self.worker_ids_where(|worker| worker.is_ready() && worker.is_ejected());
     }
 
     fn apply_entry(&mut self, info: WorkerInfo) {
@@ -209,7 +219,7 @@
         self.kinds.resize_with(kinds, || WorkerKind { slots: INITIAL_SLOTS, ..WorkerKind::default() });
         let worker = self.workers.entry(info.id).or_insert_with(Worker::unknown);
         if info.started_at_s > worker.info.started_at_s {
-            // A new process: what was learned of the old one's health and load is void.
+            // The worker's process has restarted, so its health and load are unknown again.
             *worker = worker.restarted();
         }
         let kind = &mut self.kinds[info.kind];
@@ -226,12 +236,12 @@
         }
     }
 
-    fn ids_of(&self, condition: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
+    fn worker_ids_where(&self, condition: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
         self.workers.values().filter(|worker| condition(worker)).map(|worker| worker.info.id).collect()
     }
 
-    /// Rebuilds the list of ejected workers after states were taken over, in candidate order.
-    pub(crate) fn relist_ejected(&mut self) {
+    /// Rebuilds the list of ejected workers, in candidate order, after their health was replaced.
+    pub(crate) fn rebuild_ejected(&mut self) {
         let ejected = self.candidate_order.iter().filter(|id| self.workers[id].is_ejected());
         self.ejected = ejected.copied().collect();
     }
