--- a/src/server/workers.rs
+++ b/src/server/workers.rs
@@ -1,18 +1,17 @@
-//! The workers that run requests, as the sockets see them: one attempt of a request at one worker, the connections
-//! to it, and capacity probes.
+//! HTTP client for workers: attempts, connections and capacity probes.
 //!
-//! | question | file |
+//! | module | contents |
 //! | --- | --- |
-//! | what one attempt sends, reads and ends with; how it is cancelled | [`attempt`] |
-//! | a worker's address and state, and which connection an attempt gets | [`endpoint`] |
-//! | which connections are pooled, and for how long | [`connection_pool`] |
-//! | how a connection comes up; time-outs and the descriptor budget | [`connector`] |
-//! | one connection: new, pooled, reused | [`connection`] |
-//! | how a worker is asked for its load | [`capacity_probe`] |
+//! | [`attempt`] | one attempt of a request at a worker, and its cancellation |
+//! | [`endpoint`] | address and state of a worker; selects the connection for an attempt |
+//! | [`connection_pool`] | idle connections to a worker |
+//! | [`connector`] | opens connections; timeouts and the descriptor budget |
+//! | [`connection`] | a single connection: new, pooled or reused |
+//! | [`capacity_probe`] | asks a worker for its health or load |
 //!
-//! Which worker gets a request, whether a request is retried, hedged or cancelled, and which worker is ejected is
-//! decided by the scheduling module and carried out by the engine. A worker's callbacks come in at the frontend and
-//! go to the engine directly; nothing here sees them.
+//! The scheduling module decides which worker gets a request, whether a request is retried, hedged or cancelled, and
+//! which workers are ejected; the engine carries these decisions out. Callbacks from workers arrive at the frontend
+//! and go directly to the engine, not through this module.
 
 pub mod attempt;
 pub mod capacity_probe;
--- a/src/server/workers/attempt.rs
+++ b/src/server/workers/attempt.rs
@@ -1,11 +1,12 @@
-//! One attempt of a request at one worker, from the connect until the engine needs it no more.
+//! One attempt of a request at one worker, from connecting until the engine no longer needs it.
 //!
-//! `exchange` sends the request and reads the response. A response of 202 accepts the request: its callbacks, which
-//! go to the engine directly, report the result, and the attempt waits for the engine's command. `cancellation`
-//! sends the `DELETE` if the engine cancels the attempt, and `state` tells how far the attempt has come.
+//! `exchange` sends the request and reads the response. With a 202 response the worker accepts the request and reports
+//! the result later in a callback, which goes directly to the engine. Until then the attempt waits for a command from
+//! the engine. `cancellation` sends a `DELETE` if the engine cancels the attempt. `state` tracks the progress of the
+//! attempt.
 //!
-//! Not decided here: which worker, when to cancel, and whether to retry (scheduling), and what an end proves about
-//! the request ([`AttemptEnd::outcome`]).
+//! The scheduling module chooses the worker and decides when to cancel and whether to retry.
+//! [`AttemptEnd::outcome`] defines which ends prove that the request did not run.
 
 mod cancellation;
 mod exchange;
@@ -27,30 +28,30 @@
 use crate::server::workers::attempt::state::{AttemptEvent, AttemptState};
 use crate::server::workers::endpoint::WorkerEndpoint;
 
-/// How long a response is read once the engine needs it no more, so that the connection can be pooled.
+/// Time limit for reading a response that the engine no longer needs, so that the connection can be pooled.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An attempt before it runs.
+/// An attempt that has not started yet.
 pub struct AttemptTask {
-    /// Where the request goes.
+    /// The worker to send the request to.
     pub worker: Rc<WorkerEndpoint>,
-    /// The request.
+    /// The request to send.
     pub payload: Rc<RequestPayload>,
-    /// When the request's client stops waiting.
+    /// Deadline of the request, after which its client stops waiting.
     pub deadline: Instant,
-    /// Brings the engine's command once it needs the attempt no more.
+    /// Receives the engine's command when it no longer needs the attempt.
     pub command: oneshot::Receiver<AttemptCommand>,
-    /// Counts cancellations.
+    /// Process-wide counters; cancellations are counted here.
     pub counters: Rc<Counters>,
-    /// Counts attempts of the request's class.
+    /// Counters of the request's class; attempts are counted here.
     pub class: Rc<ClassCounters>,
     /// Set once the worker has accepted the request.
     pub accepted: Rc<Cell<bool>>,
 }
 
 impl AttemptTask {
-    /// Runs the attempt to its end. If a callback has ended it before, the engine knows the result already and the
-    /// value is [`AttemptEnd::Completed`].
+    /// Runs the attempt to its end. If a callback ends it first, the engine already has the result and this returns
+    /// [`AttemptEnd::Completed`].
     pub async fn run(mut self) -> AttemptResult {
         let state = Cell::new(AttemptState::Connecting);
         let exchange = Exchange {
@@ -60,7 +61,7 @@
             attempts: &self.class.tries,
             state: &state,
         };
-        // Boxed, so that a cancellation can drop it, and with it the connection, at once.
+        // Boxed so that a cancellation can drop the exchange, and with it the connection, immediately.
         let mut exchange = Box::pin(exchange.run());
         let command = tokio::select! {
             biased;
@@ -74,26 +75,27 @@
             },
         };
         if !matches!(command, Ok(AttemptCommand::Cancel)) {
-            // A callback may overtake the response. The response is of no interest then, but once it is read the
-            // connection is free. If it does not come in time, the connection is closed.
+            // A callback arrived before the response. The response is still read so that the connection can be
+            // reused. If it does not arrive in time, the connection is closed.
             let _ = timeout(LATE_RESPONSE_TIMEOUT, exchange).await;
-            return AttemptResult::without_report(AttemptEnd::Completed);
+            return AttemptResult::without_load_report(AttemptEnd::Completed);
         }
-        drop(exchange); // before the response, closing the connection cancels the request (protocol page)
-        let end = self.cancel(state.get().after(AttemptEvent::CancelCommanded)).await;
-        AttemptResult::without_report(end)
+        // Closing the connection before the response cancels the request (protocol page).
+        drop(exchange);
+        let end = self.cancel(state.get().after(AttemptEvent::CancelRequested)).await;
+        AttemptResult::without_load_report(end)
     }
 
-    /// The rest of an attempt whose request the worker has accepted: waits for the engine's command.
+    /// Runs the remainder of an attempt after the worker accepted the request: waits for the engine's command.
     pub async fn run_accepted(mut self) -> AttemptResult {
         self.accepted.set(true);
-        let reserve = WorkerEndpoint::request_accepted(&self.worker);
+        let accepted_request = WorkerEndpoint::track_accepted_request(&self.worker);
         let command = (&mut self.command).await;
-        drop(reserve); // a connection for the DELETE is needed no longer than this
+        drop(accepted_request); // the DELETE, if any, follows now: no connection has to stay reserved for it
         if !matches!(command, Ok(AttemptCommand::Cancel)) {
-            return AttemptResult::without_report(AttemptEnd::Completed);
+            return AttemptResult::without_load_report(AttemptEnd::Completed);
         }
-        let end = self.cancel(AttemptState::Accepted.after(AttemptEvent::CancelCommanded)).await;
-        AttemptResult::without_report(end)
+        let end = self.cancel(AttemptState::Accepted.after(AttemptEvent::CancelRequested)).await;
+        AttemptResult::without_load_report(end)
     }
 }
--- a/src/server/workers/attempt/exchange.rs
+++ b/src/server/workers/attempt/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a worker and reads the response.
+//! The HTTP exchange of an attempt: sends the request to the worker and reads the response.
 
 use std::cell::Cell;
 use std::io;
@@ -16,31 +16,31 @@
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
-/// One request and its response.
+/// A request to a worker and the response to it.
 pub(super) struct Exchange<'a> {
     pub(super) worker: &'a Rc<WorkerEndpoint>,
     pub(super) payload: &'a RequestPayload,
     pub(super) deadline: Instant,
-    /// Counts requests that are written to their last byte.
+    /// Counts requests written up to the last byte.
     pub(super) attempts: &'a Counter,
-    /// Follows the exchange, for a cancellation that drops it.
+    /// Progress of the exchange, read by a cancellation after it dropped the exchange.
     pub(super) state: &'a Cell<AttemptState>,
 }
 
-/// What the response says.
+/// Result of an exchange.
 pub(super) enum ExchangeResult {
-    /// 202: callbacks report the result.
+    /// The worker answered 202 and will report the result in a callback.
     Accepted,
-    /// The attempt is over.
+    /// The attempt has ended.
     Ended(AttemptResult),
 }
 
 impl Exchange<'_> {
-    /// Runs the exchange.
+    /// Runs the exchange to its end.
     pub(super) async fn run(self) -> ExchangeResult {
-        let result = match self.response().await {
+        let result = match self.send_and_read().await {
             Ok(result) => result,
-            Err(end) => ExchangeResult::Ended(AttemptResult::without_report(end)),
+            Err(end) => ExchangeResult::Ended(AttemptResult::without_load_report(end)),
         };
         if let ExchangeResult::Ended(_) = result {
             self.advance(AttemptEvent::Finished);
@@ -48,9 +48,11 @@
         result
     }
 
-    async fn response(&self) -> Result<ExchangeResult, AttemptEnd> {
-        let mut connection = WorkerEndpoint::connection(self.worker, ConnectionPurpose::Request).await?;
-        // The connect took time: a worker that has begun to drain meanwhile must not get the first byte (rule 3).
+    async fn send_and_read(&self) -> Result<ExchangeResult, AttemptEnd> {
+        let mut connection =
+            WorkerEndpoint::acquire_connection(self.worker, ConnectionPurpose::Request).await?;
+        // The worker may have started to drain while the connection was established. It must not get even the first
+        // byte of the request then (rule 3).
         if !self.worker.is_active() {
             self.worker.return_to_pool(connection);
             return Err(AttemptEnd::WorkerInactive);
@@ -64,18 +66,19 @@
         self.attempts.add();
         let head = match connection.http.response_head().await {
             Ok(head) => head,
-            Err(error) => return Err(self.end_without_response(&error, &connection)),
+            Err(error) => return Err(self.classify_error(&error, &connection)),
         };
-        // The head alone says what became of the request. If the body breaks off, only the connection is lost.
+        // The head alone determines the result. If the body is truncated, only the connection is lost.
         if head.status == 202 {
             self.advance(AttemptEvent::AcceptedByWorker);
         }
-        let result = read_head(&head);
-        finish_response(self.worker, connection, &head).await;
+        let result = interpret_head(&head);
+        discard_body(self.worker, connection, &head).await;
         Ok(result)
     }
 
-    fn end_without_response(&self, error: &HttpError, connection: &WorkerConnection) -> AttemptEnd {
+    /// Classifies an exchange that failed before a response head was read.
+    fn classify_error(&self, error: &HttpError, connection: &WorkerConnection) -> AttemptEnd {
         match error {
             HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong => {
                 AttemptEnd::MalformedResponse
@@ -95,19 +98,19 @@
     }
 }
 
-/// What the head of a response says (protocol page, "Schedulers to workers").
-fn read_head(head: &Head) -> ExchangeResult {
-    let not_run = head.headers.get("x-not-run") == Some("1");
+/// Result of an exchange according to the response head (protocol page, "Schedulers to workers").
+fn interpret_head(head: &Head) -> ExchangeResult {
+    let worker_did_not_run = head.headers.get("x-not-run") == Some("1");
     let end = match head.status {
         202 => return ExchangeResult::Accepted,
-        503 | 504 if not_run => AttemptEnd::RejectedByWorker,
+        503 | 504 if worker_did_not_run => AttemptEnd::RejectedByWorker,
         _ => AttemptEnd::Failed,
     };
     let load_report = head.headers.get("x-load").map(str::to_owned);
     ExchangeResult::Ended(AttemptResult { end, load_report })
 }
 
-/// Writes the request as the client sent it, with the time that is left until its deadline.
+/// Writes the request as the client sent it, with the time left until its deadline.
 async fn write_request(
     http: &mut Connection,
     payload: &RequestPayload,
@@ -128,8 +131,8 @@
     http.write(&parts).await
 }
 
-/// Reads the body of a response, of which nothing is needed, and pools the connection.
-pub(super) async fn finish_response(worker: &WorkerEndpoint, mut connection: WorkerConnection, head: &Head) {
+/// Reads and discards the body of a response, then returns the connection to the pool if it can be reused.
+pub(super) async fn discard_body(worker: &WorkerEndpoint, mut connection: WorkerConnection, head: &Head) {
     if head.keep_alive && connection.http.body(head).await.is_ok() {
         worker.return_to_pool(connection);
     }
--- a/src/server/workers/attempt/result.rs
+++ b/src/server/workers/attempt/result.rs
@@ -1,18 +1,18 @@
-//! How an attempt has ended, for the engine.
+//! The result of an attempt, as reported to the engine.
 
 use crate::server::attempt_end::AttemptEnd;
 
-/// How an attempt has ended.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptResult {
-    /// The end.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// The load report of the response, as its header has it.
+    /// The unparsed load report (`X-Load` header) of the response.
     pub load_report: Option<String>,
 }
 
 impl AttemptResult {
-    pub(super) fn without_report(end: AttemptEnd) -> Self {
+    pub(super) fn without_load_report(end: AttemptEnd) -> Self {
         AttemptResult { end, load_report: None }
     }
 }
--- a/src/server/workers/attempt/state.rs
+++ b/src/server/workers/attempt/state.rs
@@ -1,64 +1,64 @@
-//! The lifetime of an attempt on the wire. It decides what a cancellation takes.
+//! Progress of an attempt on the wire, which determines how the attempt is cancelled.
 
 #[cfg(test)]
 mod tests;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 ///
-/// | state | connected | request written | 202 received | cancel commanded | response or error |
+/// | state | connected | request written | 202 received | cancel requested | response or error |
 /// | --- | --- | --- | --- | --- | --- |
-/// | `Connecting` | `Sending` | - | - | `Ended`: never sent | `Ended` |
-/// | `Sending` | - | `Waiting` | - | `Ended`: never sent as a whole | `Ended` |
+/// | `Connecting` | `Sending` | - | - | `Ended`: nothing sent | `Ended` |
+/// | `Sending` | - | `Waiting` | - | `Ended`: not sent completely | `Ended` |
 /// | `Waiting` | - | - | `Accepted` | `CancellingUnanswered` | `Ended` |
 /// | `Accepted` | - | - | - | `CancellingAccepted` | `Ended` |
 /// | `CancellingUnanswered`, `CancellingAccepted` | - | - | - | - | `Ended` |
 /// | `Ended` | - | - | - | - | - |
 ///
-/// A dash: the event does not occur in this state, and changes nothing.
+/// A dash means that the event does not occur in this state; if it does, it is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Waits for a connection.
+    /// Waiting for a connection.
     Connecting,
-    /// The last byte of the request is not written: the worker cannot have started it.
+    /// The last byte of the request has not been written, so the worker cannot have started the request.
     Sending,
-    /// Waits for the response: the worker may have started the request.
+    /// Waiting for the response; the worker may have started the request.
     Waiting,
-    /// The worker has accepted the request; callbacks report the result.
+    /// The worker has accepted the request and reports the result in a callback.
     Accepted,
-    /// Cancelled before the response: the closed connection cancels the request, and a `DELETE` is tried once, since
-    /// the worker may have accepted it at the same moment.
+    /// Cancelled before the response. Closing the connection cancels the request. A `DELETE` is tried once as well,
+    /// because the worker may have accepted the request at the same moment.
     CancellingUnanswered,
-    /// Cancelled after the 202: a `DELETE` is repeated until one is written.
+    /// Cancelled after the 202 response. A `DELETE` is retried until it has been written.
     CancellingAccepted,
-    /// Nothing of it is left on the wire.
+    /// Nothing is left on the wire.
     Ended,
 }
 
-/// What changes the state.
+/// An event that changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEvent {
-    /// There is a connection to a worker that is still active.
+    /// Connected to a worker that is still active.
     Connected,
-    /// The last byte of the request is written.
+    /// The last byte of the request has been written.
     RequestWritten,
-    /// The response is 202.
+    /// The worker answered 202.
     AcceptedByWorker,
     /// The engine cancels the attempt.
-    CancelCommanded,
-    /// Another response, a failure, or the end of a cancellation.
+    CancelRequested,
+    /// Any other response, an error, or the end of a cancellation.
     Finished,
 }
 
 impl AttemptState {
-    /// The state after `event`: the only place where it changes.
+    /// Returns the state after `event`. All transitions are made here.
     #[must_use]
     pub(super) fn after(self, event: AttemptEvent) -> Self {
         match event {
-            AttemptEvent::Connected => self.if_in(AttemptState::Connecting, AttemptState::Sending),
-            AttemptEvent::RequestWritten => self.if_in(AttemptState::Sending, AttemptState::Waiting),
-            AttemptEvent::AcceptedByWorker => self.if_in(AttemptState::Waiting, AttemptState::Accepted),
+            AttemptEvent::Connected => self.transition(AttemptState::Connecting, AttemptState::Sending),
+            AttemptEvent::RequestWritten => self.transition(AttemptState::Sending, AttemptState::Waiting),
+            AttemptEvent::AcceptedByWorker => self.transition(AttemptState::Waiting, AttemptState::Accepted),
             AttemptEvent::Finished => AttemptState::Ended,
-            AttemptEvent::CancelCommanded => match self {
+            AttemptEvent::CancelRequested => match self {
                 AttemptState::Connecting | AttemptState::Sending => AttemptState::Ended,
                 AttemptState::Waiting => AttemptState::CancellingUnanswered,
                 AttemptState::Accepted => AttemptState::CancellingAccepted,
@@ -69,9 +69,10 @@
         }
     }
 
-    fn if_in(self, expected: AttemptState, next: AttemptState) -> Self {
-        if self == expected {
-            next
+    /// Returns `to` if this is the state `from`, otherwise the unchanged state.
+    fn transition(self, from: AttemptState, to: AttemptState) -> Self {
+        if self == from {
+            to
         } else {
             self
         }
--- a/src/server/workers/attempt/state/tests.rs
+++ b/src/server/workers/attempt/state/tests.rs
@@ -1,4 +1,4 @@
-use super::AttemptEvent::{AcceptedByWorker, CancelCommanded, Connected, Finished, RequestWritten};
+use super::AttemptEvent::{AcceptedByWorker, CancelRequested, Connected, Finished, RequestWritten};
 use super::AttemptState::{
     Accepted, CancellingAccepted, CancellingUnanswered, Connecting, Ended, Sending, Waiting,
 };
@@ -8,7 +8,7 @@
     [Connecting, Sending, Waiting, Accepted, CancellingUnanswered, CancellingAccepted, Ended];
 
 #[test]
-fn every_state_takes_the_transition_of_the_table() {
+fn transitions_match_the_documented_table() {
     let table = [
         (Connected, [Sending, Sending, Waiting, Accepted, CancellingUnanswered, CancellingAccepted, Ended]),
         (
@@ -20,7 +20,7 @@
             [Connecting, Sending, Accepted, Accepted, CancellingUnanswered, CancellingAccepted, Ended],
         ),
         (
-            CancelCommanded,
+            CancelRequested,
             [
                 Ended,
                 Ended,
--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -1,5 +1,5 @@
-//! A capacity probe: asks a worker whether it answers and how loaded it is. Sent only where the settings allow it, and
-//! when the scheduling module decides so.
+//! Capacity probes: check whether a worker responds and how loaded it is. The scheduling module decides when to send
+//! one, and the settings may disallow them.
 
 use std::rc::Rc;
 
@@ -11,26 +11,27 @@
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
-/// What a probe has brought.
+/// Result of a capacity probe.
 #[derive(Clone, Debug)]
 pub struct ProbeResult {
-    /// How it ended.
+    /// How the probe ended.
     pub end: AttemptEnd,
-    /// The worker's load report; empty where it sent none.
+    /// Load report of the worker; empty if it sent none.
     pub load_report: Report,
 }
 
-/// Probes a worker once, within its response time-out. Where workers send load reports (`wants_report`), the probe
-/// reads one, else it is a health check. A connection without a complete response is closed.
-pub async fn probe(worker: Rc<WorkerEndpoint>, wants_report: bool) -> ProbeResult {
-    let mut connection = match WorkerEndpoint::connection(&worker, ConnectionPurpose::Request).await {
+/// Probes a worker once, within its response timeout. Requests a load report if `wants_load_report` is set, and is a
+/// plain health check otherwise. The connection is closed unless a complete response was read.
+pub async fn probe(worker: Rc<WorkerEndpoint>, wants_load_report: bool) -> ProbeResult {
+    let mut connection = match WorkerEndpoint::acquire_connection(&worker, ConnectionPurpose::Request).await {
         Ok(connection) => connection,
         Err(error) => return ProbeResult { end: error.into(), load_report: Report::new() },
     };
-    let response = timeout(worker.response_timeout(), request(&mut connection.http, wants_report)).await;
+    let response =
+        timeout(worker.response_timeout(), send_probe(&mut connection.http, wants_load_report)).await;
     let end = match response {
         Err(_) => AttemptEnd::DeadlinePassed,
-        Ok(Err(error)) => end_without_response(&error, &worker, &connection),
+        Ok(Err(error)) => classify_error(&error, &worker, &connection),
         Ok(Ok(response)) => {
             if response.keep_alive {
                 worker.return_to_pool(connection);
@@ -49,19 +50,16 @@
     keep_alive: bool,
 }
 
-async fn request(http: &mut Connection, wants_report: bool) -> Result<ProbeResponse, HttpError> {
-    let path: &[u8] = if wants_report { b"/status/load" } else { b"/health" };
+async fn send_probe(http: &mut Connection, wants_load_report: bool) -> Result<ProbeResponse, HttpError> {
+    let path: &[u8] = if wants_load_report { b"/status/load" } else { b"/health" };
     http.write(&[b"GET ", path, b" HTTP/1.1\r\nHost: app.svc\r\n\r\n"]).await?;
     let head = http.response_head().await?;
     let body = http.body(&head).await?.to_vec();
     Ok(ProbeResponse { status: head.status, body, keep_alive: head.keep_alive })
 }
 
-fn end_without_response(
-    error: &HttpError,
-    worker: &WorkerEndpoint,
-    connection: &WorkerConnection,
-) -> AttemptEnd {
+/// Classifies a probe that failed before a complete response was read.
+fn classify_error(error: &HttpError, worker: &WorkerEndpoint, connection: &WorkerConnection) -> AttemptEnd {
     match error {
         HttpError::Malformed(_) | HttpError::HeadTooLong | HttpError::BodyTooLong => {
             AttemptEnd::MalformedResponse
--- a/src/server/workers/connection.rs
+++ b/src/server/workers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker, which carries one request at a time.
+//! A connection to a worker. It carries one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,56 +11,55 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection to a worker.
+/// A connection to a worker, with its pooling state and descriptor permit.
 pub struct WorkerConnection {
-    /// The connection.
+    /// The HTTP connection.
     pub http: Connection,
     address: SocketAddr,
     state: ConnectionState,
     _permit: DescriptorPermit,
 }
 
-/// The lifetime of a connection once it is up. While it connects there is no value yet, and closing it drops the
-/// value.
+/// State of an established connection. The value is created after connecting and dropped to close the connection.
 ///
-/// | state | into the pool | out of the pool |
+/// | state | returned to pool | taken from pool |
 /// | --- | --- | --- |
-/// | `New` | `Pooled` | cannot: stays `New` |
-/// | `Pooled` | cannot: stays `Pooled` | `Reused` |
-/// | `Reused` | `Pooled` | cannot: stays `Reused` |
+/// | `New` | `Pooled` | does not occur: stays `New` |
+/// | `Pooled` | does not occur: stays `Pooled` | `Reused` |
+/// | `Reused` | `Pooled` | does not occur: stays `Reused` |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     /// In use for the first time.
     New,
     /// Idle in the pool.
-    Pooled { since: Instant },
-    /// In use again, after it was idle for this long.
+    Pooled { pooled_at: Instant },
+    /// In use again, after being idle in the pool for `idle_for`.
     Reused { idle_for: Duration },
 }
 
-/// What changes the state.
+/// An event that changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEvent {
-    IntoPool { now: Instant },
-    OutOfPool { now: Instant },
+    ReturnedToPool { now: Instant },
+    TakenFromPool { now: Instant },
 }
 
 impl ConnectionState {
-    /// The state after `event`: the only place where it changes.
+    /// Returns the state after `event`. All transitions are made here.
     fn after(self, event: ConnectionEvent) -> Self {
         match (self, event) {
             (
                 ConnectionState::New | ConnectionState::Reused { .. },
-                ConnectionEvent::IntoPool { now: since },
-            ) => ConnectionState::Pooled { since },
-            (ConnectionState::Pooled { since }, ConnectionEvent::OutOfPool { now }) => {
-                ConnectionState::Reused { idle_for: now.duration_since(since) }
+                ConnectionEvent::ReturnedToPool { now: pooled_at },
+            ) => ConnectionState::Pooled { pooled_at },
+            (ConnectionState::Pooled { pooled_at }, ConnectionEvent::TakenFromPool { now }) => {
+                ConnectionState::Reused { idle_for: now.duration_since(pooled_at) }
             }
-            (ConnectionState::Pooled { since }, ConnectionEvent::IntoPool { .. }) => {
-                ConnectionState::Pooled { since }
+            (ConnectionState::Pooled { pooled_at }, ConnectionEvent::ReturnedToPool { .. }) => {
+                ConnectionState::Pooled { pooled_at }
             }
-            (ConnectionState::New, ConnectionEvent::OutOfPool { .. }) => ConnectionState::New,
-            (ConnectionState::Reused { idle_for }, ConnectionEvent::OutOfPool { .. }) => {
+            (ConnectionState::New, ConnectionEvent::TakenFromPool { .. }) => ConnectionState::New,
+            (ConnectionState::Reused { idle_for }, ConnectionEvent::TakenFromPool { .. }) => {
                 ConnectionState::Reused { idle_for }
             }
         }
@@ -68,17 +67,17 @@
 }
 
 impl WorkerConnection {
-    /// A connection that has just come up.
+    /// Wraps a newly established connection.
     pub(super) fn new(http: Connection, address: SocketAddr, permit: DescriptorPermit) -> Self {
         WorkerConnection { http, address, state: ConnectionState::New, _permit: permit }
     }
 
-    /// Where it leads.
+    /// Remote address of the connection.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How long it had been idle before its current use; `None` in its first use.
+    /// How long the connection was idle before its current use, or `None` in its first use.
     pub fn idle_before_use(&self) -> Option<Duration> {
         match self.state {
             ConnectionState::Reused { idle_for } => Some(idle_for),
@@ -86,19 +85,19 @@
         }
     }
 
-    /// How long it has been idle in the pool; zero while it is in use.
-    pub(super) fn pooled_for(&self) -> Duration {
+    /// How long the connection has been in the pool; zero while it is in use.
+    pub(super) fn time_in_pool(&self) -> Duration {
         match self.state {
-            ConnectionState::Pooled { since } => since.elapsed(),
+            ConnectionState::Pooled { pooled_at } => pooled_at.elapsed(),
             ConnectionState::New | ConnectionState::Reused { .. } => Duration::ZERO,
         }
     }
 
     pub(super) fn mark_pooled(&mut self) {
-        self.state = self.state.after(ConnectionEvent::IntoPool { now: Instant::now() });
+        self.state = self.state.after(ConnectionEvent::ReturnedToPool { now: Instant::now() });
     }
 
     pub(super) fn mark_reused(&mut self) {
-        self.state = self.state.after(ConnectionEvent::OutOfPool { now: Instant::now() });
+        self.state = self.state.after(ConnectionEvent::TakenFromPool { now: Instant::now() });
     }
 }
--- a/src/server/workers/connector.rs
+++ b/src/server/workers/connector.rs
@@ -1,5 +1,5 @@
-//! How connections to workers come up: connect time-out, descriptor budget, and how long an idle connection is
-//! trusted. One for all workers.
+//! Opens connections to workers, within the connect timeout and the descriptor budget. Also tracks how long a pooled
+//! connection may be idle and still be trusted with a request. One connector serves all workers.
 
 use std::cell::Cell;
 use std::io;
@@ -15,35 +15,35 @@
 use crate::server::metrics::Counters;
 use crate::server::workers::connection::WorkerConnection;
 
-/// A pooled connection that has been idle for less than this is always trusted with a request.
+/// Lower bound of the trusted idle time: a connection that has been idle for less is always used for requests.
 const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(100);
-/// Factor by which the trusted idle time recovers each second.
-const TRUSTED_IDLE_RECOVERY: f64 = 1.05;
-/// `ENFILE`: the machine has no file descriptor left (errno(3)).
+/// Factor by which the trusted idle time grows each second until it reaches its maximum again.
+const TRUSTED_IDLE_GROWTH: f64 = 1.05;
+/// `ENFILE`: the system-wide limit on open files is reached (errno(3)).
 const ENFILE: i32 = 23;
-/// `EMFILE`: the process has no file descriptor left (errno(3)).
+/// `EMFILE`: the per-process limit on open files is reached (errno(3)).
 const EMFILE: i32 = 24;
 
-/// Why no connection came up. Nothing was sent then.
+/// Error while connecting to a worker. Nothing has been sent to the worker.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The descriptor budget, the process or the machine is exhausted.
-    #[error("no file descriptor left for a connection to a worker")]
+    /// The descriptor budget, or the limit of the process or the system, is exhausted.
+    #[error("no file descriptor available for a connection to a worker")]
     NoDescriptor,
-    /// The worker's machine refused, or the network reported a failure.
-    #[error("connection to the worker at {address} refused")]
+    /// The worker's host refused the connection, or the network reported a failure.
+    #[error("cannot connect to the worker at {address}: {source}")]
     Refused {
-        /// Where to.
+        /// Address of the worker.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// The connect time-out passed.
-    #[error("connection to the worker at {address} not up within {limit:?}")]
+    /// The connection was not established within the connect timeout.
+    #[error("connecting to the worker at {address} timed out after {limit:?}")]
     TimedOut {
-        /// Where to.
+        /// Address of the worker.
         address: SocketAddr,
-        /// The time-out.
+        /// The connect timeout.
         limit: Duration,
     },
 }
@@ -60,19 +60,20 @@
 
 /// Opens connections to workers.
 pub struct WorkerConnector {
-    /// Descriptors that connections to workers may use.
+    /// Descriptor budget for connections to workers.
     budget: Rc<DescriptorBudget>,
     connect_timeout: Cell<Duration>,
-    /// A pooled connection is closed after this.
+    /// Idle time after which a pooled connection is closed.
     max_idle: Cell<Duration>,
-    /// A pooled connection that has been idle for longer gets no request: workers, and what lies between, may close
-    /// idle connections sooner than configured, and without notice.
+    /// Idle time up to which a pooled connection is used for requests. Adaptive, because workers and middleboxes may
+    /// close idle connections earlier than configured and without notice.
     trusted_idle: Cell<Duration>,
     counters: Rc<Counters>,
 }
 
 impl WorkerConnector {
-    /// Opens connections within `budget` to workers that close idle ones after `connection_idle_timeout_s`.
+    /// Creates a connector that opens connections within `budget`, to workers that close idle connections after
+    /// `connection_idle_timeout_s`.
     pub fn new(
         budget: Rc<DescriptorBudget>,
         connect_timeout_s: f64,
@@ -90,25 +91,27 @@
         connector
     }
 
-    /// Applies changed settings, to open connections as well. A pooled connection is closed after half the worker's
-    /// own time-out: a request that crosses the worker's close ends as a reset, and may have run.
+    /// Applies changed settings, also to open connections.
+    ///
+    /// Pooled connections are closed after half the worker's own idle timeout. If the worker closed one while a request
+    /// was on its way, the attempt would end with a reset and the request may have run.
     pub fn configure(&self, connect_timeout_s: f64, connection_idle_timeout_s: f64) {
         self.connect_timeout.set(Duration::from_secs_f64(connect_timeout_s.clamp(0.001, 60.0)));
         self.max_idle.set(Duration::from_secs_f64((connection_idle_timeout_s / 2.0).clamp(0.0, 3600.0)));
     }
 
-    /// Within what time a connection comes up, and a worker answers what needs no work.
+    /// Time limit for connecting, and for responses that require no work from the worker.
     pub fn connect_timeout(&self) -> Duration {
         self.connect_timeout.get()
     }
 
-    /// Called once a second: the trusted idle time, shortened by stale connections, recovers.
+    /// Lets the trusted idle time recover after stale connections have shortened it. Called once a second.
     pub fn recover_trusted_idle(&self) {
         let trusted_idle = self.trusted_idle.get().min(self.max_idle.get());
-        self.trusted_idle.set(trusted_idle.mul_f64(TRUSTED_IDLE_RECOVERY));
+        self.trusted_idle.set(trusted_idle.mul_f64(TRUSTED_IDLE_GROWTH));
     }
 
-    /// A connection that had been idle for this long was stale: such a time is trusted no more.
+    /// Shortens the trusted idle time to at most half of `idle_for`, the idle time of a connection that was stale.
     pub(super) fn shorten_trusted_idle(&self, idle_for: Duration) {
         let half = self.trusted_idle.get().min(idle_for) / 2;
         self.trusted_idle.set(half.max(MIN_TRUSTED_IDLE));
@@ -126,10 +129,10 @@
         self.counters.member_reuses.add();
     }
 
-    /// Opens a connection.
+    /// Opens a connection to a worker.
     ///
     /// # Errors
-    /// Why none came up.
+    /// If no descriptor is available, or the connection fails or times out.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<WorkerConnection, ConnectError> {
         let Some(permit) = DescriptorBudget::try_acquire(&self.budget) else {
             return Err(ConnectError::NoDescriptor);
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -1,8 +1,8 @@
-//! One worker as the endpoint list describes it: its address, whether it accepts requests, and the connections to it.
+//! A worker from the endpoint list: its address, whether it accepts requests, and the connections to it.
 //!
-//! An attempt gets a pooled connection if there is one on which nothing has arrived, else a new one. To cancel a
-//! request at a worker that no longer answers, a `DELETE` must still be written, and no new connection comes up then;
-//! so connections are held in reserve for the requests that the worker has accepted.
+//! An attempt gets a pooled connection on which nothing has arrived, or else a new one. Connections are also kept in
+//! reserve for cancellations: a `DELETE` must be written even if the worker has stopped responding, and no new
+//! connection to it can be established then.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,36 +13,37 @@
 use crate::server::workers::connection_pool::ConnectionPool;
 use crate::server::workers::connector::{ConnectError, WorkerConnector};
 
-/// The most connections that are held in reserve for cancellations.
-const MAX_RESERVE: usize = 4;
+/// Maximum number of connections per worker kept in reserve for cancellations.
+const MAX_RESERVE_CONNECTIONS: usize = 4;
 
-/// What a connection is wanted for.
+/// The purpose of a connection, which determines whether a long-idle pooled connection may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPurpose {
-    /// A request. It may have run if a stale connection breaks under it, so a connection that has been idle for long
-    /// is not worth the handshake that it saves.
+    /// Sending a request. If the connection turns out to be stale, the request may have run, so a connection that has
+    /// been idle for long is not used: the saved handshake is not worth the risk.
     Request,
-    /// A `DELETE`, which can be sent again. To a worker that no longer answers, no new connection comes up.
+    /// Sending a `DELETE`, which can safely be repeated. Any pooled connection is used, because no new connection can
+    /// be established to a worker that has stopped responding.
     Cancellation,
 }
 
-/// One worker.
+/// A worker and the connections to it.
 pub struct WorkerEndpoint {
-    /// Its name in the endpoint list.
+    /// Name of the worker in the endpoint list.
     pub name: String,
     address: Cell<SocketAddr>,
     active: Cell<bool>,
     started_s: Cell<f64>,
     pool: ConnectionPool,
-    /// Requests of this scheduler that the worker has accepted and not finished.
+    /// Requests from this scheduler that the worker has accepted and not finished.
     accepted_requests: Cell<usize>,
-    /// Reserve connections that are coming up.
-    connecting: Cell<usize>,
+    /// Reserve connections being established.
+    reserve_connecting: Cell<usize>,
     connector: Rc<WorkerConnector>,
 }
 
 impl WorkerEndpoint {
-    /// A worker that is inactive until [`update`](Self::update).
+    /// Creates a worker that is inactive until [`update`](Self::update) is called.
     pub fn new(name: String, address: SocketAddr, connector: Rc<WorkerConnector>) -> Self {
         WorkerEndpoint {
             name,
@@ -51,12 +52,12 @@
             started_s: Cell::new(0.0),
             pool: ConnectionPool::default(),
             accepted_requests: Cell::new(0),
-            connecting: Cell::new(0),
+            reserve_connecting: Cell::new(0),
             connector,
         }
     }
 
-    /// Applies its entry in the endpoint list. After a move or a restart the pooled connections lead nowhere.
+    /// Applies the worker's entry in the endpoint list. Clears the pool if the address changed or the worker restarted.
     pub fn update(&self, address: SocketAddr, active: bool, started_s: f64) {
         self.active.set(active);
         let has_restarted = self.started_s.replace(started_s) < started_s;
@@ -66,31 +67,32 @@
         }
     }
 
-    /// It is no longer listed. Its connections stay for as long as an attempt may need one for a cancellation.
+    /// Marks the worker as no longer listed. Its connections stay open while an attempt may still need one for a
+    /// cancellation.
     pub fn deactivate(&self) {
         self.active.set(false);
     }
 
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Whether it accepts new requests.
+    /// Whether the worker accepts new requests.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
-    /// Within what time it answers what needs no work.
+    /// Time limit for responses that require no work from the worker.
     pub fn response_timeout(&self) -> Duration {
         self.connector.connect_timeout()
     }
 
-    /// A pooled connection on which nothing has arrived, else a new one.
+    /// Returns a pooled connection on which nothing has arrived, or else opens a new one.
     ///
     /// # Errors
-    /// Why there is none; nothing was sent then.
-    pub async fn connection(
+    /// If no connection could be opened. Nothing has been sent in that case.
+    pub async fn acquire_connection(
         this: &Rc<Self>,
         purpose: ConnectionPurpose,
     ) -> Result<WorkerConnection, ConnectError> {
@@ -100,7 +102,7 @@
             ConnectionPurpose::Cancellation => None,
         };
         while let Some(mut connection) = this.pool.take(max_idle) {
-            // A close or a late response that waits there would be taken for the next response.
+            // A close or a late response in the receive buffer would be taken for the response to the next request.
             if !connection.http.is_quiet() {
                 continue;
             }
@@ -112,57 +114,57 @@
         this.connector.connect(this.address()).await
     }
 
-    /// Pools a connection whose last response has been read to its end.
+    /// Returns a connection to the pool. Its last response must have been read completely.
     pub fn return_to_pool(&self, connection: WorkerConnection) {
         self.pool.add(connection, self.address());
     }
 
-    /// Whether a connection that broke before a response had been pooled before. If so, idle connections are trusted
-    /// for a shorter time from now on.
+    /// Returns whether a connection that broke before a response was stale, that is, had come from the pool. If so,
+    /// shortens the trusted idle time.
     pub fn record_if_stale(&self, connection: &WorkerConnection) -> bool {
         let Some(idle_for) = connection.idle_before_use() else { return false };
         self.connector.shorten_trusted_idle(idle_for);
         true
     }
 
-    /// Counts a request as accepted by the worker for as long as the result lives.
-    pub fn request_accepted(this: &Rc<Self>) -> AcceptedRequest {
+    /// Counts a request as accepted by the worker until the returned guard is dropped.
+    pub fn track_accepted_request(this: &Rc<Self>) -> AcceptedRequestGuard {
         this.accepted_requests.set(this.accepted_requests.get() + 1);
         Self::fill_reserve(this);
-        AcceptedRequest(Rc::clone(this))
+        AcceptedRequestGuard(Rc::clone(this))
     }
 
-    /// Closes connections that have been idle for long: the worker would close them, and a request that crosses its
-    /// close ends as a reset and may have run.
+    /// Closes connections that have reached the maximum idle time, before the worker closes them. See
+    /// [`WorkerConnector::configure`].
     pub fn close_idle_connections(&self) {
-        self.pool.close_idle_for(self.connector.max_idle());
+        self.pool.close_idle(self.connector.max_idle());
     }
 
-    /// Opens connections until one is pooled for each request that the worker has accepted, up to [`MAX_RESERVE`].
-    /// They come up beside the traffic.
+    /// Opens connections in the background until one is pooled for each request that the worker has accepted, up to
+    /// [`MAX_RESERVE_CONNECTIONS`].
     fn fill_reserve(this: &Rc<Self>) {
-        let available = this.pool.len() + this.connecting.get();
-        let wanted = this.accepted_requests.get().min(MAX_RESERVE);
+        let available = this.pool.len() + this.reserve_connecting.get();
+        let wanted = this.accepted_requests.get().min(MAX_RESERVE_CONNECTIONS);
         for _ in available..wanted {
-            this.connecting.set(this.connecting.get() + 1);
-            tokio::task::spawn_local(Self::open_reserve(Rc::clone(this)));
+            this.reserve_connecting.set(this.reserve_connecting.get() + 1);
+            tokio::task::spawn_local(Self::open_reserve_connection(Rc::clone(this)));
         }
     }
 
-    async fn open_reserve(this: Rc<Self>) {
+    async fn open_reserve_connection(this: Rc<Self>) {
         let connected = this.connector.connect(this.address()).await;
-        this.connecting.set(this.connecting.get() - 1);
-        // Without a reserve a cancellation may take longer: the attempt that needs a connection opens one itself.
+        this.reserve_connecting.set(this.reserve_connecting.get() - 1);
+        // On failure, an attempt that is cancelled opens a connection itself, which may take longer.
         if let Ok(connection) = connected {
             this.return_to_pool(connection);
         }
     }
 }
 
-/// A request that a worker has accepted and not finished.
-pub struct AcceptedRequest(Rc<WorkerEndpoint>);
+/// Guard for a request that a worker has accepted and not finished. Dropping it decrements the count of such requests.
+pub struct AcceptedRequestGuard(Rc<WorkerEndpoint>);
 
-impl Drop for AcceptedRequest {
+impl Drop for AcceptedRequestGuard {
     fn drop(&mut self) {
         self.0.accepted_requests.set(self.0.accepted_requests.get() - 1);
     }
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt by itself: ends that need a moment at which the whole program cannot be held.
+//! Tests of a single attempt without the rest of the server, for ends that depend on timing which a test of the whole
+//! process cannot control.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +20,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// An attempt at a worker at `address`, and the sender of the engine's commands.
+/// Creates an attempt at a worker at `address`, and the sender for the engine's commands to it.
 fn attempt_at(
     address: SocketAddr,
     active: bool,
@@ -58,12 +59,13 @@
     AttemptResult { end, load_report: None }
 }
 
-/// Rule 3: the connect takes time, and the worker may have begun to drain meanwhile.
+/// Rule 3: the worker may start to drain while the connection is being established, and must receive nothing then.
+/// Without a free descriptor, no connection is opened at all.
 #[rstest]
-#[case::it_drains_now(false, 8, AttemptEnd::WorkerInactive)]
-#[case::no_descriptor_is_left(true, 0, AttemptEnd::NoDescriptor)]
+#[case::draining_worker(false, 8, AttemptEnd::WorkerInactive)]
+#[case::no_descriptor(true, 0, AttemptEnd::NoDescriptor)]
 #[tokio::test]
-async fn sends_nothing_to_a_worker_that_drains_or_without_a_descriptor(
+async fn sends_nothing_if_the_worker_drains_or_no_descriptor_is_left(
     #[case] active: bool,
     #[case] descriptors: usize,
     #[case] end: AttemptEnd,
@@ -75,37 +77,38 @@
     if active {
         return;
     }
-    let mut written = Vec::new();
-    listener.accept().await.unwrap().0.read_to_end(&mut written).await.unwrap();
-    assert!(written.is_empty());
+    let mut received = Vec::new();
+    listener.accept().await.unwrap().0.read_to_end(&mut received).await.unwrap();
+    assert!(received.is_empty());
 }
 
 #[tokio::test]
-async fn never_sends_an_attempt_that_is_cancelled_before_it_begins() {
+async fn sends_nothing_if_cancelled_before_the_start() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (attempt, command) = attempt_at(listener.local_addr().unwrap(), true, 8);
     command.send(AttemptCommand::Cancel).unwrap();
     assert_eq!(attempt.run().await, ended_with(AttemptEnd::CancelledUnsent));
 }
 
-/// A machine that is cut off answers no connect at all: here one whose backlog is full.
+/// An unreachable host does not answer a connect at all. A listener with a full backlog behaves the same way.
 #[tokio::test]
-async fn ends_a_connect_that_never_comes_up_after_the_time_out() {
+async fn connect_times_out_if_the_host_does_not_answer() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
     let address = listener.local_addr().unwrap();
-    let mut filling = Vec::new();
+    let mut backlog = Vec::new();
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
-        filling.push(stream.unwrap());
+        backlog.push(stream.unwrap());
     }
     let (attempt, _command) = attempt_at(address, true, 8);
     assert_eq!(attempt.run().await, ended_with(AttemptEnd::ConnectTimedOut));
 }
 
-/// Rule 2 rests on this: only what certainly never left this machine whole proves that the request never ran.
+/// Rule 2 depends on this: a request is proven not to have run only if the worker returned it or this host did not
+/// send it completely.
 #[test]
-fn only_unsent_or_returned_requests_prove_that_they_never_ran() {
+fn only_unsent_or_returned_requests_are_proven_not_to_have_run() {
     let never_ran = |end: &AttemptEnd| {
         matches!(
             end.outcome(),
@@ -124,5 +127,8 @@
         WorkerInactive,
     ];
     assert_eq!(found, expected);
-    assert!(AttemptEnd::ALL.iter().enumerate().all(|(i, end)| *end as usize == i), "counters are in order");
+    assert!(
+        AttemptEnd::ALL.iter().enumerate().all(|(i, end)| *end as usize == i),
+        "the discriminants follow the order of `AttemptEnd::ALL`"
+    );
 }
