--- a/src/server/discovery/list_version.rs
+++ b/src/server/discovery/list_version.rs
@@ -1,8 +1,8 @@
-//! The version of the endpoint list, and how long an older one is ignored. Free of I/O and clock.
+//! Version check for endpoint lists. Performs no I/O and reads no clock.
 //!
-//! An older list would bring back workers that are draining or have left, so it is ignored at first: whatever served
-//! it may catch up. If it does not, discovery has been set back (restored from a backup, for example), and its list
-//! is taken up from the beginning.
+//! An outdated list would bring back workers that are draining or have left, so it is ignored at first: the server that
+//! sent it may catch up. If it does not, the version has regressed, for example because discovery was restored from a
+//! backup. The next list is then applied whatever its version.
 
 use std::time::Duration;
 
@@ -13,58 +13,58 @@
 #[cfg(test)]
 mod tests;
 
-/// An older list is ignored for this long. The rest of [`NOTIFIED_AFTER`], one second, is for a new poll.
-const MAX_CATCH_UP: Duration = NOTIFIED_AFTER.saturating_sub(Duration::from_secs(1));
+/// How long outdated lists are ignored. Leaves one second of [`NOTIFIED_AFTER`] for a new poll.
+const CATCH_UP_TIMEOUT: Duration = NOTIFIED_AFTER.saturating_sub(Duration::from_secs(1));
 
-/// The version of the list that is in use.
+/// The version of the endpoint list in use.
 #[derive(Clone, Copy, Debug)]
 pub struct ListVersion {
     known: u64,
-    /// Since when discovery has sent older lists only.
-    older_since: Option<Instant>,
+    /// When the first of an uninterrupted series of outdated lists was received.
+    first_outdated_at: Option<Instant>,
 }
 
-/// How a received list compares with the known one.
+/// Result of comparing the version of a received list with the known version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionCheck {
-    /// As new as the known one or newer: to be taken up.
+    /// The known version or a newer one; the list is to be applied.
     Current,
-    /// The first older one: to be ignored, and logged.
-    FirstOlder,
-    /// A further older one: to be ignored.
-    StillOlder,
+    /// The first outdated list, to be ignored and logged.
+    FirstOutdated,
+    /// Another outdated list, to be ignored.
+    RepeatedOutdated,
 }
 
 impl ListVersion {
-    /// From the version that the scheduler was started with.
+    /// Starts from the version of the list that the scheduler was started with.
     pub fn new(known: u64) -> Self {
-        ListVersion { known, older_since: None }
+        ListVersion { known, first_outdated_at: None }
     }
 
-    /// The known version, from which a poll asks for changes.
+    /// The known version. A poll requests the changes made after it.
     pub fn known(self) -> u64 {
         self.known
     }
 
-    /// Compares a list of this version, received at `now`, and remembers the result.
+    /// Compares the version of a list received at `now` with the known version, and updates the known version.
     pub fn check(&mut self, received: u64, now: Instant) -> VersionCheck {
         if received >= self.known {
             *self = ListVersion::new(received);
             return VersionCheck::Current;
         }
-        if self.older_since.is_some() {
-            return VersionCheck::StillOlder;
+        if self.first_outdated_at.is_some() {
+            return VersionCheck::RepeatedOutdated;
         }
-        self.older_since = Some(now);
-        VersionCheck::FirstOlder
+        self.first_outdated_at = Some(now);
+        VersionCheck::FirstOutdated
     }
 
-    /// Whether discovery has been behind for so long that it will not catch up.
-    pub fn is_set_back(self, now: Instant) -> bool {
-        self.older_since.is_some_and(|since| now.duration_since(since) >= MAX_CATCH_UP)
+    /// Whether discovery has sent outdated lists for so long that it is not expected to catch up.
+    pub fn has_regressed(self, now: Instant) -> bool {
+        self.first_outdated_at.is_some_and(|first| now.duration_since(first) >= CATCH_UP_TIMEOUT)
     }
 
-    /// Forgets the known version: the next list is taken up whatever its version.
+    /// Forgets the known version, so that the next list is applied whatever its version.
     pub fn reset(&mut self) {
         *self = ListVersion::new(0);
     }
--- a/src/server/discovery/stream_reader.rs
+++ b/src/server/discovery/stream_reader.rs
@@ -1,6 +1,6 @@
-//! Cuts the body of a watch into JSON values: lists may be indented, and chunks may end anywhere.
+//! Splits the response body of a watch into JSON values. Values may span several lines, and chunks may end anywhere.
 //!
-//! It knows nothing of endpoint lists; [`watch`](super::watch) parses the values.
+//! [`watch`](super::watch) parses the values as endpoint lists.
 
 use bytes::BytesMut;
 use serde_json::value::RawValue;
@@ -8,15 +8,15 @@
 #[cfg(test)]
 mod tests;
 
-/// The bytes of a watch that are not yet a complete value.
+/// Buffers the bytes of a stream until they form a complete value.
 #[derive(Debug, Default)]
 pub struct StreamReader {
     buffer: BytesMut,
-    /// The buffer holds the beginning of a value.
+    /// Whether the buffer contains the beginning of a value.
     incomplete: bool,
 }
 
-/// What a watch has brought.
+/// An item read from a stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// A complete JSON value.
@@ -26,16 +26,17 @@
 }
 
 impl StreamReader {
-    /// Adds a chunk and returns what it completes.
+    /// Adds a chunk and returns the items that it completes.
     pub fn push(&mut self, chunk: &[u8]) -> Vec<StreamItem> {
         self.buffer.extend_from_slice(chunk);
         let mut items = Vec::new();
-        // No list ends without a bracket: a list of many chunks is not parsed again with each of them.
-        let ends_nothing = !chunk.iter().any(|byte| matches!(byte, b'}' | b']'));
-        if self.incomplete && ends_nothing {
+        // A value ends with a bracket. Chunks without one are not parsed, so that a list that spans many chunks is not
+        // parsed again for each of them.
+        let completes_nothing = !chunk.iter().any(|byte| matches!(byte, b'}' | b']'));
+        if self.incomplete && completes_nothing {
             return items;
         }
-        while self.read_values(&mut items) == Progress::AtMalformed && self.skip_line() {
+        while self.read_values(&mut items) == Progress::Malformed && self.skip_malformed_line() {
             items.push(StreamItem::MalformedLine);
         }
         self.incomplete = !self.buffer.trim_ascii().is_empty();
@@ -45,17 +46,17 @@
         items
     }
 
-    /// Whether a value has begun that has not ended.
+    /// Whether a value has started but not ended.
     pub fn is_incomplete(&self) -> bool {
         self.incomplete
     }
 
-    /// Bytes of the value that has begun.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether no value has begun.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -66,8 +67,8 @@
         let progress = loop {
             match values.next() {
                 Some(Ok(value)) => items.push(StreamItem::Value(value.get().as_bytes().to_vec())),
-                Some(Err(error)) if !error.is_eof() => break Progress::AtMalformed,
-                Some(Err(_)) | None => break Progress::AtEnd,
+                Some(Err(error)) if !error.is_eof() => break Progress::Malformed,
+                Some(Err(_)) | None => break Progress::EndOfBuffer,
             }
         };
         let read = values.byte_offset();
@@ -75,9 +76,9 @@
         progress
     }
 
-    /// Drops the first line of the buffer that is not empty; false if it has not ended yet. The value after a
-    /// malformed one begins on a line of its own.
-    fn skip_line(&mut self) -> bool {
+    /// Drops the first non-empty line of the buffer, because the value after a malformed one starts on a new line.
+    /// Returns false if the line is still incomplete.
+    fn skip_malformed_line(&mut self) -> bool {
         let start = self.buffer.iter().position(|byte| !byte.is_ascii_whitespace()).unwrap_or_default();
         let Some(length) = self.buffer[start..].iter().position(|byte| *byte == b'\n') else { return false };
         let _ = self.buffer.split_to(start + length + 1);
@@ -85,11 +86,11 @@
     }
 }
 
-/// Where reading has stopped.
+/// Where parsing stopped.
 #[derive(PartialEq, Eq)]
 enum Progress {
-    /// Before bytes that are not JSON.
-    AtMalformed,
-    /// Where the bytes end, possibly inside a value.
-    AtEnd,
+    /// At bytes that are not JSON.
+    Malformed,
+    /// At the end of the buffer, possibly inside a value.
+    EndOfBuffer,
 }
--- a/src/server/discovery/stream_reader/tests.rs
+++ b/src/server/discovery/stream_reader/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn reads_an_indented_list_as_one_value_wherever_it_is_cut() {
+fn reads_an_indented_list_as_one_value_wherever_it_is_split() {
     let text = format!("\n{LIST}\n{{\"version\":44}}\n{LIST}");
     for at in 0..text.len() {
         let (head, tail) = text.as_bytes().split_at(at);
@@ -29,23 +29,27 @@
 }
 
 #[test]
-fn reads_the_list_after_a_malformed_line_wherever_it_is_cut() {
-    for (malformed, most) in
+fn reads_the_list_after_a_malformed_line_wherever_it_is_split() {
+    for (malformed, max_lines) in
         [("nonsense", 1), ("{{{{", 1), ("{\"version\":42,\"servers\":[{\"id\":\"m1\"", 1), ("}", 1)]
     {
         let text = format!("{LIST}{malformed}\n{{\"version\":44}}\n");
         for at in 0..text.len() {
             let (head, tail) = text.as_bytes().split_at(at);
             let found = values([head.to_vec(), tail.to_vec()].into_iter());
-            assert_eq!(found.0, [LIST.trim(), "{\"version\":44}"], "{malformed} cut at {at}");
-            assert!(found.1 >= 1 && found.1 <= most, "{} lines", found.1);
+            assert_eq!(found.0, [LIST.trim(), "{\"version\":44}"], "{malformed} split at {at}");
+            assert!(
+                found.1 >= 1 && found.1 <= max_lines,
+                "{malformed} split at {at}: {} malformed lines",
+                found.1
+            );
         }
     }
 }
 
-/// An incomplete list may swallow the next one. That it stays incomplete shows it, and discovery is polled again.
+/// An incomplete list may absorb the next one. The reader reports it as incomplete, so that discovery is polled again.
 #[test]
-fn reports_a_list_that_does_not_end_as_incomplete() {
+fn reports_an_unterminated_list_as_incomplete() {
     let mut reader = StreamReader::default();
     assert_eq!(reader.push(b"{\"servers\":[\n"), []);
     assert_eq!(reader.push(b"{\"version\":44}\n\n"), []);
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -1,9 +1,9 @@
-//! The task that follows discovery: opens polls when [`watch_supervisor`](super::watch_supervisor) says so, reads
-//! what they bring, and hands each endpoint list to the engine.
+//! The discovery task: opens polls when [`watch_supervisor`](super::watch_supervisor) finds them due, reads their
+//! streams, and passes each endpoint list to the engine.
 //!
-//! Ignored, with a line in the log: lines that are no list, entries of a list that cannot be read, and for a while
-//! lists that are older than the known one ([`list_version`](super::list_version)). Only complete data counts as a
-//! sign of life, since a list that has begun may never end.
+//! The task logs and ignores malformed lines, unreadable entries of a list and, for a limited time, lists with an
+//! outdated version ([`list_version`](super::list_version)). Only complete data counts as a sign of life, because a
+//! partial list may never be completed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,33 +16,34 @@
 
 use crate::config::endpoint_list::EndpointListUpdate;
 use crate::server::discovery::list_version::{ListVersion, VersionCheck};
-use crate::server::discovery::poll::{Poll, PollError, PollReport, PollRequest, MAX_LIST_BYTES};
+use crate::server::discovery::poll::{Poll, PollError, PollEvent, PollRequest, MAX_LIST_BYTES};
 use crate::server::discovery::stream_reader::StreamItem;
 use crate::server::discovery::watch_state::PollId;
 use crate::server::discovery::watch_supervisor::WatchSupervisor;
 use crate::server::engine_queue::{EngineMessage, EngineQueue};
 use crate::server::metrics::Counters;
 
-/// Chunks that may wait to be read; a poll that brings more waits.
-const MAX_WAITING_CHUNKS: usize = 16;
+/// Capacity of the queue of poll events. Polls wait while it is full.
+const MAX_QUEUED_EVENTS: usize = 16;
 
-/// The watch of discovery, with the polls beside it while it is suspected.
+/// Follows the endpoint list of discovery, on a watch and any polls.
 pub struct DiscoveryWatch {
     address: SocketAddr,
     version: ListVersion,
     queue: EngineQueue,
     counters: Rc<Counters>,
     supervisor: WatchSupervisor,
-    /// The open streams: the watch and the polls.
+    /// All open streams: the watch and the polls.
     polls: HashMap<PollId, Poll>,
-    /// The loss of discovery has been logged, and nothing has been received since.
-    lost: bool,
-    /// Where the supervisor's times begin.
+    /// Whether the loss of discovery has been logged, with no data received since.
+    loss_logged: bool,
+    /// Origin of the supervisor's times.
     origin: Instant,
 }
 
 impl DiscoveryWatch {
-    /// Follows discovery at this address, from this version of the list on. The supervisor's times begin now.
+    /// Creates a task that follows discovery at `address`, from the known list version on. The supervisor's times are
+    /// relative to now.
     pub fn new(
         address: SocketAddr,
         version: u64,
@@ -57,26 +58,26 @@
             counters,
             supervisor,
             polls: HashMap::new(),
-            lost: false,
+            loss_logged: false,
             origin: Instant::now(),
         }
     }
 
-    /// Follows discovery until the process ends, always at the latest of `addresses`. While discovery is silent, the
-    /// endpoint list stays as it was last received.
+    /// Follows discovery at the latest of `addresses` until the process ends. While discovery is silent, the last
+    /// endpoint list stays in use.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
-        let (reports, mut received) = mpsc::channel::<PollReport>(MAX_WAITING_CHUNKS);
+        let (events, mut event_receiver) = mpsc::channel::<PollEvent>(MAX_QUEUED_EVENTS);
         self.address = *addresses.borrow_and_update();
         loop {
             let next_poll_at = self.origin + self.supervisor.next_poll_at();
             tokio::select! {
-                biased; // what the old address has sent is void once there is another
-                () = changed(&mut addresses) => {
+                biased; // a new address makes all data from the old one obsolete
+                () = address_changed(&mut addresses) => {
                     let address = *addresses.borrow_and_update();
-                    self.follow_address(address);
+                    self.change_address(address);
                 }
-                Some(report) = received.recv() => self.report_received(report),
-                () = sleep_until(next_poll_at) => self.open_poll(&reports),
+                Some(event) = event_receiver.recv() => self.handle_poll_event(event),
+                () = sleep_until(next_poll_at) => self.open_poll(&events),
             }
             self.polls.retain(|id, _| self.supervisor.is_open(*id));
         }
@@ -86,25 +87,25 @@
         self.origin.elapsed()
     }
 
-    /// Follows discovery at another address. Until it sends a list, the last one of the old address is in use.
-    fn follow_address(&mut self, address: SocketAddr) {
+    /// Switches to a new address. The list from the old address stays in use until the new one sends a list.
+    fn change_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
         }
         tracing::info!(%address, "following discovery at a new address");
         self.address = address;
-        self.lost = false;
-        self.reopen();
+        self.loss_logged = false;
+        self.restart();
     }
 
-    /// Begins again: the next list is taken up whatever its version.
-    fn reopen(&mut self) {
+    /// Closes all streams and starts over. The next list is applied whatever its version.
+    fn restart(&mut self) {
         self.version.reset();
-        self.supervisor.reopened(self.now());
+        self.supervisor.reset(self.now());
     }
 
-    fn open_poll(&mut self, reports: &mpsc::Sender<PollReport>) {
-        if self.version.is_set_back(Instant::now()) {
+    fn open_poll(&mut self, events: &mpsc::Sender<PollEvent>) {
+        if self.version.has_regressed(Instant::now()) {
             self.version.reset();
         }
         let id = self.supervisor.poll_opened(self.now());
@@ -113,22 +114,22 @@
         if id > 1 {
             self.counters.pool_reconnects.add();
         }
-        let others_open = self.polls.keys().any(|open| *open != id);
-        if others_open {
+        let has_other_streams = self.polls.keys().any(|open| *open != id);
+        if has_other_streams {
             tracing::debug!("discovery silent, polling beside the open streams");
             self.log_loss(&PollError::Silent);
         }
         let request = PollRequest { id, address: self.address, since };
-        self.polls.insert(id, Poll::open(request, reports.clone()));
+        self.polls.insert(id, Poll::open(request, events.clone()));
     }
 
-    fn report_received(&mut self, report: PollReport) {
-        let id = report.id;
+    fn handle_poll_event(&mut self, event: PollEvent) {
+        let id = event.id;
         if !self.polls.contains_key(&id) {
-            return; // closed meanwhile
+            return; // the stream has been closed
         }
-        let read = match report.result {
-            Ok(chunk) => self.chunk_received(id, &chunk),
+        let read = match event.result {
+            Ok(chunk) => self.read_chunk(id, &chunk),
             Err(error) => Err(error),
         };
         if let Err(error) = read {
@@ -138,23 +139,23 @@
         }
     }
 
-    /// Reads a chunk and takes up the lists that it completes.
-    fn chunk_received(&mut self, id: PollId, chunk: &Bytes) -> Result<(), PollError> {
+    /// Reads a chunk and processes the lists that it completes.
+    fn read_chunk(&mut self, id: PollId, chunk: &Bytes) -> Result<(), PollError> {
         let Some(poll) = self.polls.get_mut(&id) else { return Ok(()) };
         let items = poll.reader.push(chunk);
         let (incomplete, too_long) = (poll.reader.is_incomplete(), poll.reader.len() > MAX_LIST_BYTES);
         if !incomplete {
             self.supervisor.data_received(self.now(), id);
-            self.lost = false;
+            self.loss_logged = false;
         }
         for item in items {
             match item {
-                StreamItem::Value(mut value) => self.list_received(&mut value),
+                StreamItem::Value(mut value) => self.handle_list(&mut value),
                 StreamItem::MalformedLine => self.count_malformed("line"),
             }
         }
-        if self.version.is_set_back(Instant::now()) {
-            self.reopen();
+        if self.version.has_regressed(Instant::now()) {
+            self.restart();
         }
         if too_long {
             return Err(PollError::ListTooLong);
@@ -162,10 +163,10 @@
         Ok(())
     }
 
-    /// Hands a list to the engine, unless it is malformed or old.
-    fn list_received(&mut self, line: &mut [u8]) {
-        tracing::trace!(line = %line.escape_ascii(), "endpoint list received");
-        let tape = simd_json::to_tape(line);
+    /// Passes a list to the engine, unless it is malformed or outdated.
+    fn handle_list(&mut self, list: &mut [u8]) {
+        tracing::trace!(line = %list.escape_ascii(), "endpoint list received");
+        let tape = simd_json::to_tape(list);
         let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::read(&tape.as_value())) else {
             return self.count_malformed("line");
         };
@@ -178,27 +179,27 @@
                 self.counters.pool_updates.add();
                 self.queue.send(EngineMessage::EndpointListChanged(update));
             }
-            VersionCheck::FirstOlder => {
+            VersionCheck::FirstOutdated => {
                 tracing::warn!(
                     received_version,
                     known_version,
                     "ignored an endpoint list of an older version"
                 );
             }
-            VersionCheck::StillOlder => {}
+            VersionCheck::RepeatedOutdated => {}
         }
     }
 
-    /// Logged once for each loss of discovery, not for each poll.
+    /// Logs the loss of discovery, once for each loss rather than for each poll.
     fn log_loss(&mut self, error: &PollError) {
-        if self.lost {
+        if self.loss_logged {
             return;
         }
-        self.lost = true;
+        self.loss_logged = true;
         tracing::warn!(%error, "discovery lost, endpoint list unchanged");
     }
 
-    /// Counts malformed data; logged at the 1st, 2nd, 4th and so on.
+    /// Counts malformed data and logs the 1st, 2nd, 4th, 8th and so on.
     fn count_malformed(&self, malformed: &str) {
         let count = self.counters.pool_malformed.add();
         if count.is_power_of_two() {
@@ -207,8 +208,8 @@
     }
 }
 
-/// Waits for another address; forever, once there can be none.
-async fn changed(addresses: &mut watch::Receiver<SocketAddr>) {
+/// Waits for a new address, or forever if the sender has been dropped.
+async fn address_changed(addresses: &mut watch::Receiver<SocketAddr>) {
     if addresses.changed().await.is_err() {
         std::future::pending().await
     }
--- a/src/server/discovery/watch_state.rs
+++ b/src/server/discovery/watch_state.rs
@@ -1,65 +1,66 @@
-//! The lifetime of the discovery watch: which poll is open, and which of them is the watch.
+//! State machine of the discovery watch: which streams are open, and which of them is the watch.
 //!
-//! | state | poll opened | data received | stream ended | reopened |
+//! | state | poll opened | data received | stream ended | reset |
 //! | --- | --- | --- | --- | --- |
-//! | `Waiting` | `Polling` | cannot: nothing is open | `Waiting` | `Waiting` |
-//! | `Polling` | `Polling`, the oldest of two polls makes room | `Watching` that poll | `Polling` the other, or `Waiting` | `Waiting` |
+//! | `Waiting` | `Polling` | does not occur: no stream is open | `Waiting` | `Waiting` |
+//! | `Polling` | `Polling`; a third poll replaces the oldest | `Watching` that stream | `Polling`, or `Waiting` if last | `Waiting` |
 //! | `Watching` | `Suspected` | `Watching` | `Waiting` | `Waiting` |
-//! | `Suspected` | `Suspected`, the oldest of two polls makes room | `Watching` whichever brought it | see below | `Waiting` |
+//! | `Suspected` | `Suspected`; a third poll replaces the oldest | `Watching` that stream | see below | `Waiting` |
 //!
-//! In `Suspected`, the end of the watch leads to `Polling`, that of the only poll to `Watching`. A stream that is no
-//! longer open ([`WatchState::is_open`]) changes nothing when it ends; the caller drops its data unread.
+//! In `Suspected`, the end of the watch leads to `Polling`, the end of the only poll to `Watching`, and the end of one
+//! of two polls to `Suspected`. The end of a stream that is no longer open ([`WatchState::is_open`]) has no effect; the
+//! caller must discard data from such streams.
 
 #[cfg(test)]
 mod tests;
 
-/// Numbers the polls of one supervisor, and the watch that a poll becomes once it has brought data.
+/// Identifies a poll of one supervisor, also after the poll has become the watch.
 pub type PollId = u64;
 
-/// The open polls of discovery. A poll becomes the watch with the first data that it brings.
+/// The open streams. A poll becomes the watch when it receives its first data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchState {
-    /// Nothing is open; the next poll waits for its time.
+    /// No stream is open; the next poll is not due yet.
     Waiting,
-    /// No watch yet, but one poll or two.
+    /// One or two polls are open, but no watch.
     Polling(OpenPolls),
-    /// The watch is open and nothing else.
+    /// Only the watch is open.
     Watching(PollId),
-    /// The watch has been silent for too long: polls are open beside it.
+    /// The watch has been silent for too long, and polls are open in parallel.
     Suspected {
         /// The silent watch.
         watch: PollId,
-        /// The polls beside it.
+        /// The polls open in parallel.
         polls: OpenPolls,
     },
 }
 
-/// One poll or two; a third makes the oldest give way.
+/// One or two open polls. A third replaces the oldest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenPolls {
     oldest: PollId,
     newest: Option<PollId>,
 }
 
-/// What changes the state.
+/// An event that changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// Another poll has been sent.
+    /// A poll has been opened.
     PollOpened(PollId),
-    /// An open stream has brought data, and no list of it is incomplete.
+    /// An open stream has received data and contains no incomplete list.
     DataReceived(PollId),
     /// A stream has ended or failed.
     StreamEnded(PollId),
-    /// All that is open is void, as at another address.
-    Reopened,
+    /// All open streams are obsolete, for example because the address changed.
+    Reset,
 }
 
 impl WatchState {
-    /// The state after `event`: the only place where it changes.
+    /// Returns the state after `event`. All transitions are made here.
     #[must_use]
     pub fn after(self, event: WatchEvent) -> Self {
         match event {
-            WatchEvent::Reopened => WatchState::Waiting,
+            WatchEvent::Reset => WatchState::Waiting,
             WatchEvent::DataReceived(id) => WatchState::Watching(id),
             WatchEvent::PollOpened(id) => match self {
                 WatchState::Waiting => WatchState::Polling(OpenPolls::one(id)),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether this is the watch or an open poll.
+    /// Whether `id` is the watch or an open poll.
     pub fn is_open(self, id: PollId) -> bool {
         match self {
             WatchState::Waiting => false,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whether a poll is open beside the watch or without one.
+    /// Whether a poll is open, with or without a watch.
     pub fn has_open_polls(self) -> bool {
         match self {
             WatchState::Waiting | WatchState::Watching(_) => false,
--- a/src/server/discovery/watch_supervisor.rs
+++ b/src/server/discovery/watch_supervisor.rs
@@ -1,13 +1,13 @@
-//! When discovery is polled, and which of the open streams is believed. Free of I/O and clock: all times count from
-//! an origin that the caller chooses.
+//! Decides when discovery is polled and which of the open streams is the watch. Performs no I/O and reads no clock: all
+//! times are relative to an origin chosen by the caller.
 //!
-//! A watch that brings nothing may be dead, and the changes that it misses count as notified all the same. So a watch
-//! that has missed a keep-alive line is suspected, not closed: a poll is opened beside it, and whichever of them
-//! brings data first is the watch from then on. A suspicion that was wrong costs one poll; a watch that was only late
-//! goes on as if nothing had happened. [`watch_state`](super::watch_state) holds the states.
+//! A silent watch may be dead, and the changes that it misses count as notified nevertheless. A watch that has missed a
+//! keep-alive line is therefore suspected, but not closed: a poll is opened in parallel, and the stream that receives
+//! data first is the watch from then on. A false suspicion costs one poll, and a watch that was only late continues
+//! unaffected. [`watch_state`](super::watch_state) defines the states.
 //!
-//! The times come from [`deadlines`](super::deadlines), the random delays from
-//! [`poll_backoff`](super::poll_backoff); [`watch`](super::watch) opens and reads the streams.
+//! [`deadlines`](super::deadlines) defines the time limits and [`poll_backoff`](super::poll_backoff) the random delays.
+//! [`watch`](super::watch) opens and reads the streams.
 
 use std::time::Duration;
 
@@ -21,30 +21,30 @@
 #[cfg(test)]
 mod tests;
 
-/// A line may be late by this much: delays of the network, and of a busy scheduler.
-const LINE_DELAY: Duration = Duration::from_millis(400);
-/// Reading a list and acting on it takes no longer.
+/// Tolerated delay of a keep-alive line, caused by the network or a busy scheduler.
+const KEEP_ALIVE_TOLERANCE: Duration = Duration::from_millis(400);
+/// Upper bound of the time to read a list and act on it.
 const PROCESSING_TIME: Duration = Duration::from_millis(100);
-/// An agent's answer is awaited for no less than this, however short the grace is.
+/// Lower bound of the timeout for polls of an agent, however short the drain grace is.
 const MIN_AGENT_TIMEOUT: Duration = Duration::from_millis(50);
-/// An agent's answer is awaited for no longer than this, however long the grace is.
+/// Upper bound of the timeout for polls of an agent, however long the drain grace is.
 const MAX_AGENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Decides when one scheduler polls discovery.
+/// Decides when a scheduler polls discovery.
 #[derive(Debug)]
 pub struct WatchSupervisor {
-    /// An agent on this machine serves the list: a poll costs nothing, and is answered at once.
+    /// Whether an agent on this host serves the list. Its polls cost nothing and are answered immediately.
     has_agent: bool,
     drain_grace: Duration,
     backoff: PollBackoff,
     state: WatchState,
-    last_poll: PollId,
+    last_poll_id: PollId,
     next_poll_at: Duration,
 }
 
 impl WatchSupervisor {
-    /// Begins at `now`. Schedulers that share one discovery service may all start at once, so their first polls are
-    /// spread.
+    /// Creates a supervisor whose first poll is due at `now`. If schedulers share a discovery service, the poll has a
+    /// random delay, because all of them may start at once.
     pub fn new(settings: &Settings, seed: u64, now: Duration) -> Self {
         let mut backoff = PollBackoff::new(settings.scheduler_count, seed);
         let has_agent = !settings.discovery_polled;
@@ -55,37 +55,37 @@
             drain_grace,
             backoff,
             state: WatchState::Waiting,
-            last_poll: 0,
+            last_poll_id: 0,
             next_poll_at: now + delay,
         }
     }
 
-    /// When the next poll is due, unless data is received before.
+    /// When the next poll is due, unless data is received first.
     pub fn next_poll_at(&self) -> Duration {
         self.next_poll_at
     }
 
-    /// Whether this stream is still wanted, as a poll or as the watch.
+    /// Whether the stream is still needed, as a poll or as the watch.
     pub fn is_open(&self, id: PollId) -> bool {
         self.state.is_open(id)
     }
 
-    /// A poll is opened; gives its number.
+    /// Records that a poll is opened, and returns its id.
     pub fn poll_opened(&mut self, now: Duration) -> PollId {
-        self.last_poll += 1;
-        self.state = self.state.after(WatchEvent::PollOpened(self.last_poll));
+        self.last_poll_id += 1;
+        self.state = self.state.after(WatchEvent::PollOpened(self.last_poll_id));
         self.next_poll_at = now + self.poll_timeout();
-        self.last_poll
+        self.last_poll_id
     }
 
-    /// An open stream has brought data: it is the watch from now on, and the others are given up.
+    /// Records that an open stream received data. It becomes the watch, and all other streams are closed.
     pub fn data_received(&mut self, now: Duration, id: PollId) {
         self.state = self.state.after(WatchEvent::DataReceived(id));
         self.backoff.reset();
         self.next_poll_at = now + self.silence_timeout();
     }
 
-    /// A stream has ended. Unless another poll is open, the next one follows after a backoff.
+    /// Records that a stream ended. Unless another poll is open, the next poll is due after a backoff.
     pub fn stream_ended(&mut self, now: Duration, id: PollId) {
         self.state = self.state.after(WatchEvent::StreamEnded(id));
         if self.state.has_open_polls() {
@@ -95,44 +95,46 @@
         self.next_poll_at = now + delay;
     }
 
-    /// The list received so far is void, as at another address: polls again. All schedulers may have to do so at
-    /// once.
-    pub fn reopened(&mut self, now: Duration) {
-        self.state = self.state.after(WatchEvent::Reopened);
+    /// Records that all streams are obsolete, for example because the address changed. The next poll is due after a
+    /// random delay, because all schedulers may be reset at once.
+    pub fn reset(&mut self, now: Duration) {
+        self.state = self.state.after(WatchEvent::Reset);
         self.backoff.reset();
         self.next_poll_at = now + self.spread_delay(NOTIFIED_AFTER_RELOAD);
     }
 
-    /// How long a watch may bring nothing before it is suspected.
+    /// Time without data after which the watch is suspected.
     fn silence_timeout(&mut self) -> Duration {
-        let line_due = KEEP_ALIVE_INTERVAL + LINE_DELAY;
-        line_due + self.spread_delay(NOTIFIED_AFTER.saturating_sub(line_due))
+        let keep_alive_due = KEEP_ALIVE_INTERVAL + KEEP_ALIVE_TOLERANCE;
+        keep_alive_due + self.spread_delay(NOTIFIED_AFTER.saturating_sub(keep_alive_due))
     }
 
-    /// A random delay for a poll that the whole fleet may have to make at once. It leaves the poll time to be
-    /// answered before `due`, and a second poll too where the fleet is small enough.
+    /// Random delay for a poll that all schedulers may have to send at once. Leaves enough time for the poll to be
+    /// answered before `due`, and for a second poll as well if the group is small enough.
     fn spread_delay(&mut self, due: Duration) -> Duration {
-        let two_polls = self.poll_timeout() + self.backoff.fleet_poll_time();
+        let two_polls = self.poll_timeout() + self.backoff.group_poll_time();
         let poll_time = if two_polls < due { two_polls } else { POLL_TIMEOUT };
-        let longest = (due + self.drain_grace).saturating_sub(PROCESSING_TIME + poll_time);
+        let max_delay = (due + self.drain_grace).saturating_sub(PROCESSING_TIME + poll_time);
         if self.has_agent {
             return Duration::ZERO;
         }
-        self.backoff.spread_delay(longest)
+        self.backoff.spread_delay(max_delay)
     }
 
-    /// How long a poll may stay unanswered before another is opened beside it.
+    /// Time that a poll may stay unanswered before another is opened in parallel.
     ///
-    /// With an agent: half the grace, since the list that an agent gets counts as notified at once, and two polls must
-    /// fit. Without: half of what is left of [`NOTIFIED_AFTER`] once a watch is suspected. But discovery answers the
-    /// polls of a fleet one after the other, for up to [`POLL_TIMEOUT`]. While a poll may still wait in that queue no
-    /// other is opened: discovery would reject it, and end the first with it.
+    /// With an agent, this is half the drain grace: a list counts as notified as soon as the agent has received it, and
+    /// two polls must fit into the grace.
+    ///
+    /// Without an agent, this is half of the time left of [`NOTIFIED_AFTER`] when a watch becomes suspected. However,
+    /// discovery answers the polls of a group one at a time, for up to [`POLL_TIMEOUT`]. While a poll may still wait in
+    /// that queue, no other is opened, because discovery would reject the second poll and end the first one with it.
     fn poll_timeout(&self) -> Duration {
         if self.has_agent {
             return (self.drain_grace / 2).clamp(MIN_AGENT_TIMEOUT, MAX_AGENT_TIMEOUT);
         }
-        let before_suspicion = KEEP_ALIVE_INTERVAL + LINE_DELAY + PROCESSING_TIME;
+        let before_suspicion = KEEP_ALIVE_INTERVAL + KEEP_ALIVE_TOLERANCE + PROCESSING_TIME;
         let half = (NOTIFIED_AFTER + self.drain_grace).saturating_sub(before_suspicion) / 2;
-        half.max(self.backoff.fleet_poll_time()).min(POLL_TIMEOUT + LINE_DELAY)
+        half.max(self.backoff.group_poll_time()).min(POLL_TIMEOUT + KEEP_ALIVE_TOLERANCE)
     }
 }
