--- a/src/server/discovery/deadlines.rs
+++ b/src/server/discovery/deadlines.rs
@@ -8,12 +8,10 @@
 
 /// Interval between the empty lines that discovery sends on a watch while nothing changes (protocol page, "Discovery").
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a change missed by a silent watch counts as notified, from when discovery sent it (protocol page,
-/// "Figures").
+/// A change missed by a silent watch counts as notified this long after discovery sent it (protocol page, "Figures").
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Time after which the list at a new address counts as notified, from the SIGHUP that set the address (operators'
-/// page).
+/// The list at a new address counts as notified this long after the SIGHUP that set the address (operators' page).
 pub const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// Time after which a poll that is still in discovery's queue fails. No setting contains it; the known deployments use
-/// this value.
+/// Maximum time that a poll waits in discovery's queue before it fails. There is no setting for it; the known
+/// deployments use this value.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/server/discovery/poll_backoff.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -15,15 +15,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Bound of the first backoff in a group of up to [`SMALL_GROUP_SCHEDULERS`].
+/// Bound of the first backoff in a group of up to [`SMALL_GROUP_SCHEDULERS`] schedulers.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Bound of all later backoffs in such a group.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Bound of every backoff, whatever the size of the group.
 const MAX_SCALED_BACKOFF: Duration = Duration::from_millis(3500);
-/// Largest group whose polls need no spreading. The bounds of a larger group grow in proportion to its size.
+/// Number of schedulers up to which polls need no spreading. In larger groups, the bounds grow in proportion.
 const SMALL_GROUP_SCHEDULERS: f64 = 4.0;
-/// Time in which discovery answers one poll of each scheduler in a small group: 250 ms per poll.
+/// Time in which discovery answers one poll of each scheduler in a group of this size: 250 ms per poll.
 const SMALL_GROUP_POLL_TIME: Duration = Duration::from_secs(1);
 /// Maximum delay of the first poll after a start. Short, because a drain counts as notified as if the poll had been
 /// sent immediately.
--- a/src/server/discovery/stream_reader.rs
+++ b/src/server/discovery/stream_reader.rs
@@ -30,7 +30,7 @@
     pub fn push(&mut self, chunk: &[u8]) -> Vec<StreamItem> {
         self.buffer.extend_from_slice(chunk);
         let mut items = Vec::new();
-        // A value ends with a bracket. Chunks without one are not parsed, so that a list that spans many chunks is not
+        // An endpoint list ends with a bracket. Chunks without one are not parsed, so that a list of many chunks is not
         // parsed again for each of them.
         let completes_nothing = !chunk.iter().any(|byte| matches!(byte, b'}' | b']'));
         if self.incomplete && completes_nothing {
@@ -76,8 +76,8 @@
         progress
     }
 
-    /// Drops the first non-empty line of the buffer, because the value after a malformed one starts on a new line.
-    /// Returns false if the line is still incomplete.
+    /// Drops the first non-empty line of the buffer, which is malformed. The next value starts on a new line. Returns
+    /// false if the line is still incomplete.
     fn skip_malformed_line(&mut self) -> bool {
         let start = self.buffer.iter().position(|byte| !byte.is_ascii_whitespace()).unwrap_or_default();
         let Some(length) = self.buffer[start..].iter().position(|byte| *byte == b'\n') else { return false };
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -26,7 +26,7 @@
 /// Capacity of the queue of poll events. Polls wait while it is full.
 const MAX_QUEUED_EVENTS: usize = 16;
 
-/// Follows the endpoint list of discovery, on a watch and any polls.
+/// Follows the endpoint list on the watch, and on polls while there is no watch or it is suspected.
 pub struct DiscoveryWatch {
     address: SocketAddr,
     version: ListVersion,
@@ -35,15 +35,15 @@
     supervisor: WatchSupervisor,
     /// All open streams: the watch and the polls.
     polls: HashMap<PollId, Poll>,
-    /// Whether the loss of discovery has been logged, with no data received since.
+    /// Whether the current loss of discovery has been logged. Cleared when data is received.
     loss_logged: bool,
     /// Origin of the supervisor's times.
     origin: Instant,
 }
 
 impl DiscoveryWatch {
-    /// Creates a task that follows discovery at `address`, from the known list version on. The supervisor's times are
-    /// relative to now.
+    /// Creates a task that follows discovery at `address`, starting from the list version `version`. The supervisor's
+    /// times are relative to this call.
     pub fn new(
         address: SocketAddr,
         version: u64,
--- a/src/server/discovery/watch_state.rs
+++ b/src/server/discovery/watch_state.rs
@@ -3,7 +3,7 @@
 //! | state | poll opened | data received | stream ended | reset |
 //! | --- | --- | --- | --- | --- |
 //! | `Waiting` | `Polling` | does not occur: no stream is open | `Waiting` | `Waiting` |
-//! | `Polling` | `Polling`; a third poll replaces the oldest | `Watching` that stream | `Polling`, or `Waiting` if last | `Waiting` |
+//! | `Polling` | `Polling`; a third poll replaces the oldest | `Watching` that stream | `Polling`, or `Waiting` if no poll is left | `Waiting` |
 //! | `Watching` | `Suspected` | `Watching` | `Waiting` | `Waiting` |
 //! | `Suspected` | `Suspected`; a third poll replaces the oldest | `Watching` that stream | see below | `Waiting` |
 //!
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Identifies a poll of one supervisor, also after the poll has become the watch.
+/// Identifies a poll of one supervisor. The watch keeps the id of the poll that became it.
 pub type PollId = u64;
 
 /// The open streams. A poll becomes the watch when it receives its first data.
--- a/src/server/discovery/watch_supervisor/tests.rs
+++ b/src/server/discovery/watch_supervisor/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns the time of the first data received at or after `from`, and the number of polls opened until then. A poll
-/// opened at `t` is answered at `t + answer(t)`, where [`NEVER`] stands for no answer.
+/// opened at `t` is answered at `t + answer(t)`, where `NEVER` stands for no answer.
 fn first_data(
     supervisor: &mut WatchSupervisor,
     from: Duration,
@@ -62,9 +62,9 @@
             let (at, polls) = first_data(&mut supervisor, ms(10_000), |_| ms(answer_ms));
             assert!(
                 at <= ms(10_000) + NOTIFIED_AFTER + GRACE - PROCESSING_TIME,
-                "{polled} {answer_ms}: received at {at:?}"
+                "polled {polled}, answered after {answer_ms} ms: received at {at:?}"
             );
-            assert!(polls <= 2, "{polls} polls");
+            assert!(polls <= 2, "{polls} polls instead of at most 2");
         }
     }
 }
@@ -80,7 +80,7 @@
             let silent_until = supervisor.next_poll_at() + ms(1);
             let answer = |at| if at < silent_until { NEVER } else { ms(1_500) };
             let (at, _) = first_data(&mut supervisor, ms(10_000), answer);
-            assert!(at <= ms(10_000) + NOTIFIED_AFTER + GRACE, "{schedulers}: received at {at:?}");
+            assert!(at <= ms(10_000) + NOTIFIED_AFTER + GRACE, "{schedulers} schedulers: received at {at:?}");
         }
     }
 }
@@ -116,7 +116,7 @@
             let (at, _) = first_data(&mut supervisor, ms(11_000), |_| ms(answer_ms));
             assert!(
                 at <= ms(11_000) + NOTIFIED_AFTER_RELOAD + GRACE - PROCESSING_TIME,
-                "{polled}: received at {at:?}"
+                "polled {polled}: received at {at:?}"
             );
         }
     }
@@ -159,7 +159,7 @@
             supervisor.poll_opened(polled_at);
             assert!(
                 supervisor.next_poll_at() >= polled_at + served,
-                "{schedulers}: again at {:?}",
+                "{schedulers} schedulers: polled again after {:?}",
                 supervisor.next_poll_at() - polled_at
             );
         }
@@ -171,5 +171,5 @@
 fn spreads_the_polls_of_a_group_whose_watches_fell_silent_at_once() {
     let at = groups(true).skip(240).map(|supervisor| supervisor.next_poll_at());
     let (first, last) = at.fold((NEVER, Duration::ZERO), |(low, high), at| (low.min(at), high.max(at)));
-    assert!(last - first > ms(600), "within {:?}", last - first);
+    assert!(last - first > ms(600), "all polls within {:?}", last - first);
 }
--- a/src/server/workers/attempt/cancellation.rs
+++ b/src/server/workers/attempt/cancellation.rs
@@ -16,7 +16,7 @@
 const DELETE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl AttemptTask {
-    /// Cancels the request. `state` is the state after [`AttemptEvent::CancelRequested`].
+    /// Cancels the request. `state` is the state after `AttemptEvent::CancelRequested`.
     pub(super) async fn cancel(&self, state: AttemptState) -> AttemptEnd {
         match state {
             AttemptState::CancellingUnanswered => {
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -119,7 +119,7 @@
         self.pool.add(connection, self.address());
     }
 
-    /// Returns whether a connection that broke before a response was stale, that is, had come from the pool. If so,
+    /// Returns whether a connection that broke before a response was stale, that is, reused from the pool. If so,
     /// shortens the trusted idle time.
     pub fn record_if_stale(&self, connection: &WorkerConnection) -> bool {
         let Some(idle_for) = connection.idle_before_use() else { return false };
