--- a/src/server/discovery/poll_backoff.rs
+++ b/src/server/discovery/poll_backoff.rs
@@ -17,9 +17,9 @@
 
 /// Bound of the first backoff in a group of up to [`SMALL_GROUP_SCHEDULERS`] schedulers.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Bound of all later backoffs in such a group.
+/// Upper limit of the bound in such a group.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Bound of every backoff, whatever the size of the group.
+/// Upper limit of the bound in a group of any size.
 const MAX_SCALED_BACKOFF: Duration = Duration::from_millis(3500);
 /// Number of schedulers up to which polls need no spreading. In larger groups, the bounds grow in proportion.
 const SMALL_GROUP_SCHEDULERS: f64 = 4.0;
--- a/src/server/discovery/poll_backoff/tests.rs
+++ b/src/server/discovery/poll_backoff/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn spreads_the_polls_of_a_large_group_that_failed_at_once() {
-    // With 100 schedulers polling at once, 60 first polls failed; discovery answered 20 polls per second.
+    // With 100 schedulers polling at once, 60 of 100 first polls failed; discovery answered 20 polls per second.
     for second in 1..10 {
         let in_second = |at: &&u128| (second * 1000..second * 1000 + 1000).contains(*at);
         let polls = unanswered_polls(100, 10_000).iter().filter(in_second).count();
--- a/src/server/discovery/watch_supervisor/tests.rs
+++ b/src/server/discovery/watch_supervisor/tests.rs
@@ -152,13 +152,13 @@
 /// that queue, discovery rejects the second and ends the first.
 #[test]
 fn opens_no_second_poll_while_the_first_may_be_queued_at_discovery() {
-    for (schedulers, served) in [(4, ms(1_000)), (6, ms(1_500)), (32, POLL_TIMEOUT), (300, POLL_TIMEOUT)] {
+    for (schedulers, min_wait) in [(4, ms(1_000)), (6, ms(1_500)), (32, POLL_TIMEOUT), (300, POLL_TIMEOUT)] {
         for seed in 0..60 {
             let mut supervisor = WatchSupervisor::new(&settings(true, schedulers), seed, Duration::ZERO);
             let polled_at = supervisor.next_poll_at();
             supervisor.poll_opened(polled_at);
             assert!(
-                supervisor.next_poll_at() >= polled_at + served,
+                supervisor.next_poll_at() >= polled_at + min_wait,
                 "{schedulers} schedulers: polled again after {:?}",
                 supervisor.next_poll_at() - polled_at
             );
--- a/src/server/workers/attempt/exchange.rs
+++ b/src/server/workers/attempt/exchange.rs
@@ -48,6 +48,7 @@
         result
     }
 
+    /// Sends the request and reads the response. The error is the end of an attempt that got no response.
     async fn send_and_read(&self) -> Result<ExchangeResult, AttemptEnd> {
         let mut connection =
             WorkerEndpoint::acquire_connection(self.worker, ConnectionPurpose::Request).await?;
@@ -116,11 +117,11 @@
     payload: &RequestPayload,
     time_left: Duration,
 ) -> io::Result<()> {
-    let lengths =
+    let numeric_headers =
         format!("\r\nX-Deadline-Ms: {}\r\nContent-Length: {}\r\n", time_left.as_millis(), payload.body.len());
     let mut parts: Vec<&[u8]> =
         vec![b"POST ", &payload.target, b" HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: "];
-    parts.extend([&payload.name[..], lengths.as_bytes()]);
+    parts.extend([&payload.name[..], numeric_headers.as_bytes()]);
     if let Some(key) = &payload.key {
         parts.extend([&b"Idempotency-Key: "[..], key, b"\r\n"]);
     }
--- a/src/server/workers/connector.rs
+++ b/src/server/workers/connector.rs
@@ -15,7 +15,7 @@
 use crate::server::metrics::Counters;
 use crate::server::workers::connection::WorkerConnection;
 
-/// Lower bound of the trusted idle time: a connection that has been idle for less is always used for requests.
+/// Lower bound of the trusted idle time. A pooled connection that has been idle for less may always be reused.
 const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(100);
 /// Factor by which the trusted idle time grows each second until it reaches its maximum again.
 const TRUSTED_IDLE_GROWTH: f64 = 1.05;
@@ -94,7 +94,7 @@
     /// Applies changed settings, also to open connections.
     ///
     /// Pooled connections are closed after half the worker's own idle timeout. If the worker closed one while a request
-    /// was on its way, the attempt would end with a reset and the request may have run.
+    /// was on its way, the attempt would end with a reset, and the request might have run.
     pub fn configure(&self, connect_timeout_s: f64, connection_idle_timeout_s: f64) {
         self.connect_timeout.set(Duration::from_secs_f64(connect_timeout_s.clamp(0.001, 60.0)));
         self.max_idle.set(Duration::from_secs_f64((connection_idle_timeout_s / 2.0).clamp(0.0, 3600.0)));
@@ -129,7 +129,7 @@
         self.counters.member_reuses.add();
     }
 
-    /// Opens a connection to a worker.
+    /// Opens a connection to the worker at `address`.
     ///
     /// # Errors
     /// If no descriptor is available, or the connection fails or times out.
