--- a/src/server/workers/connection_pool.rs
+++ b/src/server/workers/connection_pool.rs
@@ -37,7 +37,7 @@
     /// A connection to an address other than `address`, or on which anything has arrived, is closed instead. Such data
     /// is a close, or an extra response that would be taken for the response to the next request.
     pub(super) fn add(&self, mut connection: WorkerConnection, address: SocketAddr) {
-        let is_reusable = connection.address() == address && connection.http.is_quiet();
+        let is_reusable = connection.address() == address && connection.http.is_open_and_idle();
         if !is_reusable {
             return;
         }
--- a/src/server/workers/endpoint.rs
+++ b/src/server/workers/endpoint.rs
@@ -103,7 +103,7 @@
         };
         while let Some(mut connection) = this.pool.take(max_idle) {
             // A close or a late response in the receive buffer would be taken for the response to the next request.
-            if !connection.http.is_quiet() {
+            if !connection.http.is_open_and_idle() {
                 continue;
             }
             this.connector.count_reuse();
