--- a/src/server/workers/capacity_probe.rs
+++ b/src/server/workers/capacity_probe.rs
@@ -7,7 +7,7 @@
 
 use crate::server::attempt_end::AttemptEnd;
 use crate::server::http::{Connection, HttpError};
-use crate::server::load_report::{from_body, Report};
+use crate::server::load_report::{from_body, RawLoadReport};
 use crate::server::workers::connection::WorkerConnection;
 use crate::server::workers::endpoint::{ConnectionPurpose, WorkerEndpoint};
 
@@ -17,7 +17,7 @@
     /// How the probe ended.
     pub end: AttemptEnd,
     /// Load report of the worker; empty if it sent none.
-    pub load_report: Report,
+    pub load_report: RawLoadReport,
 }
 
 /// Probes a worker once, within its response timeout. Requests a load report if `wants_load_report` is set, and is a
@@ -25,7 +25,7 @@
 pub async fn probe(worker: Rc<WorkerEndpoint>, wants_load_report: bool) -> ProbeResult {
     let mut connection = match WorkerEndpoint::acquire_connection(&worker, ConnectionPurpose::Request).await {
         Ok(connection) => connection,
-        Err(error) => return ProbeResult { end: error.into(), load_report: Report::new() },
+        Err(error) => return ProbeResult { end: error.into(), load_report: RawLoadReport::new() },
     };
     let response =
         timeout(worker.response_timeout(), send_probe(&mut connection.http, wants_load_report)).await;
@@ -41,7 +41,7 @@
             return ProbeResult { end, load_report: from_body(response.body) };
         }
     };
-    ProbeResult { end, load_report: Report::new() }
+    ProbeResult { end, load_report: RawLoadReport::new() }
 }
 
 struct ProbeResponse {
