--- a/src/config.rs
+++ b/src/config.rs
@@ -1,14 +1,16 @@
-//! What the platform says to a scheduler: addresses, limits, the known endpoint list and the deployment's settings.
+//! Configuration of a scheduler, as provided by the platform: addresses, limits, the known endpoint list and
+//! the deployment's settings.
 //!
-//! Each module maps the field names of one format to our terms, in one table, so that no other module knows the names on
-//! the wire:
+//! Each module has a table that maps the external field names of one format to the terms used in this project,
+//! so that no other module depends on the external names:
 //!
-//! - `platform_file`: the JSON file that the platform writes before a start or a reload; [`Config`] is what it says.
-//! - [`settings`]: the deployment's settings as lines of `path=value`; `flatten` turns the file's nested ones into these.
-//! - [`endpoint_list`]: the list of workers as discovery writes it.
+//! - `platform_file`: the JSON file that the platform writes before a start or a reload, parsed into [`Config`].
+//! - [`settings`]: the deployment's settings as `path=value` lines. `flatten` converts the nested settings of the
+//!   platform file to this format.
+//! - [`endpoint_list`]: the list of workers in the format of discovery.
 //!
-//! Nothing here opens a socket or acts on what it reads. See `src/cli/serve.rs` for the start and
-//! `src/server/lifecycle/reload.rs` for changes while the process runs.
+//! This module only parses: it opens no sockets and applies nothing. See `src/cli/serve.rs` for startup and
+//! `src/server/lifecycle/reload.rs` for reloads of a running process.
 
 pub mod endpoint_list;
 mod flatten;
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -1,14 +1,14 @@
-//! The endpoint list as discovery writes it: the workers, where they are and whether they take work.
+//! The endpoint list as sent by discovery: the workers with their addresses, locations and states.
 //!
-//! The same JSON arrives from a poll, on a watch (see `src/server/discovery`) and in the platform's file. This module
-//! reads one message of it; what follows from a change is decided elsewhere.
+//! Poll responses, watch messages (see `src/server/discovery`) and the platform file use the same JSON format.
+//! This module parses a single message; `src/server/engine/endpoint_list.rs` applies it.
 
 use std::net::SocketAddr;
 
 use simd_json::prelude::*;
 use simd_json::tape::Value;
 
-/// The field names of the endpoint list, each under our term for it.
+/// Field names of the endpoint list in JSON.
 mod fields {
     pub(super) const VERSION: &str = "version";
     pub(super) const COMPLETE_SNAPSHOT: &str = "full";
@@ -21,26 +21,26 @@
     pub(super) const ENTRY_CELL: &str = "cell";
     pub(super) const ENTRY_STATE: &str = "state";
     pub(super) const ENTRY_WEIGHT: &str = "weight";
-    /// In milliseconds of Unix time.
-    pub(super) const ENTRY_STARTED: &str = "started_ms";
+    /// Unix time in milliseconds.
+    pub(super) const ENTRY_STARTED_AT_MS: &str = "started_ms";
 }
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Whether a worker takes work, as discovery says.
+/// State of a worker according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes work.
+    /// Accepts requests.
     Active,
-    /// It finishes what it has, and takes nothing new.
+    /// Finishes its current requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// No longer part of the deployment.
     Removed,
 }
 
 impl EndpointState {
-    /// The state that discovery calls so.
-    fn of_wire_name(name: &str) -> Option<Self> {
+    /// Returns the state with this name in the endpoint list, if there is one.
+    fn from_wire_name(name: &str) -> Option<Self> {
         match name {
             "active" => Some(EndpointState::Active),
             "leaving" => Some(EndpointState::Draining),
@@ -53,54 +53,56 @@
 /// A worker in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its name, the same at every scheduler and after a restart.
+    /// Name of the worker: the same at every scheduler and across restarts.
     pub name: String,
-    /// Where this scheduler reaches it; may be absent where it has been removed.
+    /// Address at which this scheduler reaches the worker; may be missing for a removed worker.
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// Name of the worker's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Name of the worker's kind.
     pub kind: String,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: u16,
-    /// Whether it takes work.
+    /// Whether the worker accepts requests.
     pub state: EndpointState,
-    /// Unix time of its last start in seconds; 0 for long ago.
-    pub started_s: f64,
-    /// Its weight; 0 where discovery gives none.
+    /// Unix time of the worker's last start in seconds; 0 for a start long ago.
+    pub started_at_s: f64,
+    /// The worker's weight; 0 if discovery provides none.
     pub weight: f64,
 }
 
-/// One message of discovery: the complete list or the entries that changed.
+/// A message from discovery: either the complete list or only the entries that changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Its version.
+    /// Version of the list after this update.
     pub version: u64,
-    /// It is a complete snapshot: a worker that is not in it has been removed.
+    /// Whether this is a complete snapshot: a worker without an entry has been removed.
     pub complete_snapshot: bool,
-    /// The entries that could be read.
+    /// The entries that could be parsed.
     pub entries: Vec<EndpointEntry>,
-    /// How many entries could not be read. A snapshot with such entries does not prove that an absent worker is gone.
+    /// Number of entries that could not be parsed. In a snapshot with such entries, a missing worker is not
+    /// necessarily removed.
     pub unreadable_entries: usize,
 }
 
 impl EndpointListUpdate {
-    /// Reads a message; `None` if it is not one. An entry that cannot be read is counted and skipped: one bad entry
-    /// must not hide the others.
+    /// Parses a message; `None` if the version or the list of entries is missing. Invalid entries are counted and
+    /// skipped, so that one of them does not invalidate the others.
     pub fn read(value: &Value) -> Option<Self> {
         let version = value.get_u64(fields::VERSION)?;
-        // Not `get_array`: simd-json 0.15 cuts its slice of the tape one node short and panics on the last.
+        // Not `get_array`: in simd-json 0.15 its slice of the tape is one node short, so that reading the last
+        // entry panics.
         let listed = value.get(fields::ENTRIES)?.as_array()?;
-        let entries: Vec<_> = listed.iter().filter_map(|entry| read_entry(&entry)).collect();
+        let entries: Vec<_> = listed.iter().filter_map(|entry| parse_entry(&entry)).collect();
         let unreadable_entries = listed.len() - entries.len();
         let complete_snapshot = value.get_bool(fields::COMPLETE_SNAPSHOT).unwrap_or(false);
         Some(EndpointListUpdate { version, complete_snapshot, entries, unreadable_entries })
     }
 }
 
-/// Reads one entry; `None` if its name, its state or an address that it needs cannot be read.
-fn read_entry(entry: &Value) -> Option<EndpointEntry> {
-    let state = EndpointState::of_wire_name(entry.get_str(fields::ENTRY_STATE)?)?;
+/// Parses an entry; `None` if the name, the state or a required address is missing or invalid.
+fn parse_entry(entry: &Value) -> Option<EndpointEntry> {
+    let state = EndpointState::from_wire_name(entry.get_str(fields::ENTRY_STATE)?)?;
     let address = entry.get_str(fields::ENTRY_ADDRESS).and_then(|address| address.parse().ok());
     if address.is_none() && state != EndpointState::Removed {
         return None;
@@ -115,7 +117,7 @@
         kind: text(fields::ENTRY_KIND),
         cell: cell.unwrap_or_default(),
         state,
-        started_s: number(fields::ENTRY_STARTED) / MILLISECONDS_PER_SECOND,
+        started_at_s: number(fields::ENTRY_STARTED_AT_MS) / MILLISECONDS_PER_SECOND,
         weight: number(fields::ENTRY_WEIGHT),
     })
 }
--- a/src/config/flatten.rs
+++ b/src/config/flatten.rs
@@ -1,7 +1,8 @@
-//! Turns the nested settings of the platform's file into the lines of `path=value` that [`super::settings`] reads.
+//! Converts the nested settings of the platform file to the `path=value` lines that [`super::settings`] parses.
 //!
-//! The form is that of the simulator's wire page: a list of plain values is joined with commas; a list of objects states
-//! its length under `count` and its items under their numbers; spaces and commas within values become `_`.
+//! The format is the one that the simulator sends. A list of scalars becomes one line with its items separated by
+//! commas. A list of objects has its length under `count` and its items under their indices. Spaces, commas and
+//! newlines within values become `_`.
 
 use simd_json::prelude::*;
 use simd_json::tape::Value;
@@ -9,55 +10,55 @@
 use super::settings::SettingsError;
 use crate::scheduling::Settings;
 
-/// Reads nested settings.
-pub(super) fn read_settings(value: &Value) -> Result<Settings, SettingsError> {
+/// Parses nested settings.
+pub(super) fn parse_settings(value: &Value) -> Result<Settings, SettingsError> {
     let mut lines = String::new();
-    put_lines("", value, &mut lines);
+    append_lines("", value, &mut lines);
     lines.parse()
 }
 
-/// Appends the lines of a value that stands at `path`.
-fn put_lines(path: &str, value: &Value, lines: &mut String) {
+/// Appends the lines for the value at `path`.
+fn append_lines(path: &str, value: &Value, lines: &mut String) {
     if let Some(object) = value.as_object() {
         for (key, value) in object.iter() {
-            put_lines(&join(path, key), &value, lines);
+            append_lines(&join_path(path, key), &value, lines);
         }
         return;
     }
     let Some(array) = value.as_array() else {
-        if let Some(text) = plain_text(value) {
-            put_line(path, &text, lines);
+        if let Some(text) = scalar_text(value) {
+            append_line(path, &text, lines);
         }
         return;
     };
-    let holds_objects = array.iter().any(|item| item.is_object());
-    if !holds_objects {
-        let items: Vec<String> = array.iter().filter_map(|item| plain_text(&item)).collect();
-        put_line(path, &items.join(","), lines);
+    let contains_objects = array.iter().any(|item| item.is_object());
+    if !contains_objects {
+        let items: Vec<String> = array.iter().filter_map(|item| scalar_text(&item)).collect();
+        append_line(path, &items.join(","), lines);
         return;
     }
-    put_line(&join(path, "count"), &array.len().to_string(), lines);
+    append_line(&join_path(path, "count"), &array.len().to_string(), lines);
     for (index, item) in array.iter().enumerate() {
-        put_lines(&join(path, &index.to_string()), &item, lines);
+        append_lines(&join_path(path, &index.to_string()), &item, lines);
     }
 }
 
-fn put_line(path: &str, text: &str, lines: &mut String) {
+fn append_line(path: &str, text: &str, lines: &mut String) {
     lines.push_str(path);
     lines.push('=');
     lines.push_str(text);
     lines.push('\n');
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         return key.to_owned();
     }
     format!("{path}.{key}")
 }
 
-/// A value as a line writes it. Null stands for a key that is not there.
-fn plain_text(value: &Value) -> Option<String> {
+/// Text of a scalar value in a line. `None` for null, which is treated like a missing key.
+fn scalar_text(value: &Value) -> Option<String> {
     if let Some(text) = value.as_str() {
         return Some(text.replace([' ', ',', '\n'], "_"));
     }
--- a/src/config/platform_file.rs
+++ b/src/config/platform_file.rs
@@ -1,4 +1,4 @@
-//! The file that the platform writes for each scheduler before its start, and again before a reload.
+//! The JSON file that the platform writes for each scheduler before startup and before each reload.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,11 +7,11 @@
 use simd_json::tape::Value;
 
 use super::endpoint_list::EndpointListUpdate;
-use super::flatten::read_settings;
+use super::flatten::parse_settings;
 use super::settings::SettingsError;
 use crate::scheduling::Settings;
 
-/// The file's field names, each under our term for it.
+/// Field names of the platform file in JSON.
 mod fields {
     pub(super) const NAME: &str = "name";
     pub(super) const LISTEN: &str = "listen";
@@ -27,27 +27,27 @@
     pub(super) const KNOWN_ENDPOINTS: &str = "known";
 }
 
-/// Descriptors to count on where the file states no limit.
+/// Assumed limit on file descriptors if the platform file specifies none.
 const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
 
-/// Why a scheduler cannot start.
+/// Why a platform file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     File {
-        /// Where it should be.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error reported by the operating system.
         source: std::io::Error,
     },
-    /// It is not JSON.
+    /// The file is not valid JSON.
     #[error("the configuration is not JSON: {0}")]
     Json(#[from] simd_json::Error),
-    /// A field is missing or unreadable.
+    /// The field with this name is missing or invalid.
     #[error("the configuration has no usable {0:?}")]
     Field(&'static str),
-    /// A setting cannot be read.
+    /// A setting has an invalid value.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -55,57 +55,57 @@
 /// The configuration of one scheduler.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the scheduler.
     pub name: String,
-    /// Where clients send requests and workers send callbacks.
+    /// Listen address for client requests and for the callbacks of workers.
     pub listen: SocketAddr,
-    /// Where operators connect; without it there is no operator interface.
+    /// Listen address of the operator interface, which is disabled without one.
     pub operator_listen: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generators; differs between starts.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may have open.
     pub descriptor_limit: usize,
-    /// Where gossip goes, if the settings allow it and the platform names addresses for it.
+    /// Addresses for gossip, if the settings allow gossip and the file contains the addresses.
     pub gossip: Option<GossipAddresses>,
     /// The deployment's settings.
     pub settings: Settings,
-    /// The endpoint list as this scheduler last had it; may be out of date.
+    /// The last endpoint list that this scheduler knew, as stored by the platform; may be out of date.
     pub known_endpoints: EndpointListUpdate,
 }
 
-/// Where gossip messages between the schedulers go.
+/// Addresses for gossip messages between schedulers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipAddresses {
-    /// Where they arrive.
+    /// Address at which this scheduler receives messages.
     pub listen: SocketAddr,
-    /// The address from which each scheduler sends, by its number.
+    /// Source address of each scheduler's messages, by scheduler index.
     pub peers: Vec<SocketAddr>,
-    /// What is sent here reaches all other schedulers.
-    pub all: SocketAddr,
+    /// Messages sent to this address are delivered to all other schedulers.
+    pub broadcast: SocketAddr,
 }
 
 impl GossipAddresses {
-    /// `None` where the file names no address to listen at.
-    fn read(root: &Value) -> Result<Option<Self>, ConfigError> {
+    /// Parses the addresses; `None` if the file contains no listen address for gossip.
+    fn parse(root: &Value) -> Result<Option<Self>, ConfigError> {
         let Some(listen) = root.get(fields::GOSSIP_LISTEN) else { return Ok(None) };
-        let broadcast = field(root, fields::GOSSIP_BROADCAST)?;
-        let peers = field(root, fields::GOSSIP_PEERS)?;
+        let broadcast = required_field(root, fields::GOSSIP_BROADCAST)?;
+        let peers = required_field(root, fields::GOSSIP_PEERS)?;
         let peers = peers.as_array().ok_or(ConfigError::Field(fields::GOSSIP_PEERS))?;
         let peers =
-            peers.iter().map(|peer| address(&peer, fields::GOSSIP_PEERS)).collect::<Result<_, _>>()?;
-        let listen = address(&listen, fields::GOSSIP_LISTEN)?;
-        let all = address(&broadcast, fields::GOSSIP_BROADCAST)?;
-        Ok(Some(GossipAddresses { listen, peers, all }))
+            peers.iter().map(|peer| parse_address(&peer, fields::GOSSIP_PEERS)).collect::<Result<_, _>>()?;
+        let listen = parse_address(&listen, fields::GOSSIP_LISTEN)?;
+        let broadcast = parse_address(&broadcast, fields::GOSSIP_BROADCAST)?;
+        Ok(Some(GossipAddresses { listen, peers, broadcast }))
     }
 }
 
 impl Config {
-    /// Reads the file at `path`.
+    /// Reads and parses the file at `path`.
     ///
     /// # Errors
-    /// Names the file or the field that cannot be used.
+    /// Fails if the file cannot be read, is not JSON or has a missing or invalid field.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read(path);
         let mut text =
@@ -113,17 +113,17 @@
         Self::parse(&mut text)
     }
 
-    /// Reads the JSON in `text`, which is used as scratch space.
+    /// Parses JSON. The contents of `text` are overwritten in the process.
     ///
     /// # Errors
-    /// Names the field that cannot be used.
+    /// Fails if the text is not JSON or has a missing or invalid field.
     pub fn parse(text: &mut [u8]) -> Result<Self, ConfigError> {
         let tape = simd_json::to_tape(text)?;
         let root = tape.as_value();
-        let seed = text_of(&root, fields::SEED)?;
-        let mut settings = read_settings(&field(&root, fields::SETTINGS)?)?;
-        // Addresses for gossip are not even read where it is not allowed: they may be nonsense there.
-        let gossip = if settings.gossip_allowed { GossipAddresses::read(&root)? } else { None };
+        let seed = required_str(&root, fields::SEED)?;
+        let mut settings = parse_settings(&required_field(&root, fields::SETTINGS)?)?;
+        // Without permission for gossip, its addresses may be invalid and are ignored.
+        let gossip = if settings.gossip_allowed { GossipAddresses::parse(&root)? } else { None };
         settings.gossip_allowed = gossip.is_some();
         let known_endpoints = root.get(fields::KNOWN_ENDPOINTS);
         let known_endpoints = known_endpoints.and_then(|known| EndpointListUpdate::read(&known));
@@ -131,14 +131,14 @@
         let descriptor_limit = limits.and_then(|limits| limits.get_usize(fields::DESCRIPTOR_LIMIT));
         let has_operator_listen = root.get(fields::OPERATOR_LISTEN).is_some();
         Ok(Config {
-            name: text_of(&root, fields::NAME)?.to_owned(),
-            listen: address_of(&root, fields::LISTEN)?,
+            name: required_str(&root, fields::NAME)?.to_owned(),
+            listen: required_address(&root, fields::LISTEN)?,
             operator_listen: if has_operator_listen {
-                Some(address_of(&root, fields::OPERATOR_LISTEN)?)
+                Some(required_address(&root, fields::OPERATOR_LISTEN)?)
             } else {
                 None
             },
-            discovery: address_of(&root, fields::DISCOVERY)?,
+            discovery: required_address(&root, fields::DISCOVERY)?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Field(fields::SEED))?,
             descriptor_limit: descriptor_limit.unwrap_or(DEFAULT_DESCRIPTOR_LIMIT),
             gossip,
@@ -148,23 +148,23 @@
     }
 }
 
-fn field<'tape, 'input>(
+fn required_field<'tape, 'input>(
     root: &Value<'tape, 'input>,
     name: &'static str,
 ) -> Result<Value<'tape, 'input>, ConfigError> {
     root.get(name).ok_or(ConfigError::Field(name))
 }
 
-fn text_of<'root>(root: &'root Value, name: &'static str) -> Result<&'root str, ConfigError> {
+fn required_str<'root>(root: &'root Value, name: &'static str) -> Result<&'root str, ConfigError> {
     root.get_str(name).ok_or(ConfigError::Field(name))
 }
 
-fn address_of(root: &Value, name: &'static str) -> Result<SocketAddr, ConfigError> {
-    address(&field(root, name)?, name)
+fn required_address(root: &Value, name: &'static str) -> Result<SocketAddr, ConfigError> {
+    parse_address(&required_field(root, name)?, name)
 }
 
-/// The address in a value of the field of this name.
-fn address(value: &Value, name: &'static str) -> Result<SocketAddr, ConfigError> {
+/// Parses an address; `name` is the field that an error refers to.
+fn parse_address(value: &Value, name: &'static str) -> Result<SocketAddr, ConfigError> {
     let address = value.as_str().and_then(|text| text.parse().ok());
     address.ok_or(ConfigError::Field(name))
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,13 +1,14 @@
-//! Reads a deployment's settings, written as lines of `path=value`, into [`Settings`].
+//! Parses a deployment's settings from `path=value` lines into [`Settings`].
 //!
-//! The simulator sends the settings in this form; the platform's file holds the same ones as nested JSON, which
-//! `src/config/flatten.rs` turns into these lines. So there is one reader, and both programs decide alike. Unknown keys are
-//! skipped, because a deployment may have more than this program knows; missing keys keep the defaults of
-//! [`Settings::default`]; a known key whose value cannot be read is an error that names both.
+//! The simulator sends the settings in this format. The platform file contains the same settings as nested JSON,
+//! which `src/config/flatten.rs` converts to these lines. Because both programs share one parser, they make the
+//! same decisions. Unknown keys are ignored, because a deployment may have settings that this program does not
+//! use. Missing keys keep the defaults of [`Settings::default`]. An invalid value of a known key is an error that
+//! names the key and the value.
 //!
-//! - `keys`: each key of the wire page, with our term for it; the names of values are in the tables below.
+//! - `keys`: the external names of all settings; the tables below contain the external names of values.
 //! - `key_values`: typed access to the lines.
-//! - `reconfigure`: what follows when the settings change while the process runs.
+//! - `reconfigure`: changes of the settings of a running process.
 
 mod key_values;
 mod keys;
@@ -18,38 +19,39 @@
 use crate::scheduling::{DeduplicationScope, Idempotency, LoadReportField, RequestClass, Settings, Tenant};
 
 pub use key_values::SettingsError;
-pub use reconfigure::Reconfigured;
+pub use reconfigure::ReconfiguredSettings;
 
 use key_values::KeyValues;
 
-/// How long a client waits where its class states no deadline, in seconds.
+/// Deadline of requests whose class specifies none, in seconds.
 const DEFAULT_DEADLINE_S: f64 = 60.0;
 
-/// What the deployment calls the effect of a repeated request.
+/// External names of the effects of a repeated request.
 const IDEMPOTENCY_VALUES: [(&str, Idempotency); 3] = [
     ("repeatable", Idempotency::Idempotent),
     ("by_key", Idempotency::WithKey),
     ("once", Idempotency::NonIdempotent),
 ];
 
-/// What the deployment calls the workers that drop each other's repeats.
+/// External names of the groups of workers that deduplicate each other's requests.
 const DEDUPLICATION_SCOPE_VALUES: [(&str, DeduplicationScope); 3] = [
     ("all", DeduplicationScope::All),
     ("zone", DeduplicationScope::Zone),
     ("cell", DeduplicationScope::Cell),
 ];
 
-/// What the deployment calls the values of a load report that the decisions use.
+/// External names of the load report values that are used in decisions.
 const LOAD_REPORT_MEANINGS: [(&str, LoadReportField); 3] = [
     ("free_slots", LoadReportField::FreeSlots),
     ("queue", LoadReportField::Queue),
     ("free_memory", LoadReportField::FreeMemory),
 ];
 
-/// Whether discovery must be polled, or sends changes by itself.
-const DISCOVERY_POLLED_VALUES: [(&str, bool); 2] = [("on_request", true), ("pushed", false)];
+/// External names of the discovery modes. The value is true if discovery must be polled and false if it sends
+/// changes on its own.
+const DISCOVERY_MODE_VALUES: [(&str, bool); 2] = [("on_request", true), ("pushed", false)];
 
-/// The value of [`keys::WEIGHTS`] that says that weights fall with what a worker holds.
+/// Value of [`keys::WEIGHTS`] for weights that decrease with the load of a worker.
 const WEIGHTS_SHOW_LOAD_VALUE: &str = "live";
 
 impl FromStr for Settings {
@@ -58,46 +60,46 @@
     fn from_str(text: &str) -> Result<Self, SettingsError> {
         let values = KeyValues::parse(text);
         let mut settings = Settings {
-            classes: read_classes(&values)?,
-            tenants: read_tenants(&values)?,
+            classes: parse_classes(&values)?,
+            tenants: parse_tenants(&values)?,
             load_report_names: values.list(keys::LOAD_REPORT_NAMES)?,
             ..Settings::default()
         };
         let names = settings.load_report_names.iter();
         settings.load_report_fields = names.map(|name| load_report_field(&values, name)).collect();
         let retry_after_allowed = values.get(keys::RETRY_AFTER_ALLOWED, false)?;
-        read_deployment(&values, &mut settings)?;
-        read_timing(&values, &mut settings)?;
-        read_permissions(&values, &mut settings)?;
+        parse_deployment(&values, &mut settings)?;
+        parse_timing(&values, &mut settings)?;
+        parse_permissions(&values, &mut settings)?;
         if retry_after_allowed {
             settings.max_retry_after_s = values.number(keys::MAX_RETRY_AFTER, 0.0)?;
         } else {
             settings.max_retry_after_s = 0.0;
         }
-        read_discovery(&values, &mut settings)?;
-        read_capacity_limits(&values, &mut settings)?;
+        parse_discovery(&values, &mut settings)?;
+        parse_capacity_limits(&values, &mut settings)?;
         Ok(settings)
     }
 }
 
-fn read_classes(values: &KeyValues) -> Result<Vec<RequestClass>, SettingsError> {
+fn parse_classes(values: &KeyValues) -> Result<Vec<RequestClass>, SettingsError> {
     let objectives_per_work: Vec<f64> = values.list(keys::CLASS_OBJECTIVE_PER_WORK)?;
     let required_kinds: Vec<i64> = values.list(keys::CLASS_REQUIRED_KIND)?;
     let mut classes = Vec::new();
     for index in 0..values.count(keys::CLASSES)? {
-        let mut class = read_class(values, index)?;
+        let mut class = parse_class(values, index)?;
         let objective_per_work = objectives_per_work.get(index).copied().unwrap_or(0.0);
         class.objective_per_work = objective_per_work.max(class.objective_per_work);
-        // A negative number stands for a class that any kind of worker may run.
+        // A negative number means that any kind of worker may run the class.
         class.required_kind = required_kinds.get(index).and_then(|&kind| usize::try_from(kind).ok());
         classes.push(class);
     }
     Ok(classes)
 }
 
-/// Reads what the deployment says of one class under the class itself.
-fn read_class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingsError> {
-    let key = |field: &str| keys::of_item(keys::CLASSES, index, field);
+/// Parses the settings below one class; those in a list with a value for each class are added by the caller.
+fn parse_class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingsError> {
+    let key = |field: &str| keys::item_key(keys::CLASSES, index, field);
     let objective_per_work = values.number(&key(keys::CLASS_OBJECTIVE_STRETCH), 0.0)?;
     let deadline_s = values.number(&key(keys::CLASS_DEADLINE), DEFAULT_DEADLINE_S)?;
     Ok(RequestClass {
@@ -122,17 +124,17 @@
     })
 }
 
-fn read_tenants(values: &KeyValues) -> Result<Vec<Tenant>, SettingsError> {
+fn parse_tenants(values: &KeyValues) -> Result<Vec<Tenant>, SettingsError> {
     let mut tenants = Vec::new();
     for index in 0..values.count(keys::TENANTS)? {
-        let key = |field: &str| keys::of_item(keys::TENANTS, index, field);
+        let key = |field: &str| keys::item_key(keys::TENANTS, index, field);
         let quota_per_s = values.number(&key(keys::TENANT_QUOTA), 0.0)?;
         tenants.push(Tenant { name: values.get(&key(keys::TENANT_NAME), String::new())?, quota_per_s });
     }
     Ok(tenants)
 }
 
-/// What a value of a load report means. Two names mean what the deployment says of them.
+/// Meaning of a load report value. The meaning of two of the names is itself a setting.
 fn load_report_field(values: &KeyValues, name: &str) -> LoadReportField {
     let meaning = match name {
         keys::REPORT_NAME_X0 => values.text(keys::REPORT_MEANING_X0),
@@ -143,8 +145,8 @@
     field.map_or(LoadReportField::Other, |(_, field)| *field)
 }
 
-/// Which scheduler this is, and of what.
-fn read_deployment(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+/// Parses the scheduler's position in the deployment, the interval of events and the zones and kinds.
+fn parse_deployment(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.scheduler_index = values.get(keys::SCHEDULER_INDEX, settings.scheduler_index)?;
     settings.scheduler_count = values.get(keys::SCHEDULER_COUNT, settings.scheduler_count)?.max(1);
     settings.zone = values.get(keys::ZONE, settings.zone)?;
@@ -155,8 +157,8 @@
     Ok(())
 }
 
-/// Time limits of connections and answers, and what workers report while a request runs.
-fn read_timing(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+/// Parses the timeouts of connections and answers and how workers report the progress of a request.
+fn parse_timing(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.connect_timeout_s = values.number(keys::CONNECT_TIMEOUT, settings.connect_timeout_s)?;
     settings.connection_idle_timeout_s =
         values.number(keys::CONNECTION_IDLE_TIMEOUT, settings.connection_idle_timeout_s)?;
@@ -166,8 +168,8 @@
     Ok(())
 }
 
-/// What the deployment allows, but for Retry-After.
-fn read_permissions(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+/// Parses what the scheduler is permitted to do, except for Retry-After.
+fn parse_permissions(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.max_attempts = values.get(keys::MAX_ATTEMPTS, settings.max_attempts)?;
     settings.hedging_allowed = values.get(keys::HEDGING_ALLOWED, settings.hedging_allowed)?;
     settings.cancellation_allowed = values.get(keys::CANCELLATION_ALLOWED, settings.cancellation_allowed)?;
@@ -177,18 +179,18 @@
     Ok(())
 }
 
-/// How the endpoint list arrives, and what its weights mean.
-fn read_discovery(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+/// Parses how the endpoint list is received and the meaning of its weights.
+fn parse_discovery(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.discovery_polled =
-        values.one_of(keys::DISCOVERY_MODE, &DISCOVERY_POLLED_VALUES, settings.discovery_polled)?;
+        values.one_of(keys::DISCOVERY_MODE, &DISCOVERY_MODE_VALUES, settings.discovery_polled)?;
     settings.weights_show_load = values.text(keys::WEIGHTS) == WEIGHTS_SHOW_LOAD_VALUE;
     settings.max_poll_interval_s = values.number(keys::MAX_POLL_INTERVAL, settings.max_poll_interval_s)?;
     settings.drain_grace_s = values.number(keys::DRAIN_GRACE, settings.drain_grace_s)?;
     Ok(())
 }
 
-/// What a worker that warms up can take.
-fn read_capacity_limits(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
+/// Parses the capacity limits of workers in slow start and the threshold of their overload collapse.
+fn parse_capacity_limits(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.slow_start_fraction = values.number(keys::SLOW_START_FRACTION, settings.slow_start_fraction)?;
     settings.slow_start_duration_s =
         values.number(keys::SLOW_START_DURATION, settings.slow_start_duration_s)?;
--- a/src/config/settings/key_values.rs
+++ b/src/config/settings/key_values.rs
@@ -1,17 +1,17 @@
-//! Lines of `path=value` by their keys, with typed access.
+//! Typed access to the values of `path=value` lines.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
 use super::keys;
 
-/// A known key whose value cannot be read.
+/// A known key has an invalid value.
 #[derive(Debug, thiserror::Error, PartialEq)]
 #[error("option {key}: cannot read value {value:?}")]
 pub struct SettingsError {
-    /// The key.
+    /// The key of the setting.
     pub key: String,
-    /// Its value.
+    /// The invalid value.
     pub value: String,
 }
 
@@ -21,30 +21,30 @@
     }
 }
 
-/// A list of more items than this is taken for a mistake, so that a wrong figure cannot use up the memory.
+/// Maximum length of a list of objects. A larger count is rejected, so that a wrong one cannot exhaust memory.
 const MAX_LIST_ITEMS: usize = 65_536;
 
-/// The values by key. Of a key that is there twice, the last one counts.
+/// Values by key. If a key occurs more than once, its last value applies.
 pub(super) struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
-    /// Lines without `=` are skipped.
+    /// Parses the lines and ignores those without `=`.
     pub(super) fn parse(text: &'a str) -> Self {
         KeyValues(text.lines().filter_map(|line| line.split_once('=')).collect())
     }
 
-    /// The value as it is written; empty where there is none.
+    /// The unparsed value, or an empty string if the key is missing.
     pub(super) fn text(&self, key: &str) -> &str {
         self.0.get(key).copied().unwrap_or_default()
     }
 
-    /// The value, or `default` where there is none.
+    /// The parsed value, or `default` if the key is missing.
     pub(super) fn get<T: FromStr>(&self, key: &str, default: T) -> Result<T, SettingsError> {
         let Some(value) = self.0.get(key) else { return Ok(default) };
-        value.parse().map_err(|_| SettingsError::new(key, value)) // the value itself says what is wrong
+        value.parse().map_err(|_| SettingsError::new(key, value)) // the value in the error suffices
     }
 
-    /// A figure that is finite and not negative.
+    /// Like [`KeyValues::get`] for a number, which must be finite and not negative.
     pub(super) fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         let value: f64 = self.get(key, default)?;
         if value.is_finite() && value >= 0.0 {
@@ -53,7 +53,7 @@
         Err(SettingsError::new(key, self.text(key)))
     }
 
-    /// The meaning of the value's name, which must be one of these.
+    /// The meaning of the value, which must be one of the names in `meanings`, or `default` if the key is missing.
     pub(super) fn one_of<T: Copy>(
         &self,
         key: &str,
@@ -65,9 +65,9 @@
         meaning.map(|(_, meaning)| *meaning).ok_or_else(|| SettingsError::new(key, value))
     }
 
-    /// How many items a list of objects has; none where it is not there.
+    /// Number of items of a list of objects; 0 if the list is missing.
     pub(super) fn count(&self, list: &str) -> Result<usize, SettingsError> {
-        let key = keys::of_count(list);
+        let key = keys::count_key(list);
         let count = self.get(&key, 0)?;
         if count > MAX_LIST_ITEMS {
             return Err(SettingsError::new(&key, &count.to_string()));
@@ -75,7 +75,7 @@
         Ok(count)
     }
 
-    /// The items of a list of plain values, which are joined with commas.
+    /// The items of a comma-separated list; empty if the key is missing.
     pub(super) fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>, SettingsError> {
         let value = self.text(key);
         let items = value.split(',').filter(|item| !item.is_empty());
--- a/src/config/settings/keys.rs
+++ b/src/config/settings/keys.rs
@@ -1,20 +1,21 @@
-//! The keys of the settings page, each under our term for it. No key is written anywhere else.
+//! External names of the settings. They are spelled out only here.
 
 pub(super) const SCHEDULER_INDEX: &str = "index";
 pub(super) const SCHEDULER_COUNT: &str = "balancers";
 pub(super) const ZONE: &str = "zone";
 pub(super) const EVENT_INTERVAL: &str = "tick_s";
 pub(super) const WEIGHT_OVER_QUOTA: &str = "over_share_worth";
-/// The names of the zones.
+/// List of the names of the zones.
 pub(super) const ZONES: &str = "areas";
-/// The names of the kinds of worker.
+/// List of the names of the worker kinds.
 pub(super) const WORKER_KINDS: &str = "kinds";
 
-/// The list of the request classes; the keys below it are fields of a class.
+/// List of the request classes. The following keys are fields of a class.
 pub(super) const CLASSES: &str = "grades";
 pub(super) const CLASS_NAME: &str = "name";
 pub(super) const CLASS_LATENCY_OBJECTIVE: &str = "slo_s";
-/// Extends the latency objective by this multiple of the request's work, as [`CLASS_OBJECTIVE_PER_WORK`] does.
+/// Extends the latency objective by this multiple of the request's work. The larger one of this and
+/// [`CLASS_OBJECTIVE_PER_WORK`] applies.
 pub(super) const CLASS_OBJECTIVE_STRETCH: &str = "aim_stretch";
 pub(super) const CLASS_DEADLINE: &str = "deadline_s";
 pub(super) const CLASS_PRIORITY_WEIGHT: &str = "worth";
@@ -22,21 +23,21 @@
 pub(super) const CLASS_IDEMPOTENCY: &str = "effect";
 pub(super) const CLASS_DEDUPLICATION_SCOPE: &str = "group";
 pub(super) const CLASS_DEDUPLICATION_WINDOW: &str = "window_s";
-/// One value for each class, in their order.
+/// List with one value for each class, in the order of [`CLASSES`].
 pub(super) const CLASS_OBJECTIVE_PER_WORK: &str = "specifics.class_stretch";
-/// One value for each class, in their order.
+/// List with one value for each class, in the order of [`CLASSES`].
 pub(super) const CLASS_REQUIRED_KIND: &str = "specifics.class_kind";
 
-/// The list of the tenants; the keys below it are fields of a tenant.
+/// List of the tenants. The following keys are fields of a tenant.
 pub(super) const TENANTS: &str = "parties";
 pub(super) const TENANT_NAME: &str = "name";
 pub(super) const TENANT_QUOTA: &str = "quota_per_s";
 
-/// The names of the values in a load report, in their order.
+/// List of the names of the values in a load report, in the order of the report.
 pub(super) const LOAD_REPORT_NAMES: &str = "report.fields";
-/// A value whose meaning is the text at [`REPORT_MEANING_X0`].
+/// Load report value whose meaning is the setting [`REPORT_MEANING_X0`].
 pub(super) const REPORT_NAME_X0: &str = "x0";
-/// A value whose meaning is the text at [`REPORT_MEANING_X1`].
+/// Load report value whose meaning is the setting [`REPORT_MEANING_X1`].
 pub(super) const REPORT_NAME_X1: &str = "x1";
 pub(super) const REPORT_MEANING_X0: &str = "specifics.report_x0";
 pub(super) const REPORT_MEANING_X1: &str = "specifics.report_x1";
@@ -53,11 +54,11 @@
 pub(super) const CAPACITY_PROBES_ALLOWED: &str = "allowed.probes";
 pub(super) const GOSSIP_ALLOWED: &str = "allowed.peer_messages";
 pub(super) const RETRY_AFTER_ALLOWED: &str = "allowed.retry_after";
-/// Counts only where [`RETRY_AFTER_ALLOWED`] is true.
+/// Ignored unless [`RETRY_AFTER_ALLOWED`] is true.
 pub(super) const MAX_RETRY_AFTER: &str = "allowed.max_retry_after_s";
 
 pub(super) const DISCOVERY_MODE: &str = "membership_mode";
-/// What the weights of the endpoint list mean.
+/// Meaning of the weights in the endpoint list.
 pub(super) const WEIGHTS: &str = "weights";
 pub(super) const MAX_POLL_INTERVAL: &str = "contract.ask_within_s";
 pub(super) const DRAIN_GRACE: &str = "contract.drain_grace_s";
@@ -67,12 +68,12 @@
 pub(super) const COLLAPSE_MULTIPLE: &str = "contract.fall_multiple";
 pub(super) const OVERLOAD_WINDOW: &str = "contract.overload_for_s";
 
-/// The key of the length of a list.
-pub(super) fn of_count(list: &str) -> String {
+/// Key of the length of a list.
+pub(super) fn count_key(list: &str) -> String {
     format!("{list}.count")
 }
 
-/// The key of a field of a list's item.
-pub(super) fn of_item(list: &str, index: usize, field: &str) -> String {
+/// Key of a field of a list item.
+pub(super) fn item_key(list: &str, index: usize, field: &str) -> String {
     format!("{list}.{index}.{field}")
 }
--- a/src/server/engine/endpoint_list.rs
+++ b/src/server/engine/endpoint_list.rs
@@ -65,7 +65,7 @@
             .workers
             .entry(id)
             .or_insert_with(|| Rc::new(WorkerEndpoint::new(entry.name, address, Rc::clone(&self.connector))));
-        worker.update(address, active, entry.started_s);
+        worker.update(address, active, entry.started_at_s);
     }
 
     /// Takes over what another process has learned of the workers, which have other numbers there.
@@ -109,7 +109,7 @@
         zone: index(&settings.zones, &entry.zone).map_or(u16::MAX, |zone| zone as u16),
         cell: entry.cell,
         kind: index(&settings.worker_kinds, &entry.kind).unwrap_or(settings.worker_kinds.len()),
-        started_at_s: entry.started_s,
+        started_at_s: entry.started_at_s,
         weight: entry.weight,
     }
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -12,7 +12,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::config::settings::Reconfigured;
+use crate::config::settings::ReconfiguredSettings;
 use crate::config::{Config, ConfigError, GossipAddresses};
 use crate::scheduling::Settings;
 use crate::server::descriptor_budget::DescriptorBudgets;
@@ -99,7 +99,7 @@
     fn apply(&mut self, files: Files) {
         let Files { config, site_links } = files;
         let fixed_keys = self.fixed_keys(&config);
-        let Reconfigured { settings, lists_with_kept_names: mut unchanged } =
+        let ReconfiguredSettings { settings, lists_with_retained_names: mut unchanged } =
             self.settings.reconfigured(config.settings);
         unchanged.extend(fixed_keys);
         unchanged.extend(self.configure_site_links(site_links));
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -128,7 +128,7 @@
             tokio::select! {
                 Ok(()) = self.outgoing.changed() => {
                     let message = self.outgoing.borrow_and_update().clone();
-                    self.send(socket, addresses.all, &message).await;
+                    self.send(socket, addresses.broadcast, &message).await;
                 }
                 received = socket.recv_from(&mut buffer) => match received {
                     Err(error) => return error,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! What the platform hands over at start, as JSON.
+//! Parsing of the platform file and of the endpoint list in it.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use chutesaddle::scheduling::*;
 use common::*;
 
-const TEXT: &str = r#"{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
+const PLATFORM_FILE: &str = r#"{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
     "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":512},
     "known":{"version":41,"full":true,"servers":[
         {"id":"s-1","addr":"127.0.0.1:1","zone":"b","kind":"m2","cell":3,"state":"active","started_ms":1500},
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn nested_settings_reach_the_one_settings_type() {
-    let config = read(TEXT).unwrap();
+fn parses_nested_settings() {
+    let config = read(PLATFORM_FILE).unwrap();
     let settings = &config.settings;
     assert_eq!((config.seed, config.descriptor_limit), (0x8c1f_30d2_7a5b_e964, 512));
     assert_eq!(
@@ -46,16 +46,16 @@
     );
     assert_eq!(settings.load_report_fields, [LoadReportField::Other, LoadReportField::FreeSlots]);
     assert_eq!((settings.zones.len(), settings.worker_kinds[1].as_str()), (2, "m2"));
-    assert!(settings.capacity_probes_allowed, "both programs go by the same settings");
+    assert!(settings.capacity_probes_allowed, "capacity probes are permitted in the JSON settings");
 }
 
-/// simd-json's `get_array` would cut the last entry short by a node, and panic.
+/// The slice that simd-json 0.15's `get_array` returns is one node short, so that reading the last entry panics.
 #[test]
-fn the_known_endpoint_list_is_read_to_its_last_entry() {
-    let known = read(TEXT).unwrap().known_endpoints;
+fn parses_the_last_entry_of_the_known_endpoint_list() {
+    let known = read(PLATFORM_FILE).unwrap().known_endpoints;
     assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (41, true, 1));
     let entries: Vec<_> =
-        known.entries.iter().map(|entry| (entry.name.as_str(), entry.state, entry.started_s)).collect();
+        known.entries.iter().map(|entry| (entry.name.as_str(), entry.state, entry.started_at_s)).collect();
     assert_eq!(entries, [("s-1", EndpointState::Active, 1.5), ("s-3", EndpointState::Draining, 0.0)]);
 }
 
@@ -63,93 +63,106 @@
     "peers_all":"127.0.0.4:1","seed""#;
 
 #[test]
-fn gossip_needs_permission_and_addresses() {
-    let with_addresses = TEXT.replace("\"seed\"", GOSSIP_ADDRESSES);
+fn gossip_requires_permission_and_addresses() {
+    let with_addresses = PLATFORM_FILE.replace("\"seed\"", GOSSIP_ADDRESSES);
     let allowed = |text: &str| text.replace("\"probes\":true", "\"probes\":true,\"peer_messages\":true");
-    for (text, both) in
-        [(TEXT, false), (&with_addresses, false), (&allowed(TEXT), false), (&allowed(&with_addresses), true)]
-    {
+    for (text, enabled) in [
+        (PLATFORM_FILE, false),
+        (&with_addresses, false),
+        (&allowed(PLATFORM_FILE), false),
+        (&allowed(&with_addresses), true),
+    ] {
         let config = read(text).unwrap();
-        assert_eq!((config.settings.gossip_allowed, config.gossip.is_some()), (both, both));
+        assert_eq!((config.settings.gossip_allowed, config.gossip.is_some()), (enabled, enabled));
     }
     let gossip = read(&allowed(&with_addresses)).unwrap().gossip.unwrap();
-    assert_eq!((gossip.peers.len(), gossip.all.port(), gossip.listen.port()), (2, 1, 7946));
-    for (from, to, named) in [
+    assert_eq!((gossip.peers.len(), gossip.broadcast.port(), gossip.listen.port()), (2, 1, 7946));
+    for (from, to, field) in [
         ("127.0.0.3:1", "nowhere", "peers"),
         ("peers_all", "others", "peers_all"),
         ("7946", "", "peer_listen"),
     ] {
         let error = read(&allowed(&with_addresses).replace(from, to)).unwrap_err();
-        assert!(error.contains(named), "{error}");
+        assert!(error.contains(field), "{error}");
     }
 }
 
 #[test]
-fn an_unusable_field_is_named() {
-    for (from, to, named) in [
+fn parse_errors_name_the_invalid_field() {
+    for (from, to, field) in [
         ("\"n3\"", "3", "name"),
         ("127.0.0.1:7070", "here", "listen"),
         ("8c1f30d27a5be964", "seed", "seed"),
         ("\"balancers\":3", "\"balancers\":\"x\"", "balancers"),
         ("\"settings\"", "\"other\"", "settings"),
     ] {
-        let error = read(&TEXT.replace(from, to)).unwrap_err();
-        assert!(error.contains(named), "{error}");
+        let error = read(&PLATFORM_FILE.replace(from, to)).unwrap_err();
+        assert!(error.contains(field), "{error}");
     }
     assert!(read("{").unwrap_err().contains("not JSON"));
 }
 
-const LINES: &str = "balancers=3\nindex=2\ntick_s=0.005\nareas=a,b\nkinds=m1,m2\ngrades.count=1\n\
+const SETTINGS_LINES: &str = "balancers=3\nindex=2\ntick_s=0.005\nareas=a,b\nkinds=m1,m2\ngrades.count=1\n\
     grades.0.name=draw_map\ngrades.0.effect=by_key\ngrades.0.group=all\ngrades.0.slo_s=0.25\n\
     grades.0.deadline_s=7.5\nparties.count=1\nparties.0.name=acme\nparties.0.quota_per_s=4.5\n\
     allowed.probes=true\nallowed.may_cancel=true\nallowed.connect_timeout_s=0.3\nallowed.conn_idle_s=50\n\
     contract.answer_slack_s=0.04\nreport.how=answers\nreport.fields=eps,x0\nspecifics.report_x0=free_slots\n\
     specifics.class_stretch=2.5,2\nspecifics.class_kind=-1,-1\n";
 
-/// The simulator's program receives the settings as lines, the server as JSON.
+/// The simulator receives the settings as lines, the server as JSON. If the two formats were parsed
+/// differently, simulated decisions would differ from those of the server.
 #[test]
-fn both_programs_act_alike_on_the_same_events() {
+fn json_and_line_settings_lead_to_the_same_decisions() {
     for (schedulers, reports, probes) in [1, 4, 5, 6, 20, 100]
         .into_iter()
         .flat_map(|n| [(n, true, true), (n, true, false), (n, false, true), (n, false, false)])
     {
-        let (mut text, mut lines) = (TEXT.to_owned(), LINES.to_owned());
-        let mut both = |json: &str, new_json: &str, line: &str, new_line: &str| {
+        let (mut text, mut lines) = (PLATFORM_FILE.to_owned(), SETTINGS_LINES.to_owned());
+        let mut replace_in_both = |json: &str, new_json: &str, line: &str, new_line: &str| {
             assert!(text.contains(json) && lines.contains(line));
             (text, lines) = (text.replace(json, new_json), lines.replace(line, new_line));
         };
-        let balancers = |by: &str| format!("balancers{by}{schedulers}");
-        both("balancers\":3", &balancers("\":"), "balancers=3", &balancers("="));
-        both("\"probes\":true", &format!("\"probes\":{probes}"), "probes=true", &format!("probes={probes}"));
+        let balancers = |separator: &str| format!("balancers{separator}{schedulers}");
+        replace_in_both("balancers\":3", &balancers("\":"), "balancers=3", &balancers("="));
+        replace_in_both(
+            "\"probes\":true",
+            &format!("\"probes\":{probes}"),
+            "probes=true",
+            &format!("probes={probes}"),
+        );
         if !reports {
-            both("[\"eps\",\"x0\"]", "[]", "fields=eps,x0", "fields=");
+            replace_in_both("[\"eps\",\"x0\"]", "[]", "fields=eps,x0", "fields=");
         }
-        let (ours, theirs) = (read(&text).unwrap().settings, lines.parse::<Settings>().unwrap());
-        assert_eq!(ours, theirs, "{schedulers} schedulers, reports {reports}, probes {probes}");
-        let mut programs =
-            [ours, theirs].map(|settings| TestScheduler::new(settings, (1..=12).map(worker).collect()));
-        let answer = Some(LoadReport { free_slots: Some(2.0), ..LoadReport::default() });
-        programs.iter_mut().for_each(|program| program.probe_reply = answer); // to those that ask before they send
+        let (json_settings, line_settings) =
+            (read(&text).unwrap().settings, lines.parse::<Settings>().unwrap());
+        assert_eq!(
+            json_settings, line_settings,
+            "{schedulers} schedulers, reports {reports}, probes {probes}"
+        );
+        let mut pair = [json_settings, line_settings]
+            .map(|settings| TestScheduler::new(settings, (1..=12).map(worker).collect()));
+        let probe_reply = Some(LoadReport { free_slots: Some(2.0), ..LoadReport::default() });
+        pair.iter_mut().for_each(|scheduler| scheduler.probe_reply = probe_reply);
         let mut sent = 0;
         for id in 0..30 {
-            let acted = programs.each_mut().map(|program| {
-                let mut actions = program.send(Event::RequestReceived(request(id, 0, program.now)));
-                actions.extend(program.run(0.07));
-                let ended =
+            let actions = pair.each_mut().map(|scheduler| {
+                let mut actions = scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
+                actions.extend(scheduler.run(0.07));
+                let outcome =
                     if id % 3 == 0 { AttemptOutcome::RejectedByWorker } else { AttemptOutcome::Succeeded };
-                actions.extend(program.end_attempt(id, 0, ended));
+                actions.extend(scheduler.end_attempt(id, 0, outcome));
                 actions
             });
-            assert_eq!(acted[0], acted[1]);
-            sent += dispatched(&acted[0]).len();
+            assert_eq!(actions[0], actions[1]);
+            sent += dispatched(&actions[0]).len();
         }
         assert!(sent > 0, "{schedulers} schedulers sent nothing");
     }
 }
 
 #[test]
-fn each_field_of_the_platforms_file_lands_in_the_field_it_should() {
-    let text = TEXT
+fn maps_each_field_of_the_platform_file() {
+    let text = PLATFORM_FILE
         .replace("\"seed\"", GOSSIP_ADDRESSES)
         .replace("\"listen\"", "\"ops\":\"127.0.0.1:7071\",\"listen\"");
     let text = text.replace("\"probes\":true", "\"peer_messages\":true");
@@ -163,45 +176,45 @@
     let gossip = config.gossip.unwrap();
     assert_eq!(gossip.listen, "127.0.0.1:7946".parse().unwrap());
     assert_eq!(gossip.peers, ["127.0.0.2:1".parse().unwrap(), "127.0.0.3:1".parse().unwrap()]);
-    assert_eq!(gossip.all, "127.0.0.4:1".parse().unwrap());
+    assert_eq!(gossip.broadcast, "127.0.0.4:1".parse().unwrap());
     assert_eq!((config.settings.scheduler_count, config.known_endpoints.version), (3, 41));
     let without_limit = read(&text.replace("\"sockets\"", "\"others\"")).unwrap();
-    assert_eq!((without_limit.descriptor_limit, read(TEXT).unwrap().operator_listen), (1024, None));
+    assert_eq!((without_limit.descriptor_limit, read(PLATFORM_FILE).unwrap().operator_listen), (1024, None));
 }
 
 #[test]
-fn each_field_of_the_endpoint_list_lands_in_the_field_it_should() {
+fn maps_each_field_of_the_endpoint_list() {
     let entries = r#"{"id":"s-1","addr":"10.1.0.18:7070","zone":"a","kind":"m2","cell":3,"state":"active",
         "weight":1.5,"started_ms":2500},{"id":"s-2","state":"left"},{"id":"s-3","addr":"10.1.0.19:7070",
         "state":"leaving"},{"id":"s-4","addr":"10.1.0.20:7070","state":"elsewhere"},{"id":"s-5","state":"active"}"#;
     let known = format!(r#""known":{{"version":43,"full":false,"servers":[{entries}]}},"unused":{{"#);
-    let known = read(&TEXT.replace("\"known\":{", &known)).unwrap().known_endpoints;
-    let first = EndpointEntry {
+    let known = read(&PLATFORM_FILE.replace("\"known\":{", &known)).unwrap().known_endpoints;
+    let active = EndpointEntry {
         name: "s-1".into(),
         address: Some("10.1.0.18:7070".parse().unwrap()),
         zone: "a".into(),
         kind: "m2".into(),
         cell: 3,
         state: EndpointState::Active,
-        started_s: 2.5,
+        started_at_s: 2.5,
         weight: 1.5,
     };
-    let bare = EndpointEntry {
+    let removed = EndpointEntry {
         name: "s-2".into(),
         address: None,
         zone: String::new(),
         kind: String::new(),
         cell: 0,
         state: EndpointState::Removed,
-        started_s: 0.0,
+        started_at_s: 0.0,
         weight: 0.0,
     };
     let draining = EndpointEntry {
         name: "s-3".into(),
         address: Some("10.1.0.19:7070".parse().unwrap()),
         state: EndpointState::Draining,
-        ..bare.clone()
+        ..removed.clone()
     };
     assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (43, false, 2));
-    assert_eq!(known.entries, [first, bare, draining]);
+    assert_eq!(known.entries, [active, removed, draining]);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Lines of `path=value` to settings.
+//! Parsing of settings from `path=value` lines.
 
 use chutesaddle::scheduling::*;
 
 #[test]
-fn reads_the_settings_of_a_deployment() {
+fn parses_the_settings_of_a_deployment() {
     let text = "balancers=3\nindex=2\nzone=1\ntick_s=0.004\ngrades.count=2\ngrades.0.effect=repeatable\n\
         grades.0.slo_s=0.2\ngrades.0.deadline_s=5.0\ngrades.1.effect=by_key\ngrades.1.group=cell\n\
         grades.1.window_s=30.0\nspecifics.class_stretch=2.5,1.5\nspecifics.class_kind=-1,1\n\
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn missing_keys_get_the_safe_defaults() {
+fn missing_keys_get_safe_defaults() {
     let settings: Settings = "grades.count=1".parse().unwrap();
     assert_eq!(settings.classes[0].idempotency, Idempotency::NonIdempotent);
     assert_eq!(Settings { classes: Vec::new(), ..settings }, Settings::default());
 }
 
 #[test]
-fn an_unreadable_value_names_key_and_value() {
+fn errors_name_the_key_and_the_invalid_value() {
     for (key, value) in [
         ("balancers", "many"),
         ("tick_s", "NaN"),
@@ -67,48 +67,48 @@
     }
 }
 
-/// A key of the settings page, a value for it, and the field that it sets.
-struct Key {
+/// A line with a setting, and the field that it sets.
+struct LineCase {
     line: &'static str,
     set: fn(&mut Settings),
 }
 
-fn key(line: &'static str, set: fn(&mut Settings)) -> Key {
-    Key { line, set }
+fn case(line: &'static str, set: fn(&mut Settings)) -> LineCase {
+    LineCase { line, set }
 }
 
 #[test]
-fn each_key_of_the_settings_page_lands_in_the_field_it_should() {
-    for Key { line, set } in [
-        key("index=2", |s| s.scheduler_index = 2),
-        key("balancers=3", |s| s.scheduler_count = 3),
-        key("zone=1", |s| s.zone = 1),
-        key("tick_s=0.004", |s| s.event_interval_s = 0.004),
-        key("over_share_worth=0.05", |s| s.weight_over_quota = 0.05),
-        key("areas=a,b", |s| s.zones = vec!["a".into(), "b".into()]),
-        key("kinds=m1,m2", |s| s.worker_kinds = vec!["m1".into(), "m2".into()]),
-        key("allowed.connect_timeout_s=0.3", |s| s.connect_timeout_s = 0.3),
-        key("allowed.conn_idle_s=50", |s| s.connection_idle_timeout_s = 50.0),
-        key("contract.answer_slack_s=0.04", |s| s.answer_slack_s = 0.04),
-        key("specifics.tells_start=true", |s| s.starts_reported = true),
-        key("specifics.progress_s=1.5", |s| s.progress_interval_s = 1.5),
-        key("allowed.send_cap=4", |s| s.max_attempts = 4),
-        key("allowed.second_copies=true", |s| s.hedging_allowed = true),
-        key("allowed.may_cancel=true", |s| s.cancellation_allowed = true),
-        key("allowed.probes=true", |s| s.capacity_probes_allowed = true),
-        key("allowed.peer_messages=true", |s| s.gossip_allowed = true),
-        key("allowed.retry_after=true\nallowed.max_retry_after_s=2", |s| s.max_retry_after_s = 2.0),
-        key("allowed.retry_after=false\nallowed.max_retry_after_s=2", |s| s.max_retry_after_s = 0.0),
-        key("membership_mode=on_request", |s| s.discovery_polled = true),
-        key("membership_mode=pushed", |s| s.discovery_polled = false),
-        key("weights=live", |s| s.weights_show_load = true),
-        key("weights=nominal", |s| s.weights_show_load = false),
-        key("contract.ask_within_s=7", |s| s.max_poll_interval_s = 7.0),
-        key("contract.drain_grace_s=0.5", |s| s.drain_grace_s = 0.5),
-        key("contract.cold_share=0.13", |s| s.slow_start_fraction = 0.13),
-        key("contract.warm_within_s=24", |s| s.slow_start_duration_s = 24.0),
-        key("contract.fall_multiple=3", |s| s.collapse_multiple = 3.0),
-        key("contract.overload_for_s=2.5", |s| s.overload_window_s = 2.5),
+fn maps_each_key_to_its_field() {
+    for LineCase { line, set } in [
+        case("index=2", |s| s.scheduler_index = 2),
+        case("balancers=3", |s| s.scheduler_count = 3),
+        case("zone=1", |s| s.zone = 1),
+        case("tick_s=0.004", |s| s.event_interval_s = 0.004),
+        case("over_share_worth=0.05", |s| s.weight_over_quota = 0.05),
+        case("areas=a,b", |s| s.zones = vec!["a".into(), "b".into()]),
+        case("kinds=m1,m2", |s| s.worker_kinds = vec!["m1".into(), "m2".into()]),
+        case("allowed.connect_timeout_s=0.3", |s| s.connect_timeout_s = 0.3),
+        case("allowed.conn_idle_s=50", |s| s.connection_idle_timeout_s = 50.0),
+        case("contract.answer_slack_s=0.04", |s| s.answer_slack_s = 0.04),
+        case("specifics.tells_start=true", |s| s.starts_reported = true),
+        case("specifics.progress_s=1.5", |s| s.progress_interval_s = 1.5),
+        case("allowed.send_cap=4", |s| s.max_attempts = 4),
+        case("allowed.second_copies=true", |s| s.hedging_allowed = true),
+        case("allowed.may_cancel=true", |s| s.cancellation_allowed = true),
+        case("allowed.probes=true", |s| s.capacity_probes_allowed = true),
+        case("allowed.peer_messages=true", |s| s.gossip_allowed = true),
+        case("allowed.retry_after=true\nallowed.max_retry_after_s=2", |s| s.max_retry_after_s = 2.0),
+        case("allowed.retry_after=false\nallowed.max_retry_after_s=2", |s| s.max_retry_after_s = 0.0),
+        case("membership_mode=on_request", |s| s.discovery_polled = true),
+        case("membership_mode=pushed", |s| s.discovery_polled = false),
+        case("weights=live", |s| s.weights_show_load = true),
+        case("weights=nominal", |s| s.weights_show_load = false),
+        case("contract.ask_within_s=7", |s| s.max_poll_interval_s = 7.0),
+        case("contract.drain_grace_s=0.5", |s| s.drain_grace_s = 0.5),
+        case("contract.cold_share=0.13", |s| s.slow_start_fraction = 0.13),
+        case("contract.warm_within_s=24", |s| s.slow_start_duration_s = 24.0),
+        case("contract.fall_multiple=3", |s| s.collapse_multiple = 3.0),
+        case("contract.overload_for_s=2.5", |s| s.overload_window_s = 2.5),
     ] {
         let mut expected = Settings::default();
         set(&mut expected);
@@ -117,26 +117,26 @@
 }
 
 #[test]
-fn each_key_of_a_class_lands_in_the_field_it_should() {
-    for Key { line, set } in [
-        key("grades.0.name=draw_map", |s| s.classes[0].name = "draw_map".into()),
-        key("grades.0.slo_s=0.25", |s| s.classes[0].latency_objective_s = 0.25),
-        key("grades.0.aim_stretch=1.5", |s| s.classes[0].objective_per_work = 1.5),
-        key("specifics.class_stretch=2.5", |s| s.classes[0].objective_per_work = 2.5),
-        key("grades.0.deadline_s=7.5", |s| {
+fn maps_each_key_of_a_class_to_its_field() {
+    for LineCase { line, set } in [
+        case("grades.0.name=draw_map", |s| s.classes[0].name = "draw_map".into()),
+        case("grades.0.slo_s=0.25", |s| s.classes[0].latency_objective_s = 0.25),
+        case("grades.0.aim_stretch=1.5", |s| s.classes[0].objective_per_work = 1.5),
+        case("specifics.class_stretch=2.5", |s| s.classes[0].objective_per_work = 2.5),
+        case("grades.0.deadline_s=7.5", |s| {
             (s.classes[0].deadline_s, s.classes[0].latency_objective_s) = (7.5, 7.5)
         }),
-        key("grades.0.worth=2", |s| s.classes[0].priority_weight = 2.0),
-        key("grades.0.late_worth=0.2", |s| s.classes[0].weight_after_objective = 0.2),
-        key("grades.0.effect=repeatable", |s| s.classes[0].idempotency = Idempotency::Idempotent),
-        key("grades.0.effect=by_key", |s| s.classes[0].idempotency = Idempotency::WithKey),
-        key("grades.0.effect=once", |s| s.classes[0].idempotency = Idempotency::NonIdempotent),
-        key("grades.0.group=all", |s| s.classes[0].deduplication_scope = DeduplicationScope::All),
-        key("grades.0.group=zone", |s| s.classes[0].deduplication_scope = DeduplicationScope::Zone),
-        key("grades.0.group=cell", |s| s.classes[0].deduplication_scope = DeduplicationScope::Cell),
-        key("grades.0.window_s=30", |s| s.classes[0].deduplication_window_s = 30.0),
-        key("specifics.class_kind=1", |s| s.classes[0].required_kind = Some(1)),
-        key("specifics.class_kind=-1", |s| s.classes[0].required_kind = None),
+        case("grades.0.worth=2", |s| s.classes[0].priority_weight = 2.0),
+        case("grades.0.late_worth=0.2", |s| s.classes[0].weight_after_objective = 0.2),
+        case("grades.0.effect=repeatable", |s| s.classes[0].idempotency = Idempotency::Idempotent),
+        case("grades.0.effect=by_key", |s| s.classes[0].idempotency = Idempotency::WithKey),
+        case("grades.0.effect=once", |s| s.classes[0].idempotency = Idempotency::NonIdempotent),
+        case("grades.0.group=all", |s| s.classes[0].deduplication_scope = DeduplicationScope::All),
+        case("grades.0.group=zone", |s| s.classes[0].deduplication_scope = DeduplicationScope::Zone),
+        case("grades.0.group=cell", |s| s.classes[0].deduplication_scope = DeduplicationScope::Cell),
+        case("grades.0.window_s=30", |s| s.classes[0].deduplication_window_s = 30.0),
+        case("specifics.class_kind=1", |s| s.classes[0].required_kind = Some(1)),
+        case("specifics.class_kind=-1", |s| s.classes[0].required_kind = None),
     ] {
         let mut expected: Settings = "grades.count=1".parse().unwrap();
         set(&mut expected);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn each_key_of_a_tenant_lands_in_the_field_it_should() {
+fn maps_each_key_of_a_tenant_to_its_field() {
     let settings: Settings =
         "parties.count=2\nparties.1.name=acme\nparties.1.quota_per_s=4.5".parse().unwrap();
     let unnamed = Tenant { name: String::new(), quota_per_s: 0.0 };
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn each_name_of_a_report_value_has_its_meaning() {
+fn maps_each_load_report_name_to_its_meaning() {
     for (name, field) in [
         ("queue", LoadReportField::Queue),
         ("free_slots", LoadReportField::FreeSlots),
