--- a/src/bin/chutesaddle-simulator.rs
+++ b/src/bin/chutesaddle-simulator.rs
@@ -1,5 +1,5 @@
-//! The program `chutesaddle-simulator`: many independent dispatchers, driven over standard input and output.
-//! The wire is in [`chutesaddle::simulator`].
+//! The `chutesaddle-simulator` binary: runs many independent dispatchers, controlled over standard input and
+//! output. The protocol is described in [`chutesaddle::simulator`].
 
 use std::io;
 use std::process::ExitCode;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,6 +1,7 @@
-//! `chutesaddle check`: reads configuration files as the scheduler would, and reports each mistake.
+//! `chutesaddle check`: parses configuration files like the scheduler does and reports all errors.
 //!
-//! The rules are in [`chutesaddle::config`] for the platform's files and in the crate `operator-config` for the operator's.
+//! The rules for platform files are in [`chutesaddle::config`], those for operator files in the crate
+//! `operator-config`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,18 +9,18 @@
 use chutesaddle::config::{Config, ConfigError};
 use chutesaddle_operator_config::ConfigErrors;
 
-/// What is wrong with a file.
+/// Why a file fails the check.
 #[derive(Debug, thiserror::Error)]
 enum CheckError {
     #[error("{0}: {1}")]
     Config(PathBuf, #[source] ConfigError),
     #[error("{0}: {1}")]
     Unreadable(PathBuf, #[source] std::io::Error),
-    #[error("{count} mistakes\n{0}\n{drawn}", count = .0.count(), drawn = .0.render())]
+    #[error("found {count} error(s)\n{0}\n{rendered}", count = .0.count(), rendered = .0.render())]
     Operator(#[from] ConfigErrors),
 }
 
-/// Checks each file. All are read, whatever is wrong with the ones before.
+/// Checks each file, even after an error in a previous one.
 pub(super) fn run(files: &[PathBuf]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for file in files {
@@ -34,7 +35,7 @@
     code
 }
 
-/// Checks a file, and returns a summary of what it says.
+/// Checks a file and returns a summary of its contents.
 fn check(file: &Path) -> Result<String, CheckError> {
     let is_platform_file = file.extension().is_some_and(|extension| extension == "json");
     if is_platform_file {
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,7 +1,7 @@
-//! `chutesaddle demo`: one site on loopback, for a first look.
+//! `chutesaddle demo`: runs one site on loopback to demonstrate the scheduler.
 //!
-//! The scheduler runs as a process of its own, as in service; workers, discovery and clients are the test doubles of the
-//! crate `chutesaddle-test-doubles`, in this process.
+//! The scheduler is a separate process, as in production. Workers, discovery and clients are test doubles from the
+//! crate `chutesaddle-test-doubles` and run in this process.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -15,31 +15,31 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// Requests of both classes in all.
-const REQUESTS: usize = 60;
-/// Time from one request to the next.
+/// Total number of requests, of both classes.
+const REQUEST_COUNT: usize = 60;
+/// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(80);
 const TENANTS: [&str; 2] = ["barfani-heights", "chinar-slopes"];
 
-/// What the requests of a class are like.
+/// Properties of the requests of a class.
 struct DemoClass {
     name: &'static str,
     work: Duration,
-    /// How long a client waits.
+    /// Time that a client waits for an answer.
     client_timeout: Duration,
-    /// Whether requests carry an idempotency key.
+    /// Whether requests have an idempotency key.
     keyed: bool,
 }
 
-/// Two requests in three.
-const DRAW: DemoClass = DemoClass {
+/// Class of two out of three requests.
+const DRAW_MAP: DemoClass = DemoClass {
     name: "draw-map",
     work: Duration::from_millis(300),
     client_timeout: Duration::from_millis(7500),
     keyed: false,
 };
-/// Every third request.
-const PUBLISH: DemoClass = DemoClass {
+/// Class of every third request.
+const PUBLISH_MAP: DemoClass = DemoClass {
     name: "publish-map",
     work: Duration::from_millis(1200),
     client_timeout: Duration::from_secs(25),
@@ -50,7 +50,7 @@
 pub(super) fn run() -> ExitCode {
     let directory = std::env::temp_dir().join(format!("chutesaddle-demo-{}", std::process::id()));
     let result = run_in(&directory);
-    // What is left there does no harm.
+    // Leftover files do no harm.
     let _ = std::fs::remove_dir_all(&directory);
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -68,50 +68,50 @@
 }
 
 async fn serve_requests(directory: &Path) -> io::Result<()> {
-    eprintln!("one site on loopback: four workers of three kinds, a discovery, and the scheduler");
+    eprintln!("one site on loopback: four workers of three kinds, a discovery service and the scheduler");
     let journal = Journal::default();
     let site = TestSite::start(&std::env::current_exe()?, directory, 0, None, &journal).await?;
     let slots: usize = site::WORKERS.iter().map(|worker| worker.slots).sum();
     eprintln!(
-        "{REQUESTS} requests of two classes for {slots} slots; the operator interface is at {}",
+        "{REQUEST_COUNT} requests of two classes for {slots} slots; operator interface on {}",
         site.operator_address
     );
-    let began = Instant::now();
+    let started_at = Instant::now();
     let answers = send_requests(&site).await;
     print_table(answers).await?;
     let metrics = client::operator_command(site.operator_address, "METRICS").await?;
     let attempts: Vec<&str> = metrics.lines().filter(|line| line.starts_with("svc.tries")).collect();
-    let (runs, seconds) = (journal.runs().len(), began.elapsed().as_secs_f64());
+    let (runs, seconds) = (journal.runs().len(), started_at.elapsed().as_secs_f64());
     println!("{runs} runs on the workers in {seconds:.1} s; {}", attempts.join(", "));
     Ok(())
 }
 
-/// What a client was answered.
+/// Outcome of a client's request.
 struct ClientAnswer {
     class: &'static str,
     answer: ClientResult,
 }
 
-/// Sends all requests and waits until each has its answer.
+/// Sends all requests and waits until each one is answered.
 async fn send_requests(site: &TestSite) -> Vec<JoinHandle<ClientAnswer>> {
     let answered = Rc::new(Cell::new(0));
     let mut clients = Vec::new();
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         let request = demo_request(number);
-        let (client, counted) = (Rc::clone(&site.client), Rc::clone(&answered));
+        let (client, answer_count) = (Rc::clone(&site.client), Rc::clone(&answered));
         clients.push(spawn_local(async move {
             let answer = client.submit(&request).await;
-            counted.set(counted.get() + 1);
+            answer_count.set(answer_count.get() + 1);
             ClientAnswer { class: request.class, answer }
         }));
         show_progress(number + 1, answered.get());
         sleep(REQUEST_INTERVAL).await;
     }
     while clients.iter().any(|client| !client.is_finished()) {
-        show_progress(REQUESTS, answered.get());
+        show_progress(REQUEST_COUNT, answered.get());
         sleep(REQUEST_INTERVAL).await;
     }
-    show_progress(REQUESTS, answered.get());
+    show_progress(REQUEST_COUNT, answered.get());
     if io::stderr().is_terminal() {
         eprintln!();
     }
@@ -119,7 +119,7 @@
 }
 
 fn demo_request(number: usize) -> ClientRequest {
-    let class = if number % 3 == 2 { PUBLISH } else { DRAW };
+    let class = if number % 3 == 2 { PUBLISH_MAP } else { DRAW_MAP };
     ClientRequest {
         id: format!("demo-{number}"),
         class: class.name,
@@ -131,23 +131,23 @@
     }
 }
 
-/// The answers to the requests of a class.
+/// Totals over the answers to the requests of a class.
 #[derive(Default)]
-struct Row {
+struct ClassTotals {
     served: usize,
     rejected: usize,
     failed: usize,
     total_latency: Duration,
-    longest_latency: Duration,
+    max_latency: Duration,
 }
 
-impl Row {
-    fn count(&mut self, answer: ClientResult) {
+impl ClassTotals {
+    fn add(&mut self, answer: ClientResult) {
         match answer {
             ClientResult::Served(latency) => {
                 self.served += 1;
                 self.total_latency += latency;
-                self.longest_latency = self.longest_latency.max(latency);
+                self.max_latency = self.max_latency.max(latency);
             }
             ClientResult::Rejected => self.rejected += 1,
             ClientResult::Failed | ClientResult::NoAnswer => self.failed += 1,
@@ -156,19 +156,19 @@
 }
 
 async fn print_table(clients: Vec<JoinHandle<ClientAnswer>>) -> io::Result<()> {
-    let mut rows: BTreeMap<&str, Row> = BTreeMap::new();
+    let mut totals_by_class: BTreeMap<&str, ClassTotals> = BTreeMap::new();
     for client in clients {
         let ClientAnswer { class, answer } = client.await.map_err(io::Error::other)?;
-        rows.entry(class).or_default().count(answer);
+        totals_by_class.entry(class).or_default().add(answer);
     }
     println!(
         "{:<14}{:>8}{:>10}{:>8}{:>10}{:>13}",
         "class", "served", "rejected", "failed", "mean ms", "longest ms"
     );
-    for (class, row) in &rows {
-        let Row { served, rejected, failed, .. } = row;
-        let mean = row.total_latency.as_millis() / row.served.max(1) as u128;
-        let longest = row.longest_latency.as_millis();
+    for (class, totals) in &totals_by_class {
+        let ClassTotals { served, rejected, failed, .. } = totals;
+        let mean = totals.total_latency.as_millis() / totals.served.max(1) as u128;
+        let longest = totals.max_latency.as_millis();
         println!("{class:<14}{served:>8}{rejected:>10}{failed:>8}{mean:>10}{longest:>13}");
     }
     Ok(())
@@ -177,7 +177,7 @@
 fn show_progress(sent: usize, answered: usize) {
     if io::stderr().is_terminal() {
         eprint!("\r{sent} sent, {answered} answered ");
-        // It is shown again in a moment.
+        // An error is harmless: the progress is printed again soon.
         let _ = io::stderr().flush();
     }
 }
--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -1,6 +1,7 @@
-//! The log on standard error: text for people, or one JSON object to a line.
+//! The log on standard error: human-readable text or one JSON object per line.
 //!
-//! Each line has a fixed message and fields; `docs/on-call.md` lists them all. This file only decides how they look.
+//! Each line consists of a fixed message and fields; `docs/on-call.md` lists them all. This module only formats
+//! them.
 
 use std::fmt;
 
@@ -10,19 +11,19 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-use super::Form;
+use super::LogFormat;
 
-/// The text form: the program, the message, and fields as `name=value`.
+/// Formats an event as text: the program name, the message and the fields as `name=value`.
 struct TextFormat;
 
-/// A line as it is collected.
+/// Collects the message and the fields of an event as text.
 #[derive(Default)]
-struct LineParts {
+struct EventVisitor {
     message: String,
     fields: String,
 }
 
-impl Visit for LineParts {
+impl Visit for EventVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
         // Writing to a string cannot fail.
@@ -38,25 +39,30 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut parts = LineParts::default();
-        event.record(&mut parts);
-        // Information and warnings differ by their messages; the other levels are marked.
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        let mut visitor = EventVisitor::default();
+        event.record(&mut visitor);
+        // Info and warning lines have no prefix: their messages tell them apart.
         let level = match *event.metadata().level() {
             Level::ERROR => "error: ",
             Level::DEBUG => "debug: ",
             Level::TRACE => "trace: ",
             Level::INFO | Level::WARN => "",
         };
-        writeln!(to, "chutesaddle: {level}{}{}", parts.message, parts.fields)
+        writeln!(writer, "chutesaddle: {level}{}{}", visitor.message, visitor.fields)
     }
 }
 
-/// Starts the log, with lines of this level and above.
-pub(super) fn start(form: Form, level: Level) {
+/// Installs the global subscriber, which logs events of this level and above.
+pub(super) fn init(format: LogFormat, level: Level) {
     let log = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false);
-    match form {
-        Form::Text => log.event_format(TextFormat).init(),
-        Form::Json => log.json().flatten_event(true).with_target(false).init(),
+    match format {
+        LogFormat::Text => log.event_format(TextFormat).init(),
+        LogFormat::Json => log.json().flatten_event(true).with_target(false).init(),
     }
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,9 +1,13 @@
-//! `chutesaddle serve`: the order of start-up and of exit.
+//! `chutesaddle serve`: the order of startup and shutdown.
 //!
-//! Start-up: both files are read, signal handlers installed, the operator interface opened, the listener for clients taken
-//! over from a predecessor or bound, all parts built ([`build`]) and started ([`Node::start`]). The process serves when its
-//! phase leaves `Starting`. Exit: SIGTERM sets the phase to `Stopping`, and the process ends once all that it admitted is
-//! answered ([`drain`]). What each part does is in its own module under `src/server/`.
+//! Startup: read both configuration files, install the signal handlers, open the operator interface, take over the
+//! client listener from a predecessor or bind it, build all components ([`build`]) and start them ([`Node::start`]).
+//! The process serves clients once its phase is no longer `Starting`.
+//!
+//! Shutdown: SIGTERM sets the phase to `Stopping`, and the process exits once all admitted requests are answered
+//! ([`drain`]).
+//!
+//! The components are in `src/server/`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -36,15 +40,15 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
-use super::{logs, Serve};
+use super::{logs, ServeArguments};
 
-/// How often to check whether the last request is answered.
+/// Interval between checks whether all requests are answered.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How long clients have to see that their connections are closed, once all requests are answered. The platform waits
-/// 0.7 s longer than the longest deadline.
+/// Time that clients have to notice that their connections are closed after all requests are answered. After
+/// SIGTERM, the platform waits 0.7 s longer than the longest deadline for the process to exit.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why the process ends with exit code 1.
+/// Why the process exits with code 1.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("NODE_CONFIG is not set, and no --config is given")]
@@ -63,15 +67,15 @@
     EngineStopped,
 }
 
-/// Serves until SIGTERM.
-pub(super) fn run(arguments: Serve) -> ExitCode {
-    logs::start(arguments.log, arguments.log_level);
+/// Serves clients until SIGTERM.
+pub(super) fn run(arguments: ServeArguments) -> ExitCode {
+    logs::init(arguments.log, arguments.log_level);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let served = match runtime {
+    let result = match runtime {
         Ok(runtime) => LocalSet::new().block_on(&runtime, serve(arguments)),
         Err(error) => Err(ServeError::Runtime(error)),
     };
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::info!(%error, "cannot serve");
@@ -80,10 +84,10 @@
     }
 }
 
-async fn serve(arguments: Serve) -> Result<(), ServeError> {
-    let files = Files::read(arguments)?;
+async fn serve(arguments: ServeArguments) -> Result<(), ServeError> {
+    let files = LoadedFiles::read(arguments)?;
     let mut signals = Signals::install()?;
-    let shared = Shared::new(&files.config);
+    let shared = SharedState::new(&files.config);
     open_operator_interface(files.operator_listen, &shared).await?;
 
     let address = files.config.listen;
@@ -94,11 +98,11 @@
     let address = listener.local_addr().unwrap_or(address);
     let name = files.config.name.clone();
 
-    let node = build(files, Listening { listener, socket_path }, &shared);
+    let node = build(files, ClientListener { listener, socket_path }, &shared);
     let frontend = Rc::clone(&node.frontend);
     let engine = node.start(signals.hangup, predecessor);
     tokio::select! {
-        // Without its engine the scheduler would admit requests and answer none: better to be started anew.
+        // Without its engine, the scheduler would admit requests but answer none. Exit so that it is restarted.
         _ = engine => return Err(ServeError::EngineStopped),
         _ = signals.terminate.recv() => {}
         () = log_when_serving(&shared.lifecycle, address, &name) => {}
@@ -111,29 +115,36 @@
     Ok(())
 }
 
-/// Both files, read and found to be in order.
-struct Files {
+/// The parsed platform and operator files.
+struct LoadedFiles {
     config: Config,
     config_path: PathBuf,
     operator_path: Option<PathBuf>,
-    /// The settings of the gateway to other sites, if the operator's file has any.
+    /// The settings of the gateway to other sites, if the operator file enables it.
     site_links: Option<SiteLinkSettings>,
-    /// The address for operators: that of the configuration, or else that of the environment or the command line.
+    /// Listen address of the operator interface: the one in the platform file takes precedence over the one from the
+    /// command line or the environment.
     operator_listen: Option<SocketAddr>,
 }
 
-impl Files {
-    fn read(arguments: Serve) -> Result<Self, ServeError> {
+impl LoadedFiles {
+    fn read(arguments: ServeArguments) -> Result<Self, ServeError> {
         let config_path = arguments.config.ok_or(ServeError::NoConfig)?;
         let config = Config::load(&config_path)?;
         let site_links = operator_file::load_if_named(arguments.operator.as_deref())?;
         let operator_listen = config.operator_listen.or(arguments.ops);
-        Ok(Files { config, config_path, operator_path: arguments.operator, site_links, operator_listen })
+        Ok(LoadedFiles {
+            config,
+            config_path,
+            operator_path: arguments.operator,
+            site_links,
+            operator_listen,
+        })
     }
 }
 
-/// The signals that the process waits for. They are installed before anything answers: without a handler either of
-/// them ends the process at once.
+/// The signals that the process handles. The handlers are installed before any listener is opened, because without
+/// a handler each of these signals kills the process.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -148,17 +159,17 @@
     }
 }
 
-/// What nearly every part of the process uses.
-struct Shared {
+/// State shared by most components.
+struct SharedState {
     counters: Rc<Counters>,
     lifecycle: Rc<Lifecycle>,
     budgets: Rc<DescriptorBudgets>,
     peers: PeerProcesses,
 }
 
-impl Shared {
+impl SharedState {
     fn new(config: &Config) -> Self {
-        Shared {
+        SharedState {
             counters: Rc::default(),
             lifecycle: Rc::default(),
             budgets: Rc::new(DescriptorBudgets::new(config.descriptor_limit)),
@@ -167,8 +178,11 @@
     }
 }
 
-/// Opens the operator interface, if it has an address.
-async fn open_operator_interface(address: Option<SocketAddr>, shared: &Shared) -> Result<(), ServeError> {
+/// Opens the operator interface if an address is configured.
+async fn open_operator_interface(
+    address: Option<SocketAddr>,
+    shared: &SharedState,
+) -> Result<(), ServeError> {
     let Some(address) = address else { return Ok(()) };
     let listener = TcpListener::bind(address).await.map_err(|error| ServeError::Listen(address, error))?;
     let address = listener.local_addr().unwrap_or(address);
@@ -178,22 +192,22 @@
     Ok(())
 }
 
-/// Logs the address once the process serves, then waits for good.
+/// Logs the address once the process serves clients, then never returns.
 async fn log_when_serving(lifecycle: &Lifecycle, address: SocketAddr, name: &str) {
     let mut phase = lifecycle.watch();
-    // The sender lives as long as the process.
+    // Cannot fail: the sender lives as long as the process.
     let _ = phase.wait_for(|phase| *phase != Phase::Starting).await;
     tracing::info!(%address, scheduler = %name, "serving clients");
     std::future::pending::<()>().await;
 }
 
-/// The listener for clients, and where a successor finds this process.
-struct Listening {
+/// The listener for clients, and the path of the socket at which a successor takes it over.
+struct ClientListener {
     listener: TcpListener,
     socket_path: Option<PathBuf>,
 }
 
-/// All parts of the process, built and not yet started.
+/// All components of the process, not yet started.
 struct Node {
     engine: Engine,
     known_endpoints: EndpointListUpdate,
@@ -206,10 +220,10 @@
     site_links: Option<Rc<SiteLinks>>,
 }
 
-fn build(files: Files, listening: Listening, shared: &Shared) -> Node {
-    let Files { config, config_path, operator_path, site_links, .. } = files;
+fn build(files: LoadedFiles, listener: ClientListener, shared: &SharedState) -> Node {
+    let LoadedFiles { config, config_path, operator_path, site_links, .. } = files;
     let (gossip_sender, gossip_queue) = gossip_transport::channel();
-    let EngineParts { engine, queue, connector } = build_engine(&config, gossip_sender, shared);
+    let EngineWithQueue { engine, queue, connector } = build_engine(&config, gossip_sender, shared);
     let (engine, site_links) = add_gateway(engine, site_links, &queue, &shared.lifecycle);
     let discovery_watch = build_discovery_watch(&config, &queue, shared);
     let frontend = build_frontend(&config, &queue, shared);
@@ -222,7 +236,7 @@
         shared.lifecycle.watch(),
         gossip_addresses,
     );
-    let handover = build_handover(listening, &frontend, &queue, shared);
+    let handover = build_handover(listener, &frontend, &queue, shared);
     let reload = Reload {
         config_path,
         operator_path,
@@ -252,14 +266,14 @@
     }
 }
 
-/// The engine, the queue to it, and what connects its attempts to the workers.
-struct EngineParts {
+/// The engine, its queue, and the connector for its connections to workers.
+struct EngineWithQueue {
     engine: Engine,
     queue: EngineQueue,
     connector: Rc<WorkerConnector>,
 }
 
-fn build_engine(config: &Config, gossip: GossipSender, shared: &Shared) -> EngineParts {
+fn build_engine(config: &Config, gossip: GossipSender, shared: &SharedState) -> EngineWithQueue {
     let settings = &config.settings;
     let connector = Rc::new(WorkerConnector::new(
         shared.budgets.workers(),
@@ -274,10 +288,10 @@
         Rc::clone(&shared.counters),
         shared.peers.clone(),
     );
-    EngineParts { engine: engine.with_gossip(gossip), queue, connector }
+    EngineWithQueue { engine: engine.with_gossip(gossip), queue, connector }
 }
 
-fn build_discovery_watch(config: &Config, queue: &EngineQueue, shared: &Shared) -> DiscoveryWatch {
+fn build_discovery_watch(config: &Config, queue: &EngineQueue, shared: &SharedState) -> DiscoveryWatch {
     DiscoveryWatch::new(
         config.discovery,
         config.known_endpoints.version,
@@ -287,7 +301,7 @@
     )
 }
 
-fn build_frontend(config: &Config, queue: &EngineQueue, shared: &Shared) -> Rc<Frontend> {
+fn build_frontend(config: &Config, queue: &EngineQueue, shared: &SharedState) -> Rc<Frontend> {
     Rc::new(Frontend::new(
         config.settings.clone(),
         queue.clone(),
@@ -297,7 +311,7 @@
     ))
 }
 
-/// Adds the gateway to other sites, if the operator's file has one.
+/// Adds the gateway to other sites if the operator file enables it.
 fn add_gateway(
     engine: Engine,
     settings: Option<SiteLinkSettings>,
@@ -313,14 +327,14 @@
 }
 
 fn build_handover(
-    listening: Listening,
+    listener: ClientListener,
     frontend: &Rc<Frontend>,
     queue: &EngineQueue,
-    shared: &Shared,
+    shared: &SharedState,
 ) -> Rc<Handover> {
     Rc::new(Handover {
-        socket_path: listening.socket_path,
-        listener: Rc::new(listening.listener),
+        socket_path: listener.socket_path,
+        listener: Rc::new(listener.listener),
         frontend: Rc::clone(frontend),
         lifecycle: Rc::clone(&shared.lifecycle),
         queue: queue.clone(),
@@ -331,7 +345,7 @@
 }
 
 impl Node {
-    /// Starts a task for each part; the engine's is returned, as the process cannot go on without it.
+    /// Spawns a task for each component and returns that of the engine, without which the process cannot continue.
     fn start(self, hangup: Signal, predecessor: Option<Predecessor>) -> JoinHandle<()> {
         let engine = spawn_local(self.engine.run(self.known_endpoints));
         spawn_local(self.discovery_watch.run(self.discovery_address));
@@ -346,21 +360,21 @@
     }
 }
 
-/// Waits until every request is answered that was admitted, or that was on its way when admission ended, and until the
-/// clients have seen their connections closed.
-async fn drain(frontend: &Frontend, shared: &Shared) {
-    let Shared { counters, lifecycle, peers, .. } = shared;
-    let mut empty_since = None;
+/// Waits until all requests are answered, including those that arrived while admission was ending, and until the
+/// clients have noticed that their connections are closed or [`CLOSE_TIMEOUT`] has passed.
+async fn drain(frontend: &Frontend, shared: &SharedState) {
+    let SharedState { counters, lifecycle, peers, .. } = shared;
+    let mut drained_at = None;
     loop {
         sleep(DRAIN_CHECK_INTERVAL).await;
-        let admission_over = !lifecycle.admission_is_open() && lifecycle.closes_idle_connections();
-        let empty = frontend.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
-        if !admission_over || !empty {
-            empty_since = None;
+        let admission_ended = !lifecycle.admission_is_open() && lifecycle.closes_idle_connections();
+        let drained = frontend.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
+        if !admission_ended || !drained {
+            drained_at = None;
             continue;
         }
-        let empty_since = *empty_since.get_or_insert_with(Instant::now);
-        if frontend.has_no_lingering_connections() || empty_since.elapsed() >= CLOSE_TIMEOUT {
+        let drained_at = *drained_at.get_or_insert_with(Instant::now);
+        if frontend.has_no_lingering_connections() || drained_at.elapsed() >= CLOSE_TIMEOUT {
             return;
         }
     }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -3,6 +3,6 @@
 use super::Arguments;
 
 #[test]
-fn the_command_line_is_sound() {
+fn argument_definitions_are_valid() {
     Arguments::command().debug_assert();
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,7 +1,8 @@
-//! `chutesaddle trace`: reads trace files. Each tool streams: memory is bounded by one block and by what is open.
+//! `chutesaddle trace`: reads trace files. The commands stream their input: memory use is bounded by the size of a
+//! block and the number of unanswered requests.
 //!
-//! This file has the arguments, the exit codes and what the tools share; each tool is a file. The format is in the crate
-//! `chutesaddle-trace` and in `docs/trace-format.md`.
+//! This module contains the arguments, the exit codes and shared functions; each command has its own module. The
+//! format is implemented in the crate `chutesaddle-trace` and described in `docs/trace-format.md`.
 
 mod copy;
 mod info;
@@ -18,117 +19,120 @@
 use clap::{Subcommand, ValueEnum};
 
 #[derive(Subcommand)]
-pub(super) enum Tool {
-    /// Show who wrote files, when, and whether they are complete
+pub(super) enum TraceCommand {
+    /// Show which scheduler wrote each file, when, and whether the file is complete
     Info {
-        /// The files
+        /// Input files
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Check every block, and that each arrival has one answer
+    /// Check every block, and that each request has exactly one answer
     Verify {
-        /// The files
+        /// Input files
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Copy what happened between two times, reading only the blocks that hold it
+    /// Copy the records between two times, reading only the blocks that contain them
     #[command(
         after_help = "Example:\n  chutesaddle trace cut night.trace --from 90s --to 2min -o burst.trace"
     )]
     Cut {
-        /// The file
+        /// Input file
         file: PathBuf,
-        /// From this long after the file's beginning
-        #[arg(long, value_parser = duration, default_value = "0s")]
+        /// Start of the copied range, as a duration after the file's first record
+        #[arg(long, value_parser = parse_duration, default_value = "0s")]
         from: Duration,
-        /// Until this long after the file's beginning
-        #[arg(long, value_parser = duration)]
+        /// End of the copied range, as a duration after the file's first record
+        #[arg(long, value_parser = parse_duration)]
         to: Option<Duration>,
-        /// Where to
+        /// Output file
         #[arg(short, long, value_name = "FILE")]
         output: PathBuf,
     },
-    /// Merge the files of several schedulers by their clocks
+    /// Merge the files of several schedulers, ordered by their clocks
     #[command(after_help = "Example:\n  chutesaddle trace merge n1.trace n2.trace -o site.trace")]
     Merge {
-        /// The files
+        /// Input files
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
-        /// Where to
+        /// Output file
         #[arg(short, long, value_name = "FILE")]
         output: PathBuf,
     },
-    /// Service by class and tenant, as the operators count it
+    /// Show service, as defined by the operators, by class and tenant
     #[command(after_help = "Example:\n  chutesaddle trace summary *.trace --form csv > service.csv")]
     Summary {
-        /// The files; their sums are added
+        /// Input files; their totals are added up
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
-        /// How to write it
-        #[arg(long, value_enum, default_value_t = Form::Table)]
-        form: Form,
+        /// Output format
+        #[arg(long = "form", value_name = "FORM", value_enum, default_value_t = SummaryFormat::Table)]
+        format: SummaryFormat,
     },
 }
 
+/// Output format of `trace summary`.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-pub(super) enum Form {
-    /// For people
+pub(super) enum SummaryFormat {
+    /// Human-readable table
     Table,
-    /// For spreadsheets
+    /// Comma-separated values
     Csv,
-    /// One object to a line
+    /// One JSON object per line
     Json,
 }
 
-/// Reads a duration of the command line.
-fn duration(text: &str) -> Result<Duration, String> {
+/// Parses a duration given on the command line.
+fn parse_duration(text: &str) -> Result<Duration, String> {
     chutesaddle_operator_config::duration(text)
-        .ok_or_else(|| "a duration such as \"90s\" or \"2min\"".to_owned())
+        .ok_or_else(|| "expected a duration such as \"90s\" or \"2min\"".to_owned())
 }
 
-/// Why a tool ends early.
+/// Why a command is aborted.
 #[derive(Debug, thiserror::Error)]
-enum ToolError {
+enum TraceCommandError {
     #[error("{0}: {1}")]
     File(PathBuf, #[source] TraceError),
-    #[error("{0} is to be read and to be written")]
+    #[error("{0} is both an input and the output")]
     SameFile(PathBuf),
-    #[error("cannot write: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[from] io::Error),
 }
 
-/// What a tool has found.
+/// Result of a command that was not aborted.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Verdict {
-    /// Every file is as it should be.
-    Sound,
-    /// A file is damaged, cut off or has faults.
-    Unsound,
+enum TraceStatus {
+    /// All files are intact.
+    Intact,
+    /// A file is damaged, truncated or violates an invariant.
+    Faulty,
 }
 
-impl Verdict {
-    fn from_sound(sound: bool) -> Self {
-        match sound {
-            true => Verdict::Sound,
-            false => Verdict::Unsound,
+impl TraceStatus {
+    fn from_intact(intact: bool) -> Self {
+        match intact {
+            true => TraceStatus::Intact,
+            false => TraceStatus::Faulty,
         }
     }
 }
 
-/// Runs a tool: exit code 0 if all is well, 1 if a file is not what it should be.
-pub(super) fn run(tool: Tool) -> ExitCode {
-    let result = match tool {
-        Tool::Info { files } => for_each_file(&files, info::print),
-        Tool::Verify { files } => for_each_file(&files, verify::print),
-        Tool::Cut { file, from, to, output } => copy::cut(&file, from, to, &output),
-        Tool::Merge { files, output } => copy::merge_files(&files, &output),
-        Tool::Summary { files, form } => summary::print(&files, form),
+/// Runs a command. The exit code is 0 if all files are intact and 1 otherwise.
+pub(super) fn run(command: TraceCommand) -> ExitCode {
+    let result = match command {
+        TraceCommand::Info { files } => for_each_file(&files, info::print),
+        TraceCommand::Verify { files } => for_each_file(&files, verify::print),
+        TraceCommand::Cut { file, from, to, output } => copy::cut(&file, from, to, &output),
+        TraceCommand::Merge { files, output } => copy::merge_files(&files, &output),
+        TraceCommand::Summary { files, format } => summary::print(&files, format),
     };
     match result {
-        Ok(Verdict::Sound) => ExitCode::SUCCESS,
-        Ok(Verdict::Unsound) => ExitCode::FAILURE,
-        // Whoever reads only the beginning of the output has what he wants.
-        Err(ToolError::Output(error)) if error.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
+        Ok(TraceStatus::Intact) => ExitCode::SUCCESS,
+        Ok(TraceStatus::Faulty) => ExitCode::FAILURE,
+        // The reader of standard output may stop early, for example `head`.
+        Err(TraceCommandError::Output(error)) if error.kind() == io::ErrorKind::BrokenPipe => {
+            ExitCode::SUCCESS
+        }
         Err(error) => {
             eprintln!("error: {error}");
             ExitCode::FAILURE
@@ -136,31 +140,35 @@
     }
 }
 
-/// Runs a tool on each file, also after one that is unsound.
+/// Runs a command on each file, even after a faulty one.
 fn for_each_file(
     files: &[PathBuf],
-    tool: impl Fn(&Path) -> Result<Verdict, ToolError>,
-) -> Result<Verdict, ToolError> {
-    let mut verdict = Verdict::Sound;
+    command: impl Fn(&Path) -> Result<TraceStatus, TraceCommandError>,
+) -> Result<TraceStatus, TraceCommandError> {
+    let mut status = TraceStatus::Intact;
     for file in files {
-        if tool(file)? == Verdict::Unsound {
-            verdict = Verdict::Unsound;
+        if command(file)? == TraceStatus::Faulty {
+            status = TraceStatus::Faulty;
         }
     }
-    Ok(verdict)
+    Ok(status)
 }
 
 type FileReader = Reader<BufReader<File>>;
 
-fn open(file: &Path) -> Result<FileReader, ToolError> {
-    let in_this_file = |error| ToolError::File(file.into(), error);
-    let bytes = File::open(file).map_err(|error| in_this_file(error.into()))?;
-    Reader::open(BufReader::new(bytes)).map_err(in_this_file)
+fn open(file: &Path) -> Result<FileReader, TraceCommandError> {
+    let file_error = |error| TraceCommandError::File(file.into(), error);
+    let input = File::open(file).map_err(|error| file_error(error.into()))?;
+    Reader::open(BufReader::new(input)).map_err(file_error)
 }
 
-fn for_each_item(file: &Path, reader: &mut FileReader, mut take: impl FnMut(&Item)) -> Result<(), ToolError> {
-    while let Some(item) = reader.next_item().map_err(|error| ToolError::File(file.into(), error))? {
-        take(&item);
+fn for_each_item(
+    file: &Path,
+    reader: &mut FileReader,
+    mut visit: impl FnMut(&Item),
+) -> Result<(), TraceCommandError> {
+    while let Some(item) = reader.next_item().map_err(|error| TraceCommandError::File(file.into(), error))? {
+        visit(&item);
     }
     Ok(())
 }
--- a/src/cli/trace/copy.rs
+++ b/src/cli/trace/copy.rs
@@ -1,4 +1,4 @@
-//! `trace cut` and `trace merge`: write a part of a file, or several files as one.
+//! `trace cut` and `trace merge`: copy a part of a file, or several files into one.
 
 use std::fs::File;
 use std::io::BufWriter;
@@ -7,60 +7,61 @@
 
 use chutesaddle_trace::{merge, Item, MergeInput, Writer};
 
-use super::{for_each_item, open, ToolError, Verdict};
+use super::{for_each_item, open, TraceCommandError, TraceStatus};
 
-/// Copies what happened between two times, counted from the beginning of the file.
+/// Copies the records between two times, given as durations after the file's first record.
 pub(super) fn cut(
     file: &Path,
     from: Duration,
     to: Option<Duration>,
     output: &Path,
-) -> Result<Verdict, ToolError> {
+) -> Result<TraceStatus, TraceCommandError> {
     let mut reader = open(file)?;
     let header = reader.header().clone();
-    let begin = reader.index().entries.iter().map(|entry| entry.first).min().unwrap_or_default();
-    let time = |since_begin: Duration| begin.saturating_add(since_begin.as_micros() as u64);
-    reader.between(time(from), to.map_or(u64::MAX, time));
-    let in_output = |error| ToolError::File(output.into(), error);
-    let mut writer = Writer::new(create(output, &[file])?, &header).map_err(in_output)?;
-    let mut written = Ok(());
+    let trace_start = reader.index().entries.iter().map(|entry| entry.first).min().unwrap_or_default();
+    let timestamp = |offset: Duration| trace_start.saturating_add(offset.as_micros() as u64);
+    reader.between(timestamp(from), to.map_or(u64::MAX, timestamp));
+    let output_error = |error| TraceCommandError::File(output.into(), error);
+    let mut writer = Writer::new(create_output(output, &[file])?, &header).map_err(output_error)?;
+    let mut result = Ok(());
     for_each_item(file, &mut reader, |item| {
-        if written.is_ok() {
-            written = match item {
+        if result.is_ok() {
+            result = match item {
                 Item::Record(timed) => writer.push_of(timed.source, timed.at, &timed.record),
                 Item::Gap(gap) | Item::Damaged(gap) => writer.gap(gap.source, gap.count, gap.first, gap.last),
             };
         }
     })?;
-    written.map_err(in_output)?;
-    writer.finish().map_err(in_output)?;
-    Ok(Verdict::Sound)
+    result.map_err(output_error)?;
+    writer.finish().map_err(output_error)?;
+    Ok(TraceStatus::Intact)
 }
 
-/// Merges files by the clocks of their schedulers.
-pub(super) fn merge_files(files: &[PathBuf], output: &Path) -> Result<Verdict, ToolError> {
+/// Merges files, ordered by the clocks of their schedulers.
+pub(super) fn merge_files(files: &[PathBuf], output: &Path) -> Result<TraceStatus, TraceCommandError> {
     let mut readers = Vec::new();
     for file in files {
         readers.push(MergeInput { reader: open(file)?, clock_correction_us: 0 });
     }
     let inputs: Vec<&Path> = files.iter().map(PathBuf::as_path).collect();
-    let count = merge(&mut readers, create(output, &inputs)?)
-        .map_err(|error| ToolError::File(output.into(), error))?;
+    let count = merge(&mut readers, create_output(output, &inputs)?)
+        .map_err(|error| TraceCommandError::File(output.into(), error))?;
     eprintln!("{count} records of {} files in {}", files.len(), output.display());
-    Ok(Verdict::Sound)
+    Ok(TraceStatus::Intact)
 }
 
-/// Creates the output, which must be none of the inputs.
-fn create(output: &Path, inputs: &[&Path]) -> Result<BufWriter<File>, ToolError> {
+/// Creates the output file, which must not be one of the inputs.
+fn create_output(output: &Path, inputs: &[&Path]) -> Result<BufWriter<File>, TraceCommandError> {
     for input in inputs {
         if is_same_file(input, output) {
-            return Err(ToolError::SameFile(input.to_path_buf()));
+            return Err(TraceCommandError::SameFile(input.to_path_buf()));
         }
     }
-    Ok(BufWriter::new(File::create(output)?))
+    let file = File::create(output).map_err(|error| TraceCommandError::File(output.into(), error.into()))?;
+    Ok(BufWriter::new(file))
 }
 
-/// Whether both paths lead to one file; an output that is not there yet is no input.
+/// Whether both paths refer to the same file. An output that does not exist yet is never an input.
 fn is_same_file(input: &Path, output: &Path) -> bool {
     match (input.canonicalize(), output.canonicalize()) {
         (Ok(input), Ok(output)) => input == output,
--- a/src/cli/trace/info.rs
+++ b/src/cli/trace/info.rs
@@ -1,15 +1,15 @@
-//! `trace info`: who wrote a file, when, and whether it is complete.
+//! `trace info`: shows which scheduler wrote a file, when, and whether the file is complete.
 
 use std::io::{self, Write};
 use std::path::Path;
 
 use chutesaddle_trace::Index;
 
-use super::{open, ToolError, Verdict};
+use super::{open, TraceCommandError, TraceStatus};
 
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-pub(super) fn print(file: &Path) -> Result<Verdict, ToolError> {
+pub(super) fn print(file: &Path) -> Result<TraceStatus, TraceCommandError> {
     let reader = open(file)?;
     let (header, index) = (reader.header(), reader.index());
     let begin = index.entries.iter().map(|entry| entry.first).min();
@@ -22,27 +22,27 @@
     writeln!(out, "  time 0 is {seconds}.{rest:06} (Unix time)")?;
     if let (Some(begin), Some(end)) = (begin, end) {
         if begin <= end {
-            writeln!(out, "  from {:.3} s to {:.3} s", in_seconds(begin), in_seconds(end))?;
+            writeln!(out, "  from {:.3} s to {:.3} s", to_seconds(begin), to_seconds(end))?;
         }
     }
-    let (records, dropped) = (count(index, false), count(index, true));
+    let (records, dropped) = (record_count(index, false), record_count(index, true));
     writeln!(out, "  {records} records in {} blocks, {dropped} dropped", index.entries.len())?;
     writeln!(out, "  classes {}; tenants {}", classes.join(", "), header.tenants.join(", "))?;
-    if let Some(before) = &header.continues {
-        writeln!(out, "  goes on from {before}")?;
+    if let Some(previous) = &header.continues {
+        writeln!(out, "  goes on from {previous}")?;
     }
     if !index.complete {
         let damaged = index.damaged;
         writeln!(out, "  its end is missing: the index was found by a scan, {damaged} bytes are damaged")?;
     }
-    Ok(Verdict::from_sound(index.complete))
+    Ok(TraceStatus::from_intact(index.complete))
 }
 
-/// Records that the file holds, or (`gap`) that its writer dropped.
-fn count(index: &Index, gap: bool) -> u64 {
-    index.entries.iter().filter(|entry| entry.gap == gap).map(|entry| u64::from(entry.count)).sum()
+/// Number of records in the file or, with `dropped`, of those that its writer dropped.
+fn record_count(index: &Index, dropped: bool) -> u64 {
+    index.entries.iter().filter(|entry| entry.gap == dropped).map(|entry| u64::from(entry.count)).sum()
 }
 
-fn in_seconds(microseconds: u64) -> f64 {
+fn to_seconds(microseconds: u64) -> f64 {
     microseconds as f64 / MICROSECONDS_PER_SECOND as f64
 }
--- a/src/cli/trace/summary.rs
+++ b/src/cli/trace/summary.rs
@@ -1,4 +1,4 @@
-//! `trace summary`: service by class and tenant, as a table, CSV or JSON.
+//! `trace summary`: prints the service by class and tenant as a table, CSV or JSON.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -6,13 +6,13 @@
 use chutesaddle_trace::{RecordCounts, ServiceRow, Summary, WorstStretch};
 use simd_json::prelude::Writable;
 
-use super::{for_each_item, open, Form, ToolError, Verdict};
+use super::{for_each_item, open, SummaryFormat, TraceCommandError, TraceStatus};
 
-/// The columns of the CSV, which are the keys of the JSON too.
+/// Names of the CSV columns, which are also the keys of the JSON objects.
 const CSV_HEADER: &str =
     "class,tenant,asked,served,in_time,rejected,failed,left,attempts,crossed,service,p50_ms,p95_ms";
 
-pub(super) fn print(files: &[PathBuf], form: Form) -> Result<Verdict, ToolError> {
+pub(super) fn print(files: &[PathBuf], format: SummaryFormat) -> Result<TraceStatus, TraceCommandError> {
     let mut total = Summary::default();
     for file in files {
         let mut reader = open(file)?;
@@ -22,20 +22,20 @@
         total.add(&summary);
     }
     let mut out = io::stdout().lock();
-    write_header(&mut out, form)?;
+    write_header(&mut out, format)?;
     for (class, tenant, row) in total.rows() {
-        Line { class, tenant, row }.write(&mut out, form)?;
+        OutputRow { class, tenant, row }.write(&mut out, format)?;
     }
-    Line { class: "all", tenant: "all", row: &total.total() }.write(&mut out, form)?;
-    if form == Form::Table {
+    OutputRow { class: "all", tenant: "all", row: &total.total() }.write(&mut out, format)?;
+    if format == SummaryFormat::Table {
         write_worst_stretch(&mut out, &total)?;
     }
-    Ok(Verdict::Sound)
+    Ok(TraceStatus::Intact)
 }
 
-fn write_header(out: &mut impl Write, form: Form) -> io::Result<()> {
-    match form {
-        Form::Table => writeln!(
+fn write_header(out: &mut impl Write, format: SummaryFormat) -> io::Result<()> {
+    match format {
+        SummaryFormat::Table => writeln!(
             out,
             "{:<16}{:<18}{:>8}{:>8}{:>9}{:>10}{:>8}{:>6}{:>9}{:>9}{:>9}{:>9}{:>9}",
             "class",
@@ -52,12 +52,12 @@
             "p50 ms",
             "p95 ms"
         ),
-        Form::Csv => writeln!(out, "{CSV_HEADER}"),
-        Form::Json => Ok(()),
+        SummaryFormat::Csv => writeln!(out, "{CSV_HEADER}"),
+        SummaryFormat::Json => Ok(()),
     }
 }
 
-/// The ten seconds with the least service.
+/// Prints the ten seconds with the lowest service.
 fn write_worst_stretch(out: &mut impl Write, total: &Summary) -> io::Result<()> {
     let Some(WorstStretch { from, service }) = total.worst() else { return Ok(()) };
     let RecordCounts { records, missing } = total.counts();
@@ -67,25 +67,25 @@
     )
 }
 
-/// One class of one tenant.
-struct Line<'a> {
+/// The service of one class and tenant.
+struct OutputRow<'a> {
     class: &'a str,
     tenant: &'a str,
     row: &'a ServiceRow,
 }
 
-impl Line<'_> {
-    fn write(&self, out: &mut impl Write, form: Form) -> io::Result<()> {
-        match form {
-            Form::Table => self.write_table(out),
-            Form::Csv => self.write_csv(out),
-            Form::Json => self.write_json(out),
+impl OutputRow<'_> {
+    fn write(&self, out: &mut impl Write, format: SummaryFormat) -> io::Result<()> {
+        match format {
+            SummaryFormat::Table => self.write_table(out),
+            SummaryFormat::Csv => self.write_csv(out),
+            SummaryFormat::Json => self.write_json(out),
         }
     }
 
-    /// Service with six digits, or `none` where no work was asked for.
-    fn service(&self, none: &str) -> String {
-        self.row.service().map_or(none.to_owned(), |service| format!("{service:.6}"))
+    /// Service with six decimal places, or `fallback` if no work was requested.
+    fn service(&self, fallback: &str) -> String {
+        self.row.service().map_or(fallback.to_owned(), |service| format!("{service:.6}"))
     }
 
     fn latency_ms(&self, quantile: f64) -> u64 {
@@ -93,7 +93,7 @@
     }
 
     fn write_table(&self, out: &mut impl Write) -> io::Result<()> {
-        let Line { class, tenant, row } = self;
+        let OutputRow { class, tenant, row } = self;
         let ServiceRow {
             asked,
             served,
--- a/src/cli/trace/verify.rs
+++ b/src/cli/trace/verify.rs
@@ -1,57 +1,57 @@
-//! `trace verify`: checks every block, and that each arrival has one answer.
+//! `trace verify`: checks every block, and that each request has exactly one answer.
 
 use std::io::{self, Write};
 use std::path::Path;
 
 use chutesaddle_trace::{Checker, Item, RecordCounts, Violation};
 
-use super::{for_each_item, open, ToolError, Verdict};
+use super::{for_each_item, open, TraceCommandError, TraceStatus};
 
-/// Violations of a file that are printed one by one.
-const MAX_SHOWN: usize = 20;
+/// Maximum number of violations printed for a file.
+const MAX_PRINTED: usize = 20;
 
-/// The violations of a file: all counted, the first kept.
+/// The violations in a file. All are counted, but only the first [`MAX_PRINTED`] are retained.
 #[derive(Default)]
 struct ViolationList {
-    shown: Vec<Violation>,
+    retained: Vec<Violation>,
     count: usize,
-    /// What the checker found in its last step.
-    found: Vec<Violation>,
+    /// Violations found in the checker's last step, not yet counted.
+    pending: Vec<Violation>,
 }
 
 impl ViolationList {
-    fn collect(&mut self) {
-        self.count += self.found.len();
-        let places = MAX_SHOWN.saturating_sub(self.shown.len());
-        self.shown.extend(self.found.drain(..).take(places));
+    fn count_pending(&mut self) {
+        self.count += self.pending.len();
+        let remaining = MAX_PRINTED.saturating_sub(self.retained.len());
+        self.retained.extend(self.pending.drain(..).take(remaining));
     }
 }
 
-pub(super) fn print(file: &Path) -> Result<Verdict, ToolError> {
+pub(super) fn print(file: &Path) -> Result<TraceStatus, TraceCommandError> {
     let mut reader = open(file)?;
     let (mut checker, mut violations, mut damaged) = (Checker::default(), ViolationList::default(), 0);
     for_each_item(file, &mut reader, |item| {
         damaged += u64::from(matches!(item, Item::Damaged(_)));
-        checker.check(item, &mut violations.found);
-        violations.collect();
+        checker.check(item, &mut violations.pending);
+        violations.count_pending();
     })?;
     let complete = reader.index().complete;
     if complete {
-        checker.finish(&mut violations.found);
-        violations.collect();
+        checker.finish(&mut violations.pending);
+        violations.count_pending();
     }
     let RecordCounts { records, missing } = checker.counts();
-    let end = if complete { "complete" } else { "cut off" };
+    let state = if complete { "complete" } else { "cut off" };
     let mut out = io::stdout().lock();
     writeln!(
         out,
-        "{}: {end}, {records} records, {missing} missing, {damaged} blocks damaged, {} faults",
+        "{}: {state}, {records} records, {missing} missing, {damaged} blocks damaged, {} faults",
         file.display(),
         violations.count
     )?;
-    for violation in violations.shown {
-        let excuse = if checker.has_gaps(violation.source) { " (records of it are missing)" } else { "" };
-        writeln!(out, "  {violation}{excuse}")?;
+    for violation in violations.retained {
+        let note = if checker.has_gaps(violation.source) { " (records of it are missing)" } else { "" };
+        writeln!(out, "  {violation}{note}")?;
     }
-    Ok(Verdict::from_sound(complete && damaged == 0 && violations.count == 0))
+    Ok(TraceStatus::from_intact(complete && damaged == 0 && violations.count == 0))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `chutesaddle`: the scheduler on sockets, and the other subcommands. See `src/cli/`.
+//! The `chutesaddle` binary: serves requests over the network and provides the other subcommands of `src/cli/`.
 
 mod cli;
 
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, and what goes to which stream.
+//! The command line: exit codes and output streams.
 
 use std::process::{Command, Output};
 
@@ -8,14 +8,14 @@
     command.args(arguments).output().unwrap()
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_file(name: &str, text: &str) -> String {
     let path = format!("{}/cli-{}-{name}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     std::fs::write(&path, text).unwrap();
     path
 }
 
 #[test]
-fn without_a_configuration_it_fails_and_says_so_on_standard_error() {
+fn missing_configuration_is_reported_on_standard_error() {
     for arguments in [&[][..], &["serve"], &["serve", "--log", "json"]] {
         let output = chutesaddle(arguments);
         assert_eq!(output.status.code(), Some(1), "{arguments:?}");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_not_understood_ends_with_2_and_a_hint() {
+fn invalid_arguments_exit_with_code_2_and_an_error() {
     for arguments in [&["serv"][..], &["--lgo"], &["check"], &["--ops", "nowhere"], &["--log-level", "loud"]]
     {
         let output = chutesaddle(arguments);
@@ -35,36 +35,36 @@
 }
 
 #[test]
-fn help_version_and_completions_go_to_standard_output() {
+fn help_version_and_completions_are_printed_to_standard_output() {
     let cases = [
         (&["--help"][..], "Examples:"),
         (&["--version"], "chutesaddle 0."),
         (&["completions", "bash"], "complete"),
     ];
-    for (arguments, part) in cases {
+    for (arguments, expected) in cases {
         let output = chutesaddle(arguments);
         assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
-        assert!(String::from_utf8_lossy(&output.stdout).contains(part), "{arguments:?}");
+        assert!(String::from_utf8_lossy(&output.stdout).contains(expected), "{arguments:?}");
     }
 }
 
 #[test]
-fn check_reads_every_file_and_reports_each_mistake_with_its_place() {
-    let good = file("good.kdl", "gateway { site \"a\"; secret-file \"s\"; peer \"b\"; }\n");
-    let bad = file("bad.kdl", "gateway {\n  sight \"a\"\n  secret-file \"s\"\n  peer 7\n}\n");
+fn check_reads_every_file_and_reports_each_error_with_its_position() {
+    let good = write_file("good.kdl", "gateway { site \"a\"; secret-file \"s\"; peer \"b\"; }\n");
+    let bad = write_file("bad.kdl", "gateway {\n  sight \"a\"\n  secret-file \"s\"\n  peer 7\n}\n");
     let output = chutesaddle(&["check", &bad, "/nowhere.kdl", &good]);
     let (out, err) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     assert_eq!(output.status.code(), Some(1));
     assert!(out.contains("good.kdl: a gateway of \"a\" to 1 peers"), "{out}");
-    for part in
+    for expected in
         ["bad.kdl:2:3: expected one of site", "bad.kdl:4:8: expected a site's name", "/nowhere.kdl: No such"]
     {
-        assert!(err.contains(part), "{part:?} is not in {err}");
+        assert!(err.contains(expected), "{expected:?} is not in {err}");
     }
 }
 
 #[test]
-fn a_log_in_json_is_an_object_to_a_line() {
+fn json_log_has_one_object_per_line() {
     let output = chutesaddle(&["--log", "json", "--config", "/nowhere.json"]);
     let line = String::from_utf8_lossy(&output.stderr).trim().to_owned();
     assert!(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_demo_needs_nothing_and_ends_with_a_table_of_every_job() {
+fn demo_runs_without_configuration_and_prints_a_table_of_all_requests() {
     let output = chutesaddle(&["demo"]);
     let out = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{output:?}");
@@ -86,8 +86,9 @@
     assert_eq!((served("draw-map"), served("publish-map")), (40, 20), "{out}");
 }
 
-/// A file with two served jobs, ten seconds apart, under this scheduler's name.
-fn trace(scheduler: &str, complete: bool) -> String {
+/// Writes a trace file of the named scheduler with two served requests, ten seconds apart. Unless `complete`, its
+/// last five bytes are missing.
+fn write_trace(scheduler: &str, complete: bool) -> String {
     use chutesaddle_trace::{AnswerKind, ClassObjective, Header, Record, Writer};
     let class = ClassObjective {
         name: "draw-map".into(),
@@ -123,48 +124,49 @@
     }
     let mut bytes = writer.finish().unwrap();
     bytes.truncate(if complete { bytes.len() } else { bytes.len() - 5 });
-    let path = file(&format!("{scheduler}.trace"), "");
+    let path = write_file(&format!("{scheduler}.trace"), "");
     std::fs::write(&path, bytes).unwrap();
     path
 }
 
-fn text(output: &Output) -> String {
+fn stdout_of(output: &Output) -> String {
     assert!(output.status.success(), "{output:?}");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn trace_tools_tell_cut_and_merge() {
-    let (one, two) = (trace("n1", true), trace("n2", true));
-    let (cut, merged) = (file("cut.trace", ""), file("merged.trace", ""));
-    assert!(text(&chutesaddle(&["trace", "info", &one])).contains("4 records in 2 blocks, 0 dropped"));
-    assert!(text(&chutesaddle(&["trace", "verify", &one, &two])).contains("complete, 4 records, 0 missing"));
-    text(&chutesaddle(&["trace", "cut", &one, "--from", "5s", "-o", &cut]));
-    assert!(text(&chutesaddle(&["trace", "info", &cut])).contains("2 records in 1 blocks"));
-    text(&chutesaddle(&["trace", "merge", &one, &two, "-o", &merged]));
+fn trace_commands_inspect_cut_and_merge_files() {
+    let (first, second) = (write_trace("n1", true), write_trace("n2", true));
+    let (cut, merged) = (write_file("cut.trace", ""), write_file("merged.trace", ""));
+    assert!(stdout_of(&chutesaddle(&["trace", "info", &first])).contains("4 records in 2 blocks, 0 dropped"));
+    assert!(stdout_of(&chutesaddle(&["trace", "verify", &first, &second]))
+        .contains("complete, 4 records, 0 missing"));
+    stdout_of(&chutesaddle(&["trace", "cut", &first, "--from", "5s", "-o", &cut]));
+    assert!(stdout_of(&chutesaddle(&["trace", "info", &cut])).contains("2 records in 1 blocks"));
+    stdout_of(&chutesaddle(&["trace", "merge", &first, &second, "-o", &merged]));
     let summary =
-        |files: &[&str]| text(&chutesaddle(&[&["trace", "summary", "--form", "json"], files].concat()));
-    assert_eq!(summary(&[&merged]), summary(&[&one, &two]));
+        |files: &[&str]| stdout_of(&chutesaddle(&[&["trace", "summary", "--form", "json"], files].concat()));
+    assert_eq!(summary(&[&merged]), summary(&[&first, &second]));
     let line =
         "{\"class\":\"draw-map\",\"tenant\":\"caf\u{e9} \\\"n\\\"\",\"asked\":4,\"served\":4,\"in_time\":4";
     assert!(summary(&[&merged]).starts_with(line), "{}", summary(&[&merged]));
-    assert!(text(&chutesaddle(&["trace", "summary", &merged])).contains("worst 10 s: service 1.000"));
+    assert!(stdout_of(&chutesaddle(&["trace", "summary", &merged])).contains("worst 10 s: service 1.000"));
 }
 
 #[test]
-fn trace_tools_fail_on_what_is_broken_and_never_write_over_what_they_read() {
-    let cut_off = trace("n3", false);
-    let output = chutesaddle(&["trace", "verify", &cut_off]);
+fn trace_commands_fail_on_broken_files_and_never_overwrite_their_input() {
+    let truncated = write_trace("n3", false);
+    let output = chutesaddle(&["trace", "verify", &truncated]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stdout).contains("cut off, 4 records"), "{output:?}");
-    let before = std::fs::read(&cut_off).unwrap();
-    let output = chutesaddle(&["trace", "merge", &cut_off, "-o", &cut_off]);
+    let before = std::fs::read(&truncated).unwrap();
+    let output = chutesaddle(&["trace", "merge", &truncated, "-o", &truncated]);
     assert!(
-        String::from_utf8_lossy(&output.stderr).contains("is to be read and to be written"),
+        String::from_utf8_lossy(&output.stderr).contains("is both an input and the output"),
         "{output:?}"
     );
-    assert_eq!(std::fs::read(&cut_off).unwrap(), before);
-    let output = chutesaddle(&["trace", "info", &file("no.trace", "something else altogether")]);
+    assert_eq!(std::fs::read(&truncated).unwrap(), before);
+    let output = chutesaddle(&["trace", "info", &write_file("no.trace", "something else altogether")]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("no trace file"), "{output:?}");
 }
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -1,33 +1,34 @@
-//! `docs/on-call.md` lists each log line of the program in its exact words, and no other.
+//! Checks that `docs/on-call.md` lists exactly the log lines in the source code, word for word.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
-/// Crates that are no part of the product: what they log is not for staff on call.
-const OTHER_CRATES: [&str; 3] = ["benchmarks", "fault-injection", "test-doubles"];
-/// The heading of the list on the page.
+/// Crates that are not part of the product. Their log lines do not concern staff on call.
+const DEVELOPMENT_CRATES: [&str; 3] = ["benchmarks", "fault-injection", "test-doubles"];
+/// Heading of the section with the log lines in `docs/on-call.md`.
 const HEADING: &str = "## Log lines";
 
-/// What a line is, beside its message.
+/// Level and field names of a log line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Form {
+struct LineFormat {
     level: String,
     fields: Vec<String>,
 }
 
-type LogLines = BTreeMap<String, Form>;
+/// Log lines by message.
+type LogLines = BTreeMap<String, LineFormat>;
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The source files of the product, without their tests.
+/// Source files of the product, without tests.
 fn product_files() -> Vec<PathBuf> {
     let mut directories = vec![root().join("src")];
     for entry in std::fs::read_dir(root().join("crates")).unwrap() {
         let entry = entry.unwrap();
-        if !OTHER_CRATES.contains(&entry.file_name().to_str().unwrap()) {
+        if !DEVELOPMENT_CRATES.contains(&entry.file_name().to_str().unwrap()) {
             directories.push(entry.path().join("src"));
         }
     }
@@ -46,8 +47,8 @@
     files
 }
 
-/// The arguments of a macro call, whose text begins behind its opening parenthesis.
-fn arguments(text: &str) -> Vec<String> {
+/// Splits the arguments of a macro call. `text` starts after the opening parenthesis.
+fn split_arguments(text: &str) -> Vec<String> {
     let (mut arguments, mut argument) = (Vec::new(), String::new());
     let (mut depth, mut in_string) = (0, false);
     let mut characters = text.chars();
@@ -74,8 +75,9 @@
     arguments
 }
 
-/// The message and the fields of a call: the first string that has no name is the message, what is before it are fields.
-fn log_line(level: &str, arguments: &[String]) -> (String, Form) {
+/// Message and format of a log call. The first argument that is a string literal is the message; the ones before it
+/// are fields.
+fn log_line(level: &str, arguments: &[String]) -> (String, LineFormat) {
     let message = arguments.iter().position(|argument| argument.starts_with('"'));
     let message = message.unwrap_or_else(|| panic!("no message in {arguments:?}"));
     let field = |argument: &String| {
@@ -84,18 +86,23 @@
     };
     let fields = arguments[..message].iter().map(field).collect();
     let text = arguments[message].trim_matches('"').to_owned();
-    (text, Form { level: level.to_owned(), fields })
+    (text, LineFormat { level: level.to_owned(), fields })
 }
 
-/// Each log line of the product, from its sources.
-fn lines_of_the_code() -> LogLines {
+/// Log lines in the source code of the product.
+fn lines_in_code() -> LogLines {
     let mut lines = LogLines::new();
     for file in product_files() {
         let code = std::fs::read_to_string(&file).unwrap();
         for level in LEVELS {
-            let all = code.matches(&format!("{level}!(")).count();
-            let found = code.matches(&format!("tracing::{level}!(")).count();
-            assert_eq!(all, found, "{}: write tracing::{level}!, or this test misses it", file.display());
+            let calls = code.matches(&format!("{level}!(")).count();
+            let qualified_calls = code.matches(&format!("tracing::{level}!(")).count();
+            assert_eq!(
+                calls,
+                qualified_calls,
+                "{}: write tracing::{level}!, otherwise this test misses the call",
+                file.display()
+            );
         }
         let calls = code.split("tracing::").skip(1);
         for call in calls {
@@ -103,20 +110,24 @@
             if !LEVELS.contains(&level) {
                 continue;
             }
-            // The call may hold `tracing::` itself: its text is looked for in the whole file.
-            let begin = rest.as_ptr() as usize - code.as_ptr() as usize;
-            let (message, form) = log_line(level, &arguments(&code[begin..]));
-            let known = lines.insert(message.clone(), form.clone());
-            assert!(known.is_none_or(|known| known == form), "{}: {message:?} has two forms", file.display());
+            // The call may itself contain `tracing::`, at which `rest` ends. Parse it from the whole file instead.
+            let start = rest.as_ptr() as usize - code.as_ptr() as usize;
+            let (message, format) = log_line(level, &split_arguments(&code[start..]));
+            let known = lines.insert(message.clone(), format.clone());
+            assert!(
+                known.is_none_or(|known| known == format),
+                "{}: {message:?} is logged with different levels or fields",
+                file.display()
+            );
         }
     }
     lines
 }
 
 /// Each log line of the page: a table with the message, the level and the fields in its first columns.
-fn lines_of_the_page() -> LogLines {
+fn lines_on_page() -> LogLines {
     let page = std::fs::read_to_string(root().join("docs/on-call.md")).unwrap();
-    let (_, section) = page.split_once(HEADING).expect("the page has the section");
+    let (_, section) = page.split_once(HEADING).expect("docs/on-call.md has a section on log lines");
     let section = section.split("\n## ").next().unwrap_or_default();
     let mut lines = LogLines::new();
     for row in section.lines().filter(|line| line.starts_with("| `")) {
@@ -127,18 +138,19 @@
         assert!(!meaning.is_empty() && !what_to_do.is_empty(), "{row}");
         let names = fields.split(',').map(|name| name.trim().trim_matches('`').to_owned());
         let fields = names.filter(|name| !name.is_empty()).collect();
-        let form = Form { level: level.to_owned(), fields };
+        let format = LineFormat { level: level.to_owned(), fields };
         let message = message.trim_matches('`').to_owned();
-        assert!(lines.insert(message, form).is_none(), "twice on the page: {row}");
+        assert!(lines.insert(message, format).is_none(), "twice on the page: {row}");
     }
     lines
 }
 
 #[test]
-fn the_page_lists_each_log_line_of_the_code_and_no_other() {
-    let (code, page) = (lines_of_the_code(), lines_of_the_page());
-    let missing: Vec<_> = code.iter().filter(|(line, form)| page.get(*line) != Some(*form)).collect();
-    let stale: Vec<_> = page.iter().filter(|(line, form)| code.get(*line) != Some(*form)).collect();
+fn page_lists_exactly_the_log_lines_in_the_code() {
+    let (code, page) = (lines_in_code(), lines_on_page());
+    let missing: Vec<_> =
+        code.iter().filter(|(message, format)| page.get(*message) != Some(*format)).collect();
+    let stale: Vec<_> = page.iter().filter(|(message, format)| code.get(*message) != Some(*format)).collect();
     assert!(
         missing.is_empty() && stale.is_empty(),
         "not on the page: {missing:#?}\nnot in the code: {stale:#?}"
@@ -147,8 +159,8 @@
 }
 
 #[test]
-fn messages_are_fixed_and_begin_in_lower_case() {
-    for message in lines_of_the_code().keys() {
+fn messages_are_constant_and_start_in_lower_case() {
+    for message in lines_in_code().keys() {
         assert!(!message.contains('{'), "{message:?} has data in its message");
         assert!(message.starts_with(|first: char| !first.is_uppercase()), "{message:?}");
     }
