--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -88,7 +88,7 @@
 impl EndpointListUpdate {
     /// Parses a message; `None` if the version or the list of entries is missing. Invalid entries are counted and
     /// skipped, so that one of them does not invalidate the others.
-    pub fn read(value: &Value) -> Option<Self> {
+    pub fn parse(value: &Value) -> Option<Self> {
         let version = value.get_u64(fields::VERSION)?;
         // Not `get_array`: in simd-json 0.15 its slice of the tape is one node short, so that reading the last
         // entry panics.
--- a/src/config/platform_file.rs
+++ b/src/config/platform_file.rs
@@ -126,7 +126,7 @@
         let gossip = if settings.gossip_allowed { GossipAddresses::parse(&root)? } else { None };
         settings.gossip_allowed = gossip.is_some();
         let known_endpoints = root.get(fields::KNOWN_ENDPOINTS);
-        let known_endpoints = known_endpoints.and_then(|known| EndpointListUpdate::read(&known));
+        let known_endpoints = known_endpoints.and_then(|known| EndpointListUpdate::parse(&known));
         let limits = root.get(fields::LIMITS);
         let descriptor_limit = limits.and_then(|limits| limits.get_usize(fields::DESCRIPTOR_LIMIT));
         let has_operator_listen = root.get(fields::OPERATOR_LISTEN).is_some();
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -26,7 +26,7 @@
 /// Deadline of requests whose class specifies none, in seconds.
 const DEFAULT_DEADLINE_S: f64 = 60.0;
 
-/// External names of the effects of a repeated request.
+/// External names of the kinds of idempotency.
 const IDEMPOTENCY_VALUES: [(&str, Idempotency); 3] = [
     ("repeatable", Idempotency::Idempotent),
     ("by_key", Idempotency::WithKey),
@@ -97,7 +97,7 @@
     Ok(classes)
 }
 
-/// Parses the settings below one class; those in a list with a value for each class are added by the caller.
+/// Parses the settings below one class. The caller adds those from lists with one value per class.
 fn parse_class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingsError> {
     let key = |field: &str| keys::item_key(keys::CLASSES, index, field);
     let objective_per_work = values.number(&key(keys::CLASS_OBJECTIVE_STRETCH), 0.0)?;
@@ -137,15 +137,15 @@
 /// Meaning of a load report value. The meaning of two of the names is itself a setting.
 fn load_report_field(values: &KeyValues, name: &str) -> LoadReportField {
     let meaning = match name {
-        keys::REPORT_NAME_X0 => values.text(keys::REPORT_MEANING_X0),
-        keys::REPORT_NAME_X1 => values.text(keys::REPORT_MEANING_X1),
+        keys::REPORT_NAME_X0 => values.raw_value(keys::REPORT_MEANING_X0),
+        keys::REPORT_NAME_X1 => values.raw_value(keys::REPORT_MEANING_X1),
         other => other,
     };
     let field = LOAD_REPORT_MEANINGS.iter().find(|(known, _)| *known == meaning);
     field.map_or(LoadReportField::Other, |(_, field)| *field)
 }
 
-/// Parses the scheduler's position in the deployment, the interval of events and the zones and kinds.
+/// Parses the scheduler's position in the deployment, its event interval, the zones and the worker kinds.
 fn parse_deployment(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.scheduler_index = values.get(keys::SCHEDULER_INDEX, settings.scheduler_index)?;
     settings.scheduler_count = values.get(keys::SCHEDULER_COUNT, settings.scheduler_count)?.max(1);
@@ -183,7 +183,7 @@
 fn parse_discovery(values: &KeyValues, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.discovery_polled =
         values.one_of(keys::DISCOVERY_MODE, &DISCOVERY_MODE_VALUES, settings.discovery_polled)?;
-    settings.weights_show_load = values.text(keys::WEIGHTS) == WEIGHTS_SHOW_LOAD_VALUE;
+    settings.weights_show_load = values.raw_value(keys::WEIGHTS) == WEIGHTS_SHOW_LOAD_VALUE;
     settings.max_poll_interval_s = values.number(keys::MAX_POLL_INTERVAL, settings.max_poll_interval_s)?;
     settings.drain_grace_s = values.number(keys::DRAIN_GRACE, settings.drain_grace_s)?;
     Ok(())
--- a/src/config/settings/key_values.rs
+++ b/src/config/settings/key_values.rs
@@ -34,14 +34,14 @@
     }
 
     /// The unparsed value, or an empty string if the key is missing.
-    pub(super) fn text(&self, key: &str) -> &str {
+    pub(super) fn raw_value(&self, key: &str) -> &str {
         self.0.get(key).copied().unwrap_or_default()
     }
 
     /// The parsed value, or `default` if the key is missing.
     pub(super) fn get<T: FromStr>(&self, key: &str, default: T) -> Result<T, SettingsError> {
         let Some(value) = self.0.get(key) else { return Ok(default) };
-        value.parse().map_err(|_| SettingsError::new(key, value)) // the value in the error suffices
+        value.parse().map_err(|_| SettingsError::new(key, value)) // the key and the value suffice
     }
 
     /// Like [`KeyValues::get`] for a number, which must be finite and not negative.
@@ -50,7 +50,7 @@
         if value.is_finite() && value >= 0.0 {
             return Ok(value);
         }
-        Err(SettingsError::new(key, self.text(key)))
+        Err(SettingsError::new(key, self.raw_value(key)))
     }
 
     /// The meaning of the value, which must be one of the names in `meanings`, or `default` if the key is missing.
@@ -77,7 +77,7 @@
 
     /// The items of a comma-separated list; empty if the key is missing.
     pub(super) fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>, SettingsError> {
-        let value = self.text(key);
+        let value = self.raw_value(key);
         let items = value.split(',').filter(|item| !item.is_empty());
         items.map(|item| item.parse().map_err(|_| SettingsError::new(key, value))).collect()
     }
--- a/src/config/settings/keys.rs
+++ b/src/config/settings/keys.rs
@@ -23,9 +23,9 @@
 pub(super) const CLASS_IDEMPOTENCY: &str = "effect";
 pub(super) const CLASS_DEDUPLICATION_SCOPE: &str = "group";
 pub(super) const CLASS_DEDUPLICATION_WINDOW: &str = "window_s";
-/// List with one value for each class, in the order of [`CLASSES`].
+/// List with one value per class, in the order of [`CLASSES`].
 pub(super) const CLASS_OBJECTIVE_PER_WORK: &str = "specifics.class_stretch";
-/// List with one value for each class, in the order of [`CLASSES`].
+/// List with one value per class, in the order of [`CLASSES`].
 pub(super) const CLASS_REQUIRED_KIND: &str = "specifics.class_kind";
 
 /// List of the tenants. The following keys are fields of a tenant.
--- a/src/config/settings/reconfigure.rs
+++ b/src/config/settings/reconfigure.rs
@@ -46,18 +46,18 @@
             ),
             ..new
         };
-        let zone = zone_name.and_then(|name| position(&settings.zones, &name));
+        let zone = zone_name.and_then(|name| index_of(&settings.zones, &name));
         settings.zone = zone.and_then(|zone| u16::try_from(zone).ok()).unwrap_or(settings.zone);
         for class in &mut settings.classes {
             let kind_name = class.required_kind.and_then(|kind| new_kinds.get(kind));
-            let kind = kind_name.and_then(|name| position(&settings.worker_kinds, name));
+            let kind = kind_name.and_then(|name| index_of(&settings.worker_kinds, name));
             class.required_kind = kind.or(class.required_kind);
         }
         ReconfiguredSettings { settings, lists_with_retained_names }
     }
 }
 
-fn position(names: &[String], name: &String) -> Option<usize> {
+fn index_of(names: &[String], name: &String) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -166,7 +166,7 @@
     fn list_received(&mut self, line: &mut [u8]) {
         tracing::trace!(line = %line.escape_ascii(), "endpoint list received");
         let tape = simd_json::to_tape(line);
-        let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::read(&tape.as_value())) else {
+        let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::parse(&tape.as_value())) else {
             return self.count_malformed("line");
         };
         if update.unreadable_entries > 0 {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -21,13 +21,13 @@
         "report":{"how":"answers","fields":["eps","x0"]},
         "specifics":{"report_x0":"free_slots","class_stretch":[2.5,2],"class_kind":[-1,-1]}}}"#;
 
-fn read(text: &str) -> Result<Config, String> {
+fn parse(text: &str) -> Result<Config, String> {
     Config::parse(&mut text.as_bytes().to_vec()).map_err(|error| error.to_string())
 }
 
 #[test]
 fn parses_nested_settings() {
-    let config = read(PLATFORM_FILE).unwrap();
+    let config = parse(PLATFORM_FILE).unwrap();
     let settings = &config.settings;
     assert_eq!((config.seed, config.descriptor_limit), (0x8c1f_30d2_7a5b_e964, 512));
     assert_eq!(
@@ -52,7 +52,7 @@
 /// The slice that simd-json 0.15's `get_array` returns is one node short, so that reading the last entry panics.
 #[test]
 fn parses_the_last_entry_of_the_known_endpoint_list() {
-    let known = read(PLATFORM_FILE).unwrap().known_endpoints;
+    let known = parse(PLATFORM_FILE).unwrap().known_endpoints;
     assert_eq!((known.version, known.complete_snapshot, known.unreadable_entries), (41, true, 1));
     let entries: Vec<_> =
         known.entries.iter().map(|entry| (entry.name.as_str(), entry.state, entry.started_at_s)).collect();
@@ -72,17 +72,17 @@
         (&allowed(PLATFORM_FILE), false),
         (&allowed(&with_addresses), true),
     ] {
-        let config = read(text).unwrap();
+        let config = parse(text).unwrap();
         assert_eq!((config.settings.gossip_allowed, config.gossip.is_some()), (enabled, enabled));
     }
-    let gossip = read(&allowed(&with_addresses)).unwrap().gossip.unwrap();
+    let gossip = parse(&allowed(&with_addresses)).unwrap().gossip.unwrap();
     assert_eq!((gossip.peers.len(), gossip.broadcast.port(), gossip.listen.port()), (2, 1, 7946));
     for (from, to, field) in [
         ("127.0.0.3:1", "nowhere", "peers"),
         ("peers_all", "others", "peers_all"),
         ("7946", "", "peer_listen"),
     ] {
-        let error = read(&allowed(&with_addresses).replace(from, to)).unwrap_err();
+        let error = parse(&allowed(&with_addresses).replace(from, to)).unwrap_err();
         assert!(error.contains(field), "{error}");
     }
 }
@@ -96,10 +96,10 @@
         ("\"balancers\":3", "\"balancers\":\"x\"", "balancers"),
         ("\"settings\"", "\"other\"", "settings"),
     ] {
-        let error = read(&PLATFORM_FILE.replace(from, to)).unwrap_err();
+        let error = parse(&PLATFORM_FILE.replace(from, to)).unwrap_err();
         assert!(error.contains(field), "{error}");
     }
-    assert!(read("{").unwrap_err().contains("not JSON"));
+    assert!(parse("{").unwrap_err().contains("not JSON"));
 }
 
 const SETTINGS_LINES: &str = "balancers=3\nindex=2\ntick_s=0.005\nareas=a,b\nkinds=m1,m2\ngrades.count=1\n\
@@ -134,7 +134,7 @@
             replace_in_both("[\"eps\",\"x0\"]", "[]", "fields=eps,x0", "fields=");
         }
         let (json_settings, line_settings) =
-            (read(&text).unwrap().settings, lines.parse::<Settings>().unwrap());
+            (parse(&text).unwrap().settings, lines.parse::<Settings>().unwrap());
         assert_eq!(
             json_settings, line_settings,
             "{schedulers} schedulers, reports {reports}, probes {probes}"
@@ -166,7 +166,7 @@
         .replace("\"seed\"", GOSSIP_ADDRESSES)
         .replace("\"listen\"", "\"ops\":\"127.0.0.1:7071\",\"listen\"");
     let text = text.replace("\"probes\":true", "\"peer_messages\":true");
-    let config = read(&text).unwrap();
+    let config = parse(&text).unwrap();
     assert_eq!(config.name, "n3");
     assert_eq!(config.listen, "127.0.0.1:7070".parse().unwrap());
     assert_eq!(config.operator_listen, Some("127.0.0.1:7071".parse().unwrap()));
@@ -178,8 +178,8 @@
     assert_eq!(gossip.peers, ["127.0.0.2:1".parse().unwrap(), "127.0.0.3:1".parse().unwrap()]);
     assert_eq!(gossip.broadcast, "127.0.0.4:1".parse().unwrap());
     assert_eq!((config.settings.scheduler_count, config.known_endpoints.version), (3, 41));
-    let without_limit = read(&text.replace("\"sockets\"", "\"others\"")).unwrap();
-    assert_eq!((without_limit.descriptor_limit, read(PLATFORM_FILE).unwrap().operator_listen), (1024, None));
+    let without_limit = parse(&text.replace("\"sockets\"", "\"others\"")).unwrap();
+    assert_eq!((without_limit.descriptor_limit, parse(PLATFORM_FILE).unwrap().operator_listen), (1024, None));
 }
 
 #[test]
@@ -188,7 +188,7 @@
         "weight":1.5,"started_ms":2500},{"id":"s-2","state":"left"},{"id":"s-3","addr":"10.1.0.19:7070",
         "state":"leaving"},{"id":"s-4","addr":"10.1.0.20:7070","state":"elsewhere"},{"id":"s-5","state":"active"}"#;
     let known = format!(r#""known":{{"version":43,"full":false,"servers":[{entries}]}},"unused":{{"#);
-    let known = read(&PLATFORM_FILE.replace("\"known\":{", &known)).unwrap().known_endpoints;
+    let known = parse(&PLATFORM_FILE.replace("\"known\":{", &known)).unwrap().known_endpoints;
     let active = EndpointEntry {
         name: "s-1".into(),
         address: Some("10.1.0.18:7070".parse().unwrap()),
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -124,7 +124,7 @@
     lines
 }
 
-/// Each log line of the page: a table with the message, the level and the fields in its first columns.
+/// Log lines in the table of the page, whose first columns are the message, the level and the fields.
 fn lines_on_page() -> LogLines {
     let page = std::fs::read_to_string(root().join("docs/on-call.md")).unwrap();
     let (_, section) = page.split_once(HEADING).expect("docs/on-call.md has a section on log lines");
