--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -19,11 +19,11 @@
 use chutesaddle::server::engine::Engine;
 use chutesaddle::server::engine_queue::EngineQueue;
 use chutesaddle::server::frontend::Frontend;
-use chutesaddle::server::lifecycle::handover::{self, Handover, Predecessor, TakenListener};
+use chutesaddle::server::lifecycle::handover::{self, AcquiredListener, Handover, Predecessor};
 use chutesaddle::server::lifecycle::operator_file::{self, OperatorFileError};
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
-use chutesaddle::server::lifecycle::reload::Reload;
+use chutesaddle::server::lifecycle::reload::ConfigReloader;
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipSender, GossipTransport};
@@ -88,9 +88,10 @@
 
     let address = files.config.listen;
     let socket_path = handover::socket_path();
-    let TakenListener { listener, predecessor } = handover::take_listener(socket_path.as_deref(), address)
-        .await
-        .map_err(|error| ServeError::Listen(address, error))?;
+    let AcquiredListener { listener, predecessor } =
+        handover::acquire_listener(socket_path.as_deref(), address)
+            .await
+            .map_err(|error| ServeError::Listen(address, error))?;
     let address = listener.local_addr().unwrap_or(address);
     let name = files.config.name.clone();
 
@@ -126,7 +127,7 @@
     fn read(arguments: Serve) -> Result<Self, ServeError> {
         let config_path = arguments.config.ok_or(ServeError::NoConfig)?;
         let config = Config::load(&config_path)?;
-        let site_links = operator_file::load_if_named(arguments.operator.as_deref())?;
+        let site_links = operator_file::load_optional(arguments.operator.as_deref())?;
         let operator_listen = config.operator_listen.or(arguments.ops);
         Ok(Files { config, config_path, operator_path: arguments.operator, site_links, operator_listen })
     }
@@ -200,7 +201,7 @@
     discovery_watch: DiscoveryWatch,
     discovery_address: watch::Receiver<SocketAddr>,
     gossip: GossipTransport,
-    reload: Reload,
+    reload: ConfigReloader,
     frontend: Rc<Frontend>,
     handover: Rc<Handover>,
     site_links: Option<Rc<SiteLinks>>,
@@ -223,7 +224,7 @@
         gossip_addresses,
     );
     let handover = build_handover(listening, &frontend, &queue, shared);
-    let reload = Reload {
+    let reload = ConfigReloader {
         config_path,
         operator_path,
         name: config.name,
@@ -353,7 +354,7 @@
     let mut empty_since = None;
     loop {
         sleep(DRAIN_CHECK_INTERVAL).await;
-        let admission_over = !lifecycle.admission_is_open() && lifecycle.closes_idle_connections();
+        let admission_over = !lifecycle.admission_is_open() && lifecycle.should_close_idle_connections();
         let empty = frontend.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
         if !admission_over || !empty {
             empty_since = None;
--- a/src/server/frontend/closing.rs
+++ b/src/server/frontend/closing.rs
@@ -28,9 +28,10 @@
         loop {
             // Fails only if the sender is dropped, and the lifecycle owns it.
             let _ = phase.wait_for(|phase| phase.is_draining()).await;
-            if self.lifecycle.closes_idle_connections() {
+            if self.lifecycle.should_close_idle_connections() {
                 while self.eviction_candidates.evict_up_to(EvictionClass::Idle) {}
-                let event = if self.is_empty() { LifecycleEvent::Emptied } else { LifecycleEvent::Occupied };
+                let event =
+                    if self.is_empty() { LifecycleEvent::FrontendIdle } else { LifecycleEvent::FrontendBusy };
                 self.lifecycle.notify(event);
             }
             sleep(DRAIN_INTERVAL).await;
--- a/src/server/frontend/connection_handoff.rs
+++ b/src/server/frontend/connection_handoff.rs
@@ -54,7 +54,7 @@
     /// Hands an idle connection over to the successor. Bytes that the client sends meanwhile wait in the socket.
     pub(super) fn hand_over(&self, client: ClientConnection) {
         // A successor that uses another frame format gets no frame: the connection is closed between two requests.
-        let successor = self.successor.borrow().clone().filter(FrameSender::has_same_form);
+        let successor = self.successor.borrow().clone().filter(FrameSender::has_same_format);
         // `into_parts` fails only if the socket is broken.
         if let (Some(successor), Ok(parts)) = (successor, client.http.into_parts()) {
             self.counters.connections_passed_on.add();
--- a/src/server/frontend/request_handling.rs
+++ b/src/server/frontend/request_handling.rs
@@ -108,7 +108,7 @@
         let settings = self.settings();
         let longest_deadline_s = settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
         let longest_deadline = Duration::from_secs_f64(longest_deadline_s);
-        if let Some(shutdown_deadline) = self.lifecycle.answer_deadline(longest_deadline) {
+        if let Some(shutdown_deadline) = self.lifecycle.shutdown_deadline(longest_deadline) {
             request.deadline = request.deadline.min(shutdown_deadline);
         }
         // The engine answers before this. The timeout keeps an engine bug from blocking a client forever.
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -1,19 +1,19 @@
-//! Whether this process takes work, and everything that changes that: start, PAUSE, RESUME, upgrade, SIGTERM.
+//! The process lifecycle: startup, PAUSE, RESUME, upgrade and SIGTERM.
 //!
-//! [`Lifecycle`] owns the one [`Phase`] of the process. Nobody else sets it: the modules below only report a
-//! [`LifecycleEvent`], and `Phase::after` decides what follows. The frontend asks here whether a request is admitted
-//! and whether idle connections are to be closed; gossip and the site links watch the phase.
+//! [`Lifecycle`] owns the [`Phase`] of the process. Other modules report a [`LifecycleEvent`], and `Phase::transition`
+//! determines the next phase. The frontend queries the lifecycle to decide whether to admit a request and whether to
+//! close idle connections. Gossip and the site links watch the phase.
 //!
-//! | module | question it answers |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`handover`] | how a new process takes over from the one that serves (an upgrade) |
-//! | [`handover_frames`] | what the two processes of an upgrade send each other, and in which bytes |
-//! | [`peer_processes`] | which processes of an upgrade are linked, and which requests are open there |
-//! | [`operator_interface`] | how STATUS, METRICS, PAUSE and RESUME come in |
-//! | [`operator_file`] | how the operator's own file is read |
-//! | [`reload`] | what SIGHUP changes while requests are in flight |
+//! | [`handover`] | an upgrade: a new process takes over from the serving one |
+//! | [`handover_frames`] | messages between the two processes of an upgrade, and their encoding |
+//! | [`peer_processes`] | links to the other processes of an upgrade, and the requests open in them |
+//! | [`operator_interface`] | the STATUS, METRICS, PAUSE and RESUME commands |
+//! | [`operator_file`] | loading the operator's configuration file |
+//! | [`reload`] | applying configuration changes on SIGHUP while requests are in flight |
 //!
-//! The order of start-up and of exit is in `src/cli/serve.rs`; crossing events are listed in `docs/races.md`.
+//! The startup and shutdown sequences are in `src/cli/serve.rs`. Races between events are listed in `docs/races.md`.
 
 pub mod handover;
 pub mod handover_frames;
@@ -31,37 +31,40 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Requests are admitted for this long after PAUSE: the front layer polls `/ready` ten times a second and sends
-/// new connections for a while after the first 503.
-const PAUSE_ADMISSION: Duration = Duration::from_millis(1400);
-/// The same after SIGTERM, which leaves less time.
-const STOP_ADMISSION: Duration = Duration::from_millis(500);
-/// Idle connections of clients stay open this long, so that the front layer has read the 503 before they close.
-const IDLE_GRACE: Duration = Duration::from_millis(500);
-/// After PAUSE a request is rejected if its message was complete later than this, whenever it began.
-const PAUSE_COMPLETION: Duration = Duration::from_millis(1900);
-/// After SIGTERM the platform waits for the longest deadline, but for no more than this and 0.7 s, before it kills the process.
-/// The process sets itself no limit: this only shortens the deadlines of late messages ([`Lifecycle::answer_deadline`]).
-const PLATFORM_STOP_WAIT: Duration = Duration::from_secs(3);
+/// How long after PAUSE new requests are still admitted. The front layer polls `/ready` ten times a second and keeps
+/// sending new connections for a while after the first 503.
+const PAUSE_ADMISSION_WINDOW: Duration = Duration::from_millis(1400);
+/// How long after SIGTERM new requests are still admitted. Shorter than after PAUSE because the platform kills the
+/// process soon after SIGTERM.
+const STOP_ADMISSION_WINDOW: Duration = Duration::from_millis(500);
+/// How long idle client connections stay open once the process drains. The front layer must see the 503 of `/ready`
+/// before they close.
+const IDLE_CONNECTION_GRACE: Duration = Duration::from_millis(500);
+/// After PAUSE, a request received completely later than this is rejected, regardless of when it began to arrive.
+const PAUSE_COMPLETION_WINDOW: Duration = Duration::from_millis(1900);
+/// After SIGTERM the platform waits for the longest deadline, but at most this plus 0.7 s, before it kills the process.
+/// The process does not limit its own shutdown: this value only shortens the deadlines of requests that are received
+/// late ([`Lifecycle::shutdown_deadline`]).
+const PLATFORM_KILL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the process does about clients; see `Phase::after` for the transitions.
+/// Lifecycle phase of the process. `Phase::transition` lists the transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// A new process that does not serve yet.
+    /// The process has started and does not serve yet.
     Starting,
-    /// It admits requests.
+    /// The process admits requests.
     Serving,
-    /// PAUSE came: requests in flight are finished, new ones rejected.
+    /// Paused: requests in flight complete, new ones are rejected.
     Draining,
-    /// PAUSE came, and no client's request is left; RESUME is awaited.
+    /// Paused, and no client request is left. Waits for RESUME.
     Drained,
-    /// A successor accepts connections at this address; this process finishes what it has.
+    /// A successor accepts connections at this address. This process finishes its remaining requests.
     Replaced,
-    /// SIGTERM came: the process drains and exits.
+    /// SIGTERM was received: the process drains and exits.
     Stopping,
 }
 
-/// What can change the phase.
+/// An event that may change the phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
     /// The process is ready to accept connections.
@@ -70,25 +73,25 @@
     PauseRequested,
     /// An operator sent RESUME.
     ResumeRequested,
-    /// The frontend looked and holds no client's request.
-    Emptied,
-    /// The frontend looked and holds a client's request.
-    Occupied,
-    /// A successor has begun to serve.
+    /// The frontend has no client request.
+    FrontendIdle,
+    /// The frontend has at least one client request.
+    FrontendBusy,
+    /// A successor has started to serve.
     SuccessorServing,
-    /// The successor has exited or its link has broken.
+    /// The successor has exited, or the link to it broke.
     SuccessorLost,
-    /// SIGTERM came.
+    /// SIGTERM was received.
     Terminated,
 }
 
-/// Why an operator's command changes nothing: the process is in a phase that operators cannot change.
+/// Error returned for an operator command in a phase that operators cannot change.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("this process is {}", .0.name())]
 pub struct TransitionRejected(pub Phase);
 
 impl Phase {
-    /// Whether the process drains: answers then say that their connection closes.
+    /// Whether the process is draining. Responses then announce that the connection closes.
     pub fn is_draining(self) -> bool {
         match self {
             Phase::Draining | Phase::Drained | Phase::Stopping => true,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Its name in the answers of the operator interface and of `/ready`.
+    /// Name of the phase in answers of the operator interface and of `/ready`.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -108,58 +111,60 @@
         }
     }
 
-    /// The phase that follows an event. All transitions are here.
+    /// Returns the phase that follows an event. All transitions are defined here.
     ///
     /// | event | from | to | reason |
     /// | --- | --- | --- | --- |
-    /// | `Started` | starting | serving | the listener is ready; after SIGTERM it is too late to serve |
-    /// | `PauseRequested` | serving | draining | the operator wants the process empty |
-    /// | | draining, drained | unchanged | asked for already |
-    /// | | starting, replaced, stopping | rejected | a predecessor, a successor or SIGTERM decides |
-    /// | `ResumeRequested` | serving, draining, drained | serving | the operator wants work to be taken again |
+    /// | `Started` | starting | serving | the listener is ready; a process that is stopping does not start to serve |
+    /// | `PauseRequested` | serving | draining | the operator drains the process |
+    /// | | draining, drained | unchanged | already paused |
+    /// | | starting, replaced, stopping | rejected | the phase depends on a predecessor, a successor or SIGTERM |
+    /// | `ResumeRequested` | serving, draining, drained | serving | the operator puts the process back into service |
     /// | | starting, replaced, stopping | rejected | as for `PauseRequested` |
-    /// | `Emptied` | draining | drained | the last request is answered |
-    /// | `Occupied` | drained | draining | a request that began in time was admitted |
-    /// | `SuccessorServing` | serving, draining, drained | replaced | one process accepts connections |
-    /// | `SuccessorLost` | replaced | serving | nobody else accepts connections; an earlier PAUSE is forgotten |
-    /// | `Terminated` | any | stopping | nothing takes SIGTERM back |
+    /// | `FrontendIdle` | draining | drained | the last request was answered |
+    /// | `FrontendBusy` | drained | draining | a request that began to arrive in time was admitted |
+    /// | `SuccessorServing` | serving, draining, drained | replaced | only one process accepts connections |
+    /// | `SuccessorLost` | replaced | serving | no other process accepts connections; an earlier PAUSE no longer applies |
+    /// | `Terminated` | any | stopping | SIGTERM cannot be revoked |
     ///
-    /// In every other phase an event changes nothing.
+    /// An event leaves any phase not listed for it unchanged.
     ///
     /// # Errors
-    /// If an operator's command is rejected.
-    fn after(self, event: LifecycleEvent) -> Result<Phase, TransitionRejected> {
-        use LifecycleEvent as On;
+    /// Returns an error if an operator command is rejected.
+    fn transition(self, event: LifecycleEvent) -> Result<Phase, TransitionRejected> {
+        use LifecycleEvent as Event;
         use Phase::{Drained, Draining, Replaced, Serving, Starting, Stopping};
         match (event, self) {
-            (On::Started, Starting) => Ok(Serving),
-            (On::Started, Serving | Draining | Drained | Replaced | Stopping) => Ok(self),
-            (On::PauseRequested, Serving) => Ok(Draining),
-            (On::PauseRequested, Draining | Drained) => Ok(self),
-            (On::ResumeRequested, Serving | Draining | Drained) => Ok(Serving),
-            (On::PauseRequested | On::ResumeRequested, Starting | Replaced | Stopping) => {
+            (Event::Started, Starting) => Ok(Serving),
+            (Event::Started, Serving | Draining | Drained | Replaced | Stopping) => Ok(self),
+            (Event::PauseRequested, Serving) => Ok(Draining),
+            (Event::PauseRequested, Draining | Drained) => Ok(self),
+            (Event::ResumeRequested, Serving | Draining | Drained) => Ok(Serving),
+            (Event::PauseRequested | Event::ResumeRequested, Starting | Replaced | Stopping) => {
                 Err(TransitionRejected(self))
             }
-            (On::Emptied, Draining) => Ok(Drained),
-            (On::Emptied, Starting | Serving | Drained | Replaced | Stopping) => Ok(self),
-            (On::Occupied, Drained) => Ok(Draining),
-            (On::Occupied, Starting | Serving | Draining | Replaced | Stopping) => Ok(self),
-            (On::SuccessorServing, Serving | Draining | Drained) => Ok(Replaced),
-            (On::SuccessorServing, Starting | Replaced | Stopping) => Ok(self),
-            (On::SuccessorLost, Replaced) => Ok(Serving),
-            (On::SuccessorLost, Starting | Serving | Draining | Drained | Stopping) => Ok(self),
-            (On::Terminated, Starting | Serving | Draining | Drained | Replaced | Stopping) => Ok(Stopping),
+            (Event::FrontendIdle, Draining) => Ok(Drained),
+            (Event::FrontendIdle, Starting | Serving | Drained | Replaced | Stopping) => Ok(self),
+            (Event::FrontendBusy, Drained) => Ok(Draining),
+            (Event::FrontendBusy, Starting | Serving | Draining | Replaced | Stopping) => Ok(self),
+            (Event::SuccessorServing, Serving | Draining | Drained) => Ok(Replaced),
+            (Event::SuccessorServing, Starting | Replaced | Stopping) => Ok(self),
+            (Event::SuccessorLost, Replaced) => Ok(Serving),
+            (Event::SuccessorLost, Starting | Serving | Draining | Drained | Stopping) => Ok(self),
+            (Event::Terminated, Starting | Serving | Draining | Drained | Replaced | Stopping) => {
+                Ok(Stopping)
+            }
         }
     }
 }
 
-/// The phase of this process, and the times that follow from when it began to drain.
+/// The phase of this process and the time limits of a drain.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
-    /// When PAUSE or SIGTERM, whichever was first, began the drain.
-    drain_began: Cell<Instant>,
-    /// Messages that begin before this are admitted though the process drains.
-    admission_closes: Cell<Instant>,
+    /// When the current drain was started, by PAUSE or SIGTERM, whichever came first.
+    drain_started_at: Cell<Instant>,
+    /// While draining, requests that begin to arrive before this time are still admitted.
+    admission_closes_at: Cell<Instant>,
 }
 
 impl Default for Lifecycle {
@@ -167,19 +172,19 @@
         let now = Instant::now();
         Lifecycle {
             phase: watch::Sender::new(Phase::Starting),
-            drain_began: Cell::new(now),
-            admission_closes: Cell::new(now),
+            drain_started_at: Cell::new(now),
+            admission_closes_at: Cell::new(now),
         }
     }
 }
 
 impl Lifecycle {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Notifies of each new phase.
+    /// Subscribes to phase changes.
     pub fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
@@ -189,72 +194,77 @@
         self.phase() == Phase::Serving
     }
 
-    /// Whether a request is admitted whose message began to arrive at `began` and is complete now.
-    pub fn admits(&self, began: Instant) -> bool {
+    /// Whether to admit a request that began to arrive at `started_at` and has now been received completely.
+    pub fn admits(&self, started_at: Instant) -> bool {
         match self.phase() {
             Phase::Starting | Phase::Serving | Phase::Replaced => true,
             Phase::Draining | Phase::Drained => {
-                let began_in_time = began < self.admission_closes.get();
-                let complete_in_time = Instant::now() < self.drain_began.get() + PAUSE_COMPLETION;
-                began_in_time && complete_in_time
+                let started_in_time = started_at < self.admission_closes_at.get();
+                let complete_in_time = Instant::now() < self.drain_started_at.get() + PAUSE_COMPLETION_WINDOW;
+                started_in_time && complete_in_time
             }
-            Phase::Stopping => began < self.admission_closes.get(),
+            Phase::Stopping => started_at < self.admission_closes_at.get(),
         }
     }
 
-    /// Whether messages that begin now may still be admitted, once PAUSE or SIGTERM has come.
+    /// Whether requests that begin to arrive now may still be admitted. Meaningful only after PAUSE or SIGTERM.
     pub fn admission_is_open(&self) -> bool {
-        Instant::now() < self.admission_closes.get()
+        Instant::now() < self.admission_closes_at.get()
     }
 
-    /// Whether idle connections of clients are to be closed.
-    pub fn closes_idle_connections(&self) -> bool {
-        self.phase().is_draining() && Instant::now() >= self.drain_began.get() + IDLE_GRACE
+    /// Whether idle client connections should be closed.
+    pub fn should_close_idle_connections(&self) -> bool {
+        self.phase().is_draining() && Instant::now() >= self.drain_started_at.get() + IDLE_CONNECTION_GRACE
     }
 
-    /// By when a request must be answered whose message is complete only now, long after SIGTERM: what is
-    /// open when the platform stops waiting would be lost. `longest_deadline` is that of all classes.
-    pub fn answer_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
-        let admission_is_over = Instant::now() > self.drain_began.get() + STOP_ADMISSION;
-        if self.phase() != Phase::Stopping || !admission_is_over {
+    /// The time by which a request must be answered if it was received completely only after the admission window of
+    /// SIGTERM. Any request still open when the platform kills the process is lost. `longest_deadline` is the longest
+    /// deadline of any request class.
+    pub fn shutdown_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
+        let admission_closed = Instant::now() > self.drain_started_at.get() + STOP_ADMISSION_WINDOW;
+        if self.phase() != Phase::Stopping || !admission_closed {
             return None;
         }
-        Some(self.drain_began.get() + longest_deadline.min(PLATFORM_STOP_WAIT) + STOP_ADMISSION / 2)
+        Some(
+            self.drain_started_at.get()
+                + longest_deadline.min(PLATFORM_KILL_TIMEOUT)
+                + STOP_ADMISSION_WINDOW / 2,
+        )
     }
 
-    /// Takes an event: the only function that changes the phase.
+    /// Applies an event. This is the only function that changes the phase.
     ///
     /// # Errors
-    /// If the event is an operator's command, and the process is starting, replaced or stopping.
+    /// Returns an error if the event is an operator command and the process is starting, replaced or stopping.
     pub fn handle(&self, event: LifecycleEvent) -> Result<(), TransitionRejected> {
         let phase = self.phase();
-        let next = phase.after(event)?;
+        let next = phase.transition(event)?;
         if next.is_draining() {
-            self.limit_admission(phase, event);
+            self.set_drain_times(phase, event);
         }
-        // RESUME notifies also where nothing changes: gossip then opens its socket anew.
+        // RESUME notifies watchers even if the phase does not change, so that gossip reopens its socket.
         if next != phase || event == LifecycleEvent::ResumeRequested {
             self.phase.send_replace(next);
         }
         Ok(())
     }
 
-    /// Sets the times of a drain that begins; SIGTERM only shortens those of a drain that is under way.
-    fn limit_admission(&self, phase: Phase, event: LifecycleEvent) {
+    /// Sets the time limits when a drain starts. During a drain, SIGTERM only shortens them.
+    fn set_drain_times(&self, phase: Phase, event: LifecycleEvent) {
         let now = Instant::now();
         let terminated = event == LifecycleEvent::Terminated;
-        let closes = now + if terminated { STOP_ADMISSION } else { PAUSE_ADMISSION };
+        let closes_at = now + if terminated { STOP_ADMISSION_WINDOW } else { PAUSE_ADMISSION_WINDOW };
         if !phase.is_draining() {
-            self.drain_began.set(now);
-            self.admission_closes.set(closes);
+            self.drain_started_at.set(now);
+            self.admission_closes_at.set(closes_at);
         } else if terminated {
-            self.admission_closes.set(self.admission_closes.get().min(closes));
+            self.admission_closes_at.set(self.admission_closes_at.get().min(closes_at));
         }
     }
 
-    /// Reports an event that is no operator's command.
+    /// Reports an event other than an operator command.
     pub fn notify(&self, event: LifecycleEvent) {
-        let handled = self.handle(event);
-        debug_assert!(handled.is_ok(), "only operators' commands are rejected");
+        let result = self.handle(event);
+        debug_assert!(result.is_ok(), "only operator commands are rejected");
     }
 }
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -1,18 +1,18 @@
-//! The upgrade: a new process, the successor, takes over from the one that serves, and no client notices.
+//! Zero-downtime upgrade: a new process, the successor, takes over from the serving process, its predecessor.
 //!
-//! 1. The predecessor listens on a Unix socket in `$TMPDIR`. The successor connects there ([`take_listener`]) and is
-//!    sent the listener on which clients are accepted: no connection in its queue is refused or reset.
-//! 2. The successor waits for the endpoint list, serves, and sends `Serving` ([`Handover::run`]).
-//! 3. The predecessor accepts no more, hands idle connections on and migrates or finishes its requests. Its phase is
-//!    [`super::Phase::Replaced`].
-//! 4. If the successor exits before the predecessor has been sent SIGTERM, the predecessor serves again.
+//! 1. The predecessor listens on a Unix socket in `$TMPDIR`. The successor connects to it ([`acquire_listener`]) and
+//!    receives the client listener. No connection in the accept queue is refused or reset.
+//! 2. The successor waits for the endpoint list, starts to serve and sends `Serving` ([`Handover::run`]).
+//! 3. The predecessor stops accepting, hands over its idle connections, and migrates or finishes its requests. Its phase
+//!    is [`super::Phase::Replaced`].
+//! 4. If the successor exits before the predecessor receives SIGTERM, the predecessor serves again.
 //!
-//! Each direction of the link is a lifetime: `Handover::receive` ends with the other process, and whoever called it
-//! ([`Handover::run`] for a predecessor, `Handover::offer_listener` for a successor) then does what follows.
+//! `Handover::receive` returns when the other process exits or the link breaks. Its caller then cleans up:
+//! [`Handover::run`] for a predecessor, `Handover::offer_listener` for a successor.
 //!
-//! This module owns neither the bytes on the link ([`super::handover_frames`]) nor what is open at the other process
-//! ([`super::peer_processes`]). How a request is migrated is in `engine/migration.rs`, how a client's connection is handed
-//! on in `frontend/connection_handoff.rs`.
+//! The frame encoding is in [`super::handover_frames`], and the requests open in other processes are tracked in
+//! [`super::peer_processes`]. Request migration is in `engine/migration.rs`, connection handoff in
+//! `frontend/connection_handoff.rs`.
 
 mod listener;
 
@@ -39,37 +39,37 @@
 use crate::server::metrics::Counters;
 
 use listener::bind_socket;
-pub use listener::{socket_path, take_listener, Predecessor, TakenListener};
+pub use listener::{acquire_listener, socket_path, AcquiredListener, Predecessor};
 
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a successor waits for discovery before it serves with the endpoint list of its configuration.
+/// How long a successor waits for discovery before it serves with the configured endpoint list.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often it checks whether an endpoint list has come.
+/// How often a successor checks whether discovery has delivered an endpoint list.
 const DISCOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What this process needs to take part in upgrades, as the successor first and as a predecessor later.
+/// Takes part in upgrades, first as the successor of an earlier process and later as the predecessor of a new one.
 pub struct Handover {
-    /// Where a successor finds this process; `None`: there are no upgrades.
+    /// Path of the Unix socket that a successor connects to. `None` disables upgrades.
     pub socket_path: Option<PathBuf>,
-    /// The listener for clients.
+    /// The client listener.
     pub listener: Rc<TcpListener>,
-    /// Hands connections on, and serves those that come in.
+    /// Hands connections over to a successor and serves those received from a predecessor.
     pub frontend: Rc<Frontend>,
     /// The phase of this process.
     pub lifecycle: Rc<Lifecycle>,
-    /// The queue to the engine.
+    /// Queue of messages to the engine.
     pub queue: EngineQueue,
-    /// The links to the other processes.
+    /// Links to the other processes of an upgrade.
     pub peers: PeerProcesses,
-    /// The descriptor budgets, which linked processes share.
+    /// Descriptor budgets, divided among the linked processes.
     pub budgets: Rc<DescriptorBudgets>,
-    /// Shows whether an endpoint list has come.
+    /// Counters. They show whether discovery has delivered an endpoint list.
     pub counters: Rc<Counters>,
 }
 
 impl Handover {
-    /// Takes over from the predecessor, if there is one, then serves and waits for successors.
+    /// Takes over from the predecessor, if there is one, then serves and accepts successors.
     pub async fn run(self: Rc<Self>, predecessor: Option<Predecessor>) {
         let mut to_predecessor = None;
         if let Some(predecessor) = predecessor {
@@ -85,7 +85,7 @@
         self.accept_successors().await;
     }
 
-    /// Receives from the predecessor until it exits.
+    /// Spawns a task that receives frames from the predecessor until it exits.
     fn follow_predecessor(self: &Rc<Self>, predecessor: Predecessor) {
         tracing::info!("taking over from the predecessor");
         let handover = Rc::clone(self);
@@ -98,13 +98,13 @@
     }
 
     async fn wait_for_endpoint_list(&self) {
-        let last_check = Instant::now() + DISCOVERY_TIMEOUT;
-        while self.counters.pool_updates.get() == 0 && Instant::now() < last_check {
+        let give_up_at = Instant::now() + DISCOVERY_TIMEOUT;
+        while self.counters.pool_updates.get() == 0 && Instant::now() < give_up_at {
             sleep(DISCOVERY_CHECK_INTERVAL).await;
         }
     }
 
-    /// Listens for successors for good, or not at all if the socket cannot be bound.
+    /// Accepts successors until the process exits. Returns if the socket cannot be bound.
     async fn accept_successors(self: &Rc<Self>) {
         while let Some(socket_path) = self.socket_path.as_deref() {
             let listener = match bind_socket(socket_path) {
@@ -118,15 +118,15 @@
         }
     }
 
-    /// Offers the listener to one successor at a time, until one that has served is lost: that one has replaced the
-    /// socket file, which is then to be bound again.
+    /// Offers the client listener to one successor at a time. Returns when a successor that has served is lost: it
+    /// replaced the socket file, so the socket must be bound again.
     async fn offer_listener(self: &Rc<Self>, successors: UnixListener) {
         loop {
             let Ok((stream, _)) = successors.accept().await else {
                 sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             };
-            // Without a descriptor to spare the link is closed, and the successor tries again.
+            // Out of descriptors: drops the stream, and the successor retries.
             let Ok(listener) = self.listener.as_fd().try_clone_to_owned() else { continue };
             tracing::info!("a successor takes over");
             let (sender, receiver) = link(stream);
@@ -134,12 +134,12 @@
             let peer = self.add_peer(sender, ProcessRole::Successor);
             self.receive(peer, receiver).await;
             self.remove_peer(peer);
-            let has_served = self.frontend.has_successor();
+            let had_served = self.frontend.has_successor();
             self.frontend.set_successor(None);
             self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: false });
             self.lifecycle.notify(LifecycleEvent::SuccessorLost);
             tracing::warn!("the successor has exited");
-            if has_served {
+            if had_served {
                 return;
             }
         }
@@ -149,20 +149,20 @@
         let peer = self.peers.add(sender);
         self.peers.send_open_requests(peer);
         self.queue.send(EngineMessage::PeerProcessJoined { peer, role });
-        self.share_descriptors();
+        self.update_descriptor_shares();
         peer
     }
 
     fn remove_peer(&self, peer: PeerProcessId) {
         self.peers.remove(peer);
-        self.share_descriptors();
+        self.update_descriptor_shares();
     }
 
-    fn share_descriptors(&self) {
+    fn update_descriptor_shares(&self) {
         self.budgets.set_processes(1 + self.peers.count());
     }
 
-    /// Receives from another process until its end.
+    /// Handles frames from another process until it exits or the link ends.
     async fn receive(&self, peer: PeerProcessId, mut receiver: FrameReceiver) {
         while let Some(received) = receiver.next().await {
             self.handle(peer, received);
@@ -171,7 +171,7 @@
 
     fn handle(&self, peer: PeerProcessId, received: ReceivedFrame) {
         match (received.frame, received.socket) {
-            (HandoverFrame::Serving, _) => self.successor_serves(peer),
+            (HandoverFrame::Serving, _) => self.handle_successor_serving(peer),
             (HandoverFrame::IdleConnection { eviction_class, answered }, Some(socket)) => {
                 if let Some(stream) = adopt_socket(socket) {
                     spawn_local(Rc::clone(&self.frontend).adopt(stream, eviction_class, answered));
@@ -197,7 +197,7 @@
                 self.peers.broadcast(Some(peer), &frame);
                 self.queue.send(EngineMessage::SentByOtherProcess { worker_name, class, work_s });
             }
-            // The first is expected only by `listener_of_predecessor`; the others never come without their socket.
+            // `Listener` is consumed by `receive_listener`. `FrameReceiver` never returns the others without a socket.
             (
                 HandoverFrame::Listener
                 | HandoverFrame::IdleConnection { .. }
@@ -207,20 +207,20 @@
         }
     }
 
-    /// The successor accepts connections from now on, and this process hands its own on.
-    fn successor_serves(&self, peer: PeerProcessId) {
+    /// Handles `Serving`: the successor now accepts connections, and this process hands its own connections over.
+    fn handle_successor_serving(&self, peer: PeerProcessId) {
         let successor = self.peers.sender(peer);
-        let migrates = successor.as_ref().is_some_and(FrameSender::has_same_form);
-        if !migrates {
+        let can_migrate = successor.as_ref().is_some_and(FrameSender::has_same_format);
+        if !can_migrate {
             tracing::info!("the successor is of another build: requests are finished here");
         }
         self.lifecycle.notify(LifecycleEvent::SuccessorServing);
         self.frontend.set_successor(successor);
-        self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: migrates });
+        self.queue.send(EngineMessage::SuccessorChanged { accepts_requests: can_migrate });
     }
 
-    /// Takes over a request of the predecessor. It is in the engine's queue before the next frame is read, which may
-    /// be a callback for it.
+    /// Takes over a request of the predecessor. The request is queued for the engine before the next frame is read,
+    /// because that frame may be a callback for it.
     fn receive_migrated_request(&self, peer: PeerProcessId, adopted: AdoptedRequest) {
         let AdoptedRequest { request, socket, read_ahead, keep_alive } = adopted;
         self.peers.request_closed(peer, request.payload.name.clone());
@@ -232,7 +232,7 @@
     }
 }
 
-/// A request of the predecessor, with the socket on which its client waits.
+/// A request received from the predecessor, with the socket of its client.
 struct AdoptedRequest {
     request: Box<MigratedRequest>,
     socket: OwnedFd,
@@ -240,7 +240,7 @@
     keep_alive: bool,
 }
 
-/// A client's socket from another process; `None`: it has broken meanwhile.
+/// Registers a client socket received from another process. Returns `None` if the socket is no longer usable.
 fn adopt_socket(socket: OwnedFd) -> Option<TcpStream> {
     let stream = std::net::TcpStream::from(socket);
     stream.set_nonblocking(true).ok()?;
--- a/src/server/lifecycle/handover_frames.rs
+++ b/src/server/lifecycle/handover_frames.rs
@@ -1,12 +1,13 @@
-//! What the two processes of an upgrade send each other, and in which bytes.
+//! Messages between the two processes of an upgrade, and their encoding.
 //!
-//! [`HandoverFrame`] is the message, [`link()`] the connection that carries it over a Unix socket, with a client's socket
-//! beside some frames. What follows from a frame is decided in [`super::handover`], not here.
+//! [`HandoverFrame`] is the message type. [`link()`] sends and receives frames over a Unix socket; some frames carry a
+//! client socket as ancillary data. [`super::handover`] handles received frames.
 //!
-//! # Bytes
+//! # Encoding
 //!
-//! A frame is its length in four bytes, big-endian, then the form byte, then the frame in postcard. Fields and variants are
-//! stored by position: they may be renamed, and never be reordered, added or dropped (`tests/stored_data.rs`).
+//! A frame is encoded as a four-byte big-endian length, the frame format version (one byte), and the [`HandoverFrame`] in
+//! postcard. Postcard identifies fields and variants by position: they may be renamed, but not reordered, added or removed
+//! (`tests/stored_data.rs`).
 
 mod frame;
 mod link;
--- a/src/server/lifecycle/handover_frames/frame.rs
+++ b/src/server/lifecycle/handover_frames/frame.rs
@@ -1,4 +1,4 @@
-//! The messages between the two processes of an upgrade.
+//! The message type of the handover link.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -7,68 +7,69 @@
 use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::messages::{MigratedRequest, WorkerCallback};
 
-/// The form of the frames that are not stable: one more with each change to any of them.
+/// Frame format version. Increment it with every change to a frame that is not stable.
 ///
-/// Two builds with different forms exchange only the stable frames, which is enough to take over: the predecessor then
-/// closes idle connections instead of handing them on, and finishes its requests itself.
-pub(super) const FORM: u8 = 2;
-/// The number of stable frames, which come first in [`HandoverFrame`]: every build writes the same bytes for them.
+/// Builds with different versions exchange only stable frames, which suffice for an upgrade: the predecessor then closes
+/// its idle connections instead of handing them over, and finishes its own requests.
+pub(super) const FRAME_FORMAT_VERSION: u8 = 2;
+/// Number of stable frames, the first variants of [`HandoverFrame`]. All builds encode them identically.
 pub(super) const STABLE_FRAMES: u8 = 5;
 
-/// A message between the predecessor and its successor. The order of variants and fields is stored: see the module above.
+/// A message between the predecessor and its successor. The order of variants and fields is part of the encoding, see
+/// [`super`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HandoverFrame {
-    /// From the predecessor, with the socket on which clients are accepted.
+    /// Sent by the predecessor with the client listener.
     Listener,
-    /// From the successor: it serves, and the predecessor is to accept no more.
+    /// Sent by the successor: it serves, and the predecessor must stop accepting connections.
     Serving,
-    /// A request with this id is open at the sender.
+    /// The request with this ID is now open in the sending process.
     RequestOpened(Bytes),
-    /// The request with this id is no longer open at the sender.
+    /// The request with this ID is no longer open in the sending process.
     RequestClosed(Bytes),
-    /// A callback for a request that is not open where it came in.
+    /// A callback for a request that is not open in the process that received the callback.
     Callback {
         /// The callback.
         callback: WorkerCallback,
-        /// How often it has been relayed.
+        /// How many times it has been relayed.
         relays: u8,
     },
-    /// An idle connection of a client, with its socket.
+    /// An idle client connection, sent with its socket.
     IdleConnection {
-        /// When it is evicted, by what it has carried.
+        /// Eviction class of the connection.
         eviction_class: EvictionClass,
-        /// Whether a message on it has been answered.
+        /// Whether a message on the connection has been answered.
         answered: bool,
     },
-    /// From the predecessor: what it has learned about the workers.
+    /// Sent by the predecessor: its learned state of the workers.
     LearnedState {
-        /// The state, with the worker numbers of the predecessor.
+        /// The learned state. It refers to workers by the predecessor's worker IDs.
         learned: Box<LearnedState>,
-        /// The names of the workers with these numbers.
+        /// Names of the workers with these IDs.
         worker_names: Vec<(WorkerId, String)>,
     },
-    /// A request, with the socket on which its client waits.
+    /// A migrated request, sent with the socket of its client.
     Request {
         /// The request.
         request: Box<MigratedRequest>,
-        /// What the client has sent after it.
+        /// Bytes received from the client after the request.
         read_ahead: Bytes,
-        /// Whether the client keeps the connection open.
+        /// Whether the connection stays open after the response.
         keep_alive: bool,
     },
-    /// The sender has sent an attempt to a worker.
+    /// The sending process has sent an attempt to a worker.
     WorkSent {
-        /// The worker.
+        /// Name of the worker.
         worker_name: String,
-        /// Index into the settings' classes.
+        /// Index of the request class in the settings.
         class: usize,
-        /// Its expected work in seconds.
+        /// Estimated work of the attempt, in seconds.
         work_s: f64,
     },
 }
 
 impl HandoverFrame {
-    /// Whether builds of every form read this frame.
+    /// Whether builds of every frame format version can read this frame.
     pub(super) fn is_stable(&self) -> bool {
         match self {
             HandoverFrame::Listener
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether a socket comes with this frame.
+    /// Whether this frame is sent with a socket.
     pub(super) fn carries_socket(&self) -> bool {
         match self {
             HandoverFrame::Listener
--- a/src/server/lifecycle/handover_frames/link.rs
+++ b/src/server/lifecycle/handover_frames/link.rs
@@ -1,4 +1,4 @@
-//! The connection between the two processes of an upgrade: [`HandoverFrame`]s over a Unix socket.
+//! The link between the two processes of an upgrade: carries [`HandoverFrame`]s over a Unix socket.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -16,56 +16,56 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-use super::frame::{HandoverFrame, FORM, STABLE_FRAMES};
+use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAMES};
 
-/// The longest frame that is read; a callback with its result is the largest that is sent.
+/// Maximum length of a received frame. The largest frame sent is a callback with its result.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// How much is read from the socket at a time.
+/// Size of the read buffer.
 const READ_BYTES: usize = 16 * 1024;
-/// Bytes of the length in front of each frame.
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix of each frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// How the other process has broken the format of the link.
+/// A protocol error of the other process.
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
-    #[error("a frame of the handover link is longer than {MAX_FRAME_BYTES} bytes")]
+    #[error("handover frame exceeds {MAX_FRAME_BYTES} bytes")]
     TooLong,
-    #[error("a frame of the handover link has no form byte")]
+    #[error("handover frame has no format version byte")]
     Empty,
-    #[error("a frame of the handover link has come without its socket")]
+    #[error("handover frame was received without its socket")]
     SocketMissing,
-    #[error("a frame of the handover link is not as its form says")]
+    #[error("cannot decode handover frame: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
-/// A frame that waits to be written, with the socket that it carries.
+/// A frame queued for writing, with the socket that it carries.
 struct OutgoingFrame {
     frame: HandoverFrame,
     socket: Option<OwnedFd>,
 }
 
-/// A frame that was read, with the socket that it carries.
+/// A received frame, with the socket that it carries.
 pub struct ReceivedFrame {
     /// The frame.
     pub frame: HandoverFrame,
-    /// The socket, of the frames that carry one.
+    /// The socket. `None` for frames that do not carry one.
     pub socket: Option<OwnedFd>,
 }
 
-/// The sending side. A task of its own writes the frames in their order.
+/// The sending side of a link. A separate task writes the frames in the order in which they were sent.
 #[derive(Clone)]
 pub struct FrameSender {
     queue: mpsc::UnboundedSender<OutgoingFrame>,
-    /// Frames that are not written yet.
+    /// Number of frames that are not fully written yet.
     unwritten: Rc<Cell<usize>>,
-    same_form: Rc<Cell<bool>>,
+    same_format: Rc<Cell<bool>>,
 }
 
 impl FrameSender {
-    /// Sends a frame, and a socket with those that carry one. The frame is dropped if the link has ended, or if the
-    /// other process has another form and the frame is not stable.
+    /// Queues a frame, with a socket for those that carry one. The frame is dropped if the link has ended, or if the other
+    /// process uses another frame format version and the frame is not stable.
     pub fn send(&self, frame: HandoverFrame, socket: Option<OwnedFd>) {
-        if !self.has_same_form() && !frame.is_stable() {
+        if !self.has_same_format() && !frame.is_stable() {
             return;
         }
         if self.queue.send(OutgoingFrame { frame, socket }).is_ok() {
@@ -73,39 +73,39 @@
         }
     }
 
-    /// Whether the other process reads all frames, as far as its own frames have shown.
-    pub fn has_same_form(&self) -> bool {
-        self.same_form.get()
+    /// Whether the other process can read all frames. True until a frame with another format version is received.
+    pub fn has_same_format(&self) -> bool {
+        self.same_format.get()
     }
 
-    /// Whether all frames are written, or cannot be.
+    /// Whether no frame is waiting to be written. Also true once the link has ended.
     pub fn is_flushed(&self) -> bool {
         self.unwritten.get() == 0 || self.queue.is_closed()
     }
 }
 
-/// The receiving side.
+/// The receiving side of a link.
 pub struct FrameReceiver {
     stream: Rc<UnixStream>,
     buffer: BytesMut,
-    /// Sockets that have arrived, in the order of the frames that carry them.
+    /// Received sockets, in the order of the frames that carry them.
     sockets: VecDeque<OwnedFd>,
-    same_form: Rc<Cell<bool>>,
+    same_format: Rc<Cell<bool>>,
 }
 
-/// The two sides of a link.
+/// Creates a link on a connected stream and returns its two sides.
 pub fn link(stream: UnixStream) -> (FrameSender, FrameReceiver) {
     let stream = Rc::new(stream);
     let (queue, frames) = mpsc::unbounded_channel();
     let unwritten = Rc::new(Cell::new(0));
-    let same_form = Rc::new(Cell::new(true));
+    let same_format = Rc::new(Cell::new(true));
     tokio::task::spawn_local(write_frames(Rc::clone(&stream), frames, Rc::clone(&unwritten)));
-    let sender = FrameSender { queue, unwritten, same_form: Rc::clone(&same_form) };
-    let receiver = FrameReceiver { stream, buffer: BytesMut::new(), sockets: VecDeque::new(), same_form };
+    let sender = FrameSender { queue, unwritten, same_format: Rc::clone(&same_format) };
+    let receiver = FrameReceiver { stream, buffer: BytesMut::new(), sockets: VecDeque::new(), same_format };
     (sender, receiver)
 }
 
-/// Writes queued frames until the link ends; the receiving side sees the end as well.
+/// Writes queued frames until the link ends. Errors are not reported here: the receiving side detects the end too.
 async fn write_frames(
     stream: Rc<UnixStream>,
     mut frames: mpsc::UnboundedReceiver<OutgoingFrame>,
@@ -127,25 +127,24 @@
     let bytes = encode(frame)?;
     let mut rest = bytes.as_slice();
     while !rest.is_empty() {
-        let written =
-            stream.async_io(Interest::WRITABLE, || send_part(stream, rest, socket.as_ref())).await?;
+        let written = stream.async_io(Interest::WRITABLE, || try_send(stream, rest, socket.as_ref())).await?;
         rest = &rest[written..];
-        socket = None; // it went with the first byte
+        socket = None; // sent with the first byte
     }
     Ok(())
 }
 
-/// A frame with its length and its form in front.
+/// Encodes a frame with its length prefix and format version.
 fn encode(frame: &HandoverFrame) -> io::Result<Vec<u8>> {
     let body = postcard::to_allocvec(frame).map_err(io::Error::other)?;
     let mut bytes = Vec::from((1 + body.len() as u32).to_be_bytes());
-    bytes.push(FORM);
+    bytes.push(FRAME_FORMAT_VERSION);
     bytes.extend(body);
     Ok(bytes)
 }
 
-/// Writes as much of `bytes` as the socket takes; `socket` goes with the first of them.
-fn send_part(stream: &UnixStream, bytes: &[u8], socket: Option<&OwnedFd>) -> io::Result<usize> {
+/// Writes as many of `bytes` as the stream accepts and returns their number. `socket` is sent with the first byte.
+fn try_send(stream: &UnixStream, bytes: &[u8], socket: Option<&OwnedFd>) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let sockets: Vec<_> = socket.iter().map(AsFd::as_fd).collect();
@@ -156,26 +155,26 @@
 }
 
 impl FrameReceiver {
-    /// The next frame and the socket that it carries; `None` once the link has ended or broken the format, which are
-    /// the same to the caller: nothing more comes from the other process.
+    /// Receives the next frame. Returns `None` once the link has ended or the other process has violated the protocol;
+    /// in both cases no further frames can be received.
     pub async fn next(&mut self) -> Option<ReceivedFrame> {
         loop {
-            if let Some(received) = self.take_frame().ok()? {
+            if let Some(received) = self.parse_frame().ok()? {
                 return Some(received);
             }
-            if self.fill().await.ok()? == 0 {
+            if self.read_more().await.ok()? == 0 {
                 return None;
             }
         }
     }
 
-    /// The first readable frame of those that have arrived; frames of another form are skipped unless stable.
-    fn take_frame(&mut self) -> Result<Option<ReceivedFrame>, FrameError> {
-        while let Some(bytes) = self.take_encoded()? {
-            let (&form, body) = bytes.split_first().ok_or(FrameError::Empty)?;
-            if form != FORM {
-                self.same_form.set(false);
-                if body.first().is_none_or(|kind| *kind >= STABLE_FRAMES) {
+    /// Parses the next frame in the buffer. Frames of another format version are skipped unless they are stable.
+    fn parse_frame(&mut self) -> Result<Option<ReceivedFrame>, FrameError> {
+        while let Some(bytes) = self.take_frame_bytes()? {
+            let (&version, body) = bytes.split_first().ok_or(FrameError::Empty)?;
+            if version != FRAME_FORMAT_VERSION {
+                self.same_format.set(false);
+                if body.first().is_none_or(|variant| *variant >= STABLE_FRAMES) {
                     continue;
                 }
             }
@@ -189,34 +188,34 @@
         Ok(None)
     }
 
-    /// The bytes of the next frame without their length, once all of them have arrived.
-    fn take_encoded(&mut self) -> Result<Option<BytesMut>, FrameError> {
-        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    /// Takes the bytes of the next frame, without the length prefix. Returns `None` if the frame is incomplete.
+    fn take_frame_bytes(&mut self) -> Result<Option<BytesMut>, FrameError> {
+        let Some(length) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
-        if self.buffer.len() < LENGTH_BYTES + length {
+        if self.buffer.len() < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
         }
-        self.buffer.advance(LENGTH_BYTES);
+        self.buffer.advance(LENGTH_PREFIX_BYTES);
         Ok(Some(self.buffer.split_to(length)))
     }
 
-    /// Reads what has arrived, waiting for something if need be; 0 bytes are the end of the link.
-    async fn fill(&mut self) -> io::Result<usize> {
+    /// Reads from the stream into the buffer and returns the number of bytes. 0 means that the link has ended.
+    async fn read_more(&mut self) -> io::Result<usize> {
         let mut bytes = [0; READ_BYTES];
         let stream = Rc::clone(&self.stream);
         let read =
-            stream.async_io(Interest::READABLE, || receive_part(&stream, &mut bytes, &mut self.sockets));
+            stream.async_io(Interest::READABLE, || try_receive(&stream, &mut bytes, &mut self.sockets));
         let read = read.await?;
         self.buffer.extend_from_slice(&bytes[..read]);
         Ok(read)
     }
 }
 
-/// Reads what the socket has into `bytes`, and adds the sockets that come with it to `sockets`.
-fn receive_part(stream: &UnixStream, bytes: &mut [u8], sockets: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
+/// Reads available bytes into `bytes`, appends the received sockets to `sockets`, and returns the number of bytes.
+fn try_receive(stream: &UnixStream, bytes: &mut [u8], sockets: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(bytes)];
--- a/src/server/lifecycle/handover_frames/tests.rs
+++ b/src/server/lifecycle/handover_frames/tests.rs
@@ -5,14 +5,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::UnixStream;
 
-use super::frame::{HandoverFrame, FORM, STABLE_FRAMES};
+use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAMES};
 use super::{link, FrameReceiver, FrameSender};
 use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::messages::{CallbackEvent, WorkerCallback};
 
-/// Other builds read these bytes: what is written here may be added to and never changed.
+/// Guards the encoding of stable frames, which builds of every format version read. Cases may be added, but existing
+/// bytes must never change.
 #[test]
-fn frames_that_last_keep_their_bytes() {
+fn stable_frames_keep_their_encoding() {
     let id = || Bytes::from_static(b"r1");
     let callback = |event| WorkerCallback {
         request_name: id(),
@@ -49,29 +50,29 @@
     assert!(!unstable.is_stable() && postcard::to_allocvec(&unstable).unwrap()[0] == STABLE_FRAMES);
 }
 
-/// Runs a test of links, which write in tasks of their own.
-fn on_one_thread(test: impl Future<Output = ()>) {
+/// Runs a test in a `LocalSet`, because links spawn local tasks.
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Two linked processes: what the first sends, the second receives.
-fn linked() -> (FrameSender, FrameReceiver) {
-    let (here, there) = UnixStream::pair().unwrap();
-    let ((sender, _), (_, receiver)) = (link(here), link(there));
+/// Returns the sending side of one process and the receiving side of another, connected by a link.
+fn connected_link() -> (FrameSender, FrameReceiver) {
+    let (local, remote) = UnixStream::pair().unwrap();
+    let ((sender, _), (_, receiver)) = (link(local), link(remote));
     (sender, receiver)
 }
 
-/// A frame as another process writes it.
-fn encoded(form: u8, body: &[u8]) -> Vec<u8> {
+/// Encodes a frame as another process writes it.
+fn encoded(version: u8, body: &[u8]) -> Vec<u8> {
     let length = 1 + body.len() as u32;
-    [&length.to_be_bytes()[..], &[form], body].concat()
+    [&length.to_be_bytes()[..], &[version], body].concat()
 }
 
 #[test]
-fn frames_arrive_in_order_each_with_its_socket() {
-    on_one_thread(async {
-        let (sender, mut receiver) = linked();
+fn frames_are_received_in_order_with_their_sockets() {
+    run_local(async {
+        let (sender, mut receiver) = connected_link();
         let (listener, _) = UnixStream::pair().unwrap();
         let socket = listener.as_fd().try_clone_to_owned().unwrap();
         sender.send(HandoverFrame::Serving, None);
@@ -89,16 +90,16 @@
 }
 
 #[test]
-fn of_another_form_only_stable_frames_are_read_and_sent() {
-    on_one_thread(async {
-        let (mut other, here) = UnixStream::pair().unwrap();
-        let (sender, mut receiver) = link(here);
-        assert!(sender.has_same_form());
-        other.write_all(&encoded(FORM + 1, &[STABLE_FRAMES, 1, 2, 3])).await.unwrap();
-        other.write_all(&encoded(FORM + 1, &[1])).await.unwrap();
+fn only_stable_frames_are_exchanged_with_another_format_version() {
+    run_local(async {
+        let (mut remote, local) = UnixStream::pair().unwrap();
+        let (sender, mut receiver) = link(local);
+        assert!(sender.has_same_format());
+        remote.write_all(&encoded(FRAME_FORMAT_VERSION + 1, &[STABLE_FRAMES, 1, 2, 3])).await.unwrap();
+        remote.write_all(&encoded(FRAME_FORMAT_VERSION + 1, &[1])).await.unwrap();
         let received = receiver.next().await.unwrap();
         assert!(matches!(received.frame, HandoverFrame::Serving), "{:?}", received.frame);
-        assert!(!sender.has_same_form());
+        assert!(!sender.has_same_format());
         let worker_name = "m1".to_owned();
         sender.send(HandoverFrame::WorkSent { worker_name, class: 0, work_s: 1.0 }, None);
         assert!(sender.is_flushed(), "the frame is dropped, not queued");
@@ -106,16 +107,16 @@
 }
 
 #[test]
-fn a_link_that_breaks_the_format_ends() {
+fn protocol_errors_end_the_link() {
     let too_long = (1_u32 << 20).to_be_bytes().to_vec();
-    let without_form = 0_u32.to_be_bytes().to_vec();
-    let without_socket = encoded(FORM, &[0]);
-    let unknown_kind = encoded(FORM, &[99]);
-    for bytes in [too_long, without_form, without_socket, unknown_kind] {
-        on_one_thread(async {
-            let (mut other, here) = UnixStream::pair().unwrap();
-            let (_sender, mut receiver) = link(here);
-            other.write_all(&bytes).await.unwrap();
+    let without_version = 0_u32.to_be_bytes().to_vec();
+    let without_socket = encoded(FRAME_FORMAT_VERSION, &[0]);
+    let unknown_variant = encoded(FRAME_FORMAT_VERSION, &[99]);
+    for bytes in [too_long, without_version, without_socket, unknown_variant] {
+        run_local(async {
+            let (mut remote, local) = UnixStream::pair().unwrap();
+            let (_sender, mut receiver) = link(local);
+            remote.write_all(&bytes).await.unwrap();
             assert!(receiver.next().await.is_none(), "{bytes:?}");
         });
     }
--- a/src/server/lifecycle/operator_file.rs
+++ b/src/server/lifecycle/operator_file.rs
@@ -1,31 +1,33 @@
-//! The operator's own file: read at the start and at SIGHUP.
+//! Loads the operator's configuration file at startup and on SIGHUP.
 //!
-//! Its format and its mistakes are in the crate `operator-config`; this module adds the secret that the file names. It is apart
-//! from the platform's configuration ([`crate::config`]): without it, all that it switches on is off.
+//! The crate `operator-config` parses and validates the file; this module also reads the secret file that it refers to.
+//! The file is separate from the platform's configuration ([`crate::config`]). Without it, the features that it configures
+//! are disabled.
 
 use std::path::{Path, PathBuf};
 
 use crate::server::peers::site_links::{read_secret, SecretError, SiteLinkSettings};
 
-/// Why the operator's file cannot be used.
+/// An error while loading the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
     /// The file cannot be read.
     #[error("cannot read {0}: {1}")]
     File(PathBuf, #[source] std::io::Error),
-    /// The file has mistakes, written one to a line.
+    /// The file is invalid. The message has one line for each error.
     #[error("{0}")]
-    Mistakes(#[from] chutesaddle_operator_config::ConfigErrors),
-    /// The secret that the file names cannot be used.
+    Invalid(#[from] chutesaddle_operator_config::ConfigErrors),
+    /// The secret file cannot be used.
     #[error(transparent)]
     Secret(#[from] SecretError),
 }
 
-/// Reads the operator's file, if one is named, and the secret that it names; `None`: nothing is switched on.
+/// Loads the operator's file and its secret if a path is given. Returns `None` if there is no file or it does not configure
+/// a gateway.
 ///
 /// # Errors
-/// Names the file, and each mistake with its line and column.
-pub fn load_if_named(path: Option<&Path>) -> Result<Option<SiteLinkSettings>, OperatorFileError> {
+/// Returns an error if a file cannot be read or is invalid. Validation errors give their line and column.
+pub fn load_optional(path: Option<&Path>) -> Result<Option<SiteLinkSettings>, OperatorFileError> {
     match path {
         Some(path) => load(path),
         None => Ok(None),
--- a/src/server/lifecycle/operator_interface.rs
+++ b/src/server/lifecycle/operator_interface.rs
@@ -1,8 +1,8 @@
-//! The operator interface: STATUS, METRICS, PAUSE and RESUME over a listener of its own.
+//! The operator interface: STATUS, METRICS, PAUSE and RESUME on a dedicated listener.
 //!
-//! Each connection carries one command line and gets one answer, `+OK` or `-ERR`; `docs/operating.md` lists them. The
-//! interface has descriptors of its own, so that no number of clients can keep an operator out. It asks for changes; whether
-//! they are made is decided in [`super::Lifecycle`], and the metrics are written in [`crate::server::metrics`].
+//! Each connection carries one command line and receives one answer, `+OK` or `-ERR`. `docs/operating.md` lists them.
+//! Descriptors are reserved for the interface, so that client connections cannot lock operators out. [`super::Lifecycle`]
+//! decides whether a command is accepted, and [`crate::server::metrics`] formats the metrics.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,13 +18,14 @@
 use crate::server::lifecycle::{Lifecycle, LifecycleEvent, TransitionRejected};
 use crate::server::metrics::Counters;
 
-/// Connections served at a time. One more ends the oldest: an honest command is over within milliseconds.
+/// Maximum number of concurrent connections. A further connection aborts the oldest one: a well-behaved client
+/// finishes within milliseconds.
 const MAX_CONNECTIONS: usize = 6;
-/// The time from the accept of a connection to its end.
+/// Maximum lifetime of a connection, measured from its accept.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest command line.
+/// Maximum length of a command line.
 const MAX_LINE_BYTES: usize = 256;
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The operator interface of one scheduler.
@@ -34,12 +35,12 @@
 }
 
 impl OperatorInterface {
-    /// An interface to this process.
+    /// Creates the interface. Call [`Self::run`] to serve it.
     pub fn new(lifecycle: Rc<Lifecycle>, counters: Rc<Counters>) -> Self {
         OperatorInterface { lifecycle, counters }
     }
 
-    /// Accepts connections for good.
+    /// Accepts connections until the process exits.
     pub async fn run(self, listener: TcpListener) {
         let interface = Rc::new(self);
         let mut connections = VecDeque::with_capacity(MAX_CONNECTIONS);
@@ -56,9 +57,9 @@
         }
     }
 
-    /// Serves a connection in a task of its own, ending the oldest one if there are too many.
+    /// Spawns a task that serves a connection. Aborts the oldest connection at [`MAX_CONNECTIONS`].
     fn spawn_connection(self: Rc<Self>, stream: TcpStream, connections: &mut VecDeque<AbortHandle>) {
-        // Without it the answer is only slower.
+        // Best effort: without it the answer is only slower.
         let _ = stream.set_nodelay(true);
         connections.retain(|connection| !connection.is_finished());
         if connections.len() >= MAX_CONNECTIONS {
@@ -67,7 +68,7 @@
             }
         }
         let connection = spawn_local(async move {
-            // An operator that breaks off or is too slow sees it; the scheduler has nothing to do about it.
+            // A client that disconnects or times out sees that itself, so errors are ignored.
             let _ = timeout(CONNECTION_TIMEOUT, self.serve(stream)).await;
         });
         connections.push_back(connection.abort_handle());
@@ -88,23 +89,23 @@
         };
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        // Closing with unread input would send a reset, which could overtake the answer.
+        // Closing with unread input would send a reset, and the client could lose the answer.
         while stream.read(&mut [0; MAX_LINE_BYTES]).await? > 0 {}
         Ok(())
     }
 
-    /// Does what a command line asks for, and returns the answer.
+    /// Executes a command line and returns the answer.
     fn answer(&self, line: &[u8]) -> String {
         match line {
             b"STATUS" => self.status(),
             b"METRICS" => format!("+OK\n{}.\n", self.counters.operator_metrics()),
             b"PAUSE" => {
                 tracing::info!("an operator sent PAUSE");
-                self.change(LifecycleEvent::PauseRequested)
+                self.apply(LifecycleEvent::PauseRequested)
             }
             b"RESUME" => {
                 tracing::info!("an operator sent RESUME");
-                self.change(LifecycleEvent::ResumeRequested)
+                self.apply(LifecycleEvent::ResumeRequested)
             }
             _ => "-ERR no such call: STATUS, METRICS, PAUSE, RESUME\n".to_owned(),
         }
@@ -119,7 +120,7 @@
         }
     }
 
-    fn change(&self, event: LifecycleEvent) -> String {
+    fn apply(&self, event: LifecycleEvent) -> String {
         match self.lifecycle.handle(event) {
             Ok(()) => format!("+OK {}\n", self.lifecycle.phase().name()),
             Err(rejected @ TransitionRejected(_)) => format!("-ERR {rejected}\n"),
--- a/src/server/lifecycle/peer_processes.rs
+++ b/src/server/lifecycle/peer_processes.rs
@@ -1,8 +1,8 @@
-//! The other processes of an upgrade, as the engine sees them.
+//! The other processes of an upgrade.
 //!
-//! [`PeerProcesses`] owns the links, and for each the ids of the requests that are open there: an id that is open at any of
-//! them is in use. It does not know what follows from a frame; [`super::handover`] does. Without an upgrade there is no
-//! link, and everything here does nothing.
+//! [`PeerProcesses`] owns the links and tracks the IDs of the requests open in each process. A request ID that is open in
+//! any of them is in use. Received frames are handled in [`super::handover`]. Outside of an upgrade there are no links, and
+//! all operations are no-ops.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -16,12 +16,12 @@
 struct PeerProcess {
     id: PeerProcessId,
     sender: FrameSender,
-    /// Ids of the requests that are open there.
+    /// IDs of the requests that are open in this process.
     open_requests: HashSet<Bytes>,
 }
 
-/// The processes that this one has a link to. They form a chain from the oldest to the newest, so that a frame that each
-/// sends on to all but its source reaches every process once.
+/// The processes that this one has a link to. Linked processes form a chain from the oldest to the newest. If each process
+/// forwards a frame to all peers except its source, the frame reaches every process exactly once.
 #[derive(Clone, Default)]
 pub struct PeerProcesses {
     peers: Rc<RefCell<Vec<PeerProcess>>>,
@@ -37,7 +37,7 @@
         id
     }
 
-    /// Removes a link that has ended, and notifies the others that no request is open there any more.
+    /// Removes a link that has ended, and notifies the other peers that the requests open there are closed.
     pub fn remove(&self, id: PeerProcessId) {
         let mut peers = self.peers.borrow_mut();
         let Some(index) = peers.iter().position(|peer| peer.id == id) else { return };
@@ -54,22 +54,22 @@
         self.peers.borrow().iter().find(|peer| peer.id == id).map(|peer| peer.sender.clone())
     }
 
-    /// How many links there are.
+    /// Number of links.
     pub fn count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Whether all frames have been written.
+    /// Whether no link has frames waiting to be written.
     pub fn is_flushed(&self) -> bool {
         self.peers.borrow().iter().all(|peer| peer.sender.is_flushed())
     }
 
-    /// Whether a request with this id is open at another process.
+    /// Whether a request with this ID is open in another process.
     pub fn has_open_request(&self, request: &Bytes) -> bool {
         self.peers.borrow().iter().any(|peer| peer.open_requests.contains(request))
     }
 
-    /// Notifies a new peer of the requests that are open at the others; the engine sends those of this process.
+    /// Notifies a new peer of the requests open in the other peers. The engine sends the IDs of this process's own requests.
     pub fn send_open_requests(&self, id: PeerProcessId) {
         let peers = self.peers.borrow();
         let Some(new_peer) = peers.iter().find(|peer| peer.id == id) else { return };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sends a frame to all peers but its source; false if there is none.
+    /// Sends a frame to all peers except its source. Returns whether it was sent to any peer.
     pub fn broadcast(&self, source: Option<PeerProcessId>, frame: &HandoverFrame) -> bool {
         let mut sent = false;
         for peer in self.peers.borrow().iter().filter(|peer| Some(peer.id) != source) {
@@ -95,7 +95,7 @@
         sent
     }
 
-    /// A request is open at a peer from now on.
+    /// Records that a request was opened in a peer process, and notifies the other peers.
     pub fn request_opened(&self, id: PeerProcessId, request: Bytes) {
         if let Some(peer) = self.peers.borrow_mut().iter_mut().find(|peer| peer.id == id) {
             peer.open_requests.insert(request.clone());
@@ -103,7 +103,7 @@
         self.broadcast(Some(id), &HandoverFrame::RequestOpened(request));
     }
 
-    /// A request is no longer open at a peer.
+    /// Records that a request is no longer open in a peer process, and notifies the other peers.
     pub fn request_closed(&self, id: PeerProcessId, request: Bytes) {
         if let Some(peer) = self.peers.borrow_mut().iter_mut().find(|peer| peer.id == id) {
             peer.open_requests.remove(&request);
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,9 +1,9 @@
-//! SIGHUP: the configuration is read again and applied, without cutting anything that is in flight.
+//! Reloads the configuration on SIGHUP without interrupting requests in flight.
 //!
-//! Both files, the platform's and the operator's, are applied together or not at all. What can change in flight is passed on
-//! to its owner (engine, frontend, connector, discovery, gossip, site links); what cannot is named in the log. This module
-//! owns no rule of the configuration: [`crate::config`] reads the platform's file, the crate `operator-config` the
-//! operator's.
+//! The platform's file and the operator's file are applied together or not at all. Settings that can change at runtime are
+//! passed to their owners (engine, frontend, connector, discovery, gossip, site links). Changed keys that require a restart
+//! are logged. The files are parsed and validated elsewhere: the platform's by [`crate::config`], the operator's by the
+//! crate `operator-config`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,62 +22,62 @@
 use crate::server::peers::site_links::{SiteLinkSettings, SiteLinks};
 use crate::server::workers::connector::WorkerConnector;
 
-/// Why a reload changes nothing.
+/// An error that prevents a reload. The current configuration stays in force.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
     Operator(#[from] OperatorFileError),
-    #[error("the task that reads the files has failed: {0}")]
+    #[error("configuration loading task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
 }
 
-/// Both files, read and found to be in order.
-struct Files {
+/// Both configuration files, loaded and validated.
+struct LoadedFiles {
     config: Config,
     site_links: Option<SiteLinkSettings>,
 }
 
-impl Files {
+impl LoadedFiles {
     fn load(config: &Path, operator: Option<&Path>) -> Result<Self, ReloadError> {
-        let site_links = operator_file::load_if_named(operator)?;
-        Ok(Files { config: Config::load(config)?, site_links })
+        let site_links = operator_file::load_optional(operator)?;
+        Ok(LoadedFiles { config: Config::load(config)?, site_links })
     }
 }
 
-/// Applies a changed configuration.
-pub struct Reload {
-    /// The platform's file.
+/// Reloads the configuration files and applies changes.
+pub struct ConfigReloader {
+    /// Path of the platform's file.
     pub config_path: PathBuf,
-    /// The operator's file, if there is one.
+    /// Path of the operator's file, if there is one.
     pub operator_path: Option<PathBuf>,
-    /// The scheduler's name, which changes with a restart only.
+    /// Name of the scheduler. A change requires a restart.
     pub name: String,
-    /// The address for clients, which changes with a restart only.
+    /// Listen address for clients. A change requires a restart.
     pub listen: SocketAddr,
-    /// The address for operators, which changes with a restart only.
+    /// Listen address of the operator interface. A change requires a restart.
     pub operator_listen: Option<SocketAddr>,
-    /// The settings in force.
+    /// The current settings.
     pub settings: Settings,
-    /// The address of discovery, which the watch follows.
+    /// Publishes the discovery address to the discovery watch.
     pub discovery: watch::Sender<SocketAddr>,
-    /// The addresses for gossip, which its transport follows.
+    /// Publishes the gossip addresses to the gossip transport.
     pub gossip: watch::Sender<Option<GossipAddresses>>,
-    /// The links to other sites, if there are any.
+    /// The site links, if the gateway is enabled.
     pub site_links: Option<Rc<SiteLinks>>,
-    /// Takes clients' requests by the settings.
+    /// Accepts client requests according to the settings.
     pub frontend: Rc<Frontend>,
-    /// The queue to the engine.
+    /// Queue of messages to the engine.
     pub queue: EngineQueue,
-    /// Connects to the workers with the time-outs of the settings.
+    /// Connects to workers, using the timeouts of the settings.
     pub connector: Rc<WorkerConnector>,
-    /// Bounds the descriptors.
+    /// Descriptor budgets, derived from the configured descriptor limit.
     pub budgets: Rc<DescriptorBudgets>,
 }
 
-impl Reload {
-    /// Reads the files again at each signal. Signals that come while they are read count as one more.
+impl ConfigReloader {
+    /// Reloads the files on each signal. Signals received during a reload are coalesced into one further reload.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read_files().await {
@@ -87,25 +87,25 @@
         }
     }
 
-    /// Reads and parses on another thread: this one has requests to carry, and it may take long.
-    async fn read_files(&self) -> Result<Files, ReloadError> {
+    /// Loads the files on a blocking thread, so that slow reads or parsing do not delay requests.
+    async fn read_files(&self) -> Result<LoadedFiles, ReloadError> {
         let config_path = self.config_path.clone();
         let operator_path = self.operator_path.clone();
-        tokio::task::spawn_blocking(move || Files::load(&config_path, operator_path.as_deref())).await?
+        tokio::task::spawn_blocking(move || LoadedFiles::load(&config_path, operator_path.as_deref())).await?
     }
 
-    /// Applies what can change in flight. The endpoint list in the file is older than what discovery has sent
-    /// since, and the seed has been used: both are passed over.
-    fn apply(&mut self, files: Files) {
-        let Files { config, site_links } = files;
-        let fixed_keys = self.fixed_keys(&config);
+    /// Applies the settings that can change at runtime. The endpoint list in the file is ignored because discovery has
+    /// sent newer ones, and the seed because the random number generator has already been seeded.
+    fn apply(&mut self, files: LoadedFiles) {
+        let LoadedFiles { config, site_links } = files;
+        let changed_restart_only_keys = self.changed_restart_only_keys(&config);
         let Reconfigured { settings, lists_with_kept_names: mut unchanged } =
             self.settings.reconfigured(config.settings);
-        unchanged.extend(fixed_keys);
+        unchanged.extend(changed_restart_only_keys);
         unchanged.extend(self.configure_site_links(site_links));
         self.budgets.configure(config.descriptor_limit);
         self.connector.configure(settings.connect_timeout_s, settings.connection_idle_timeout_s);
-        // The engine takes these before any request that the frontend numbers by them.
+        // The engine must receive the new settings before any request whose class index refers to them.
         self.queue.send(EngineMessage::SettingsChanged(Box::new(settings.clone())));
         self.frontend.configure(settings.clone());
         self.settings = settings;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// The keys of the process itself that differ from those it was started with.
-    fn fixed_keys(&self, config: &Config) -> Vec<&'static str> {
+    /// Process-level keys that have changed but take effect only after a restart.
+    fn changed_restart_only_keys(&self, config: &Config) -> Vec<&'static str> {
         let mut keys = Vec::new();
         if config.name != self.name {
             keys.push("name");
@@ -134,8 +134,8 @@
         keys
     }
 
-    /// Passes the operator's file on to the site links, and returns the keys that change with a restart only. The
-    /// gateway as a whole is switched on or off with a restart.
+    /// Passes the operator's settings to the site links. Returns the changed keys that require a restart. Enabling or
+    /// disabling the gateway requires a restart.
     fn configure_site_links(&self, settings: Option<SiteLinkSettings>) -> Vec<&'static str> {
         match (&self.site_links, settings) {
             (Some(site_links), Some(settings)) => site_links.configure(settings),
@@ -145,7 +145,7 @@
     }
 }
 
-/// Sends a value unless it is the current one: whoever follows it begins anew with each.
+/// Publishes a value only if it differs from the current one, because receivers restart on every update.
 fn send_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
     sender.send_if_modified(|current| {
         let changed = *current != value;
