--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,13 +1,13 @@
-//! What schedulers and sites send each other.
+//! Network communication with other schedulers and other sites.
 //!
-//! | question | file |
+//! | module | responsibility |
 //! | --- | --- |
-//! | gossip among the schedulers of one deployment (UDP) | [`gossip_transport`] |
-//! | links to other sites (TCP): dialling, accepting, handshake, frames | [`site_links`] |
-//! | the messages between those links and the engine | [`site_messages`] |
+//! | [`gossip_transport`] | gossip between the schedulers of one deployment (UDP) |
+//! | [`site_links`] | links to other sites (TCP): dialling, accepting, handshake, frames |
+//! | [`site_messages`] | messages between the site links and the engine |
 //!
-//! Nothing here interprets what it carries. Gossip messages are written and read by the scheduling module, frames of
-//! a site link by `crates/site-link`, and which request is forwarded to another site is decided by `crates/gateway`.
+//! These modules only transport messages. The scheduling module encodes and decodes gossip messages, `crates/site-link`
+//! the frames of site links. `crates/gateway` decides which requests are forwarded to another site.
 
 pub mod gossip_transport;
 pub mod site_links;
--- a/src/server/peers/gossip_transport.rs
+++ b/src/server/peers/gossip_transport.rs
@@ -1,12 +1,12 @@
-//! Gossip between the schedulers of one deployment, as UDP datagrams: one socket that broadcasts the engine's messages
-//! and hands received ones to the engine.
+//! Gossip between the schedulers of one deployment over UDP. One socket broadcasts the engine's messages and passes
+//! received messages to the engine.
 //!
-//! Delivery is not needed: a datagram that is lost, late or duplicated costs no more than the load that it would have
-//! reported. So a message that cannot be sent is counted and dropped, and the next one follows soon. During an upgrade
-//! only the process that serves has the socket.
+//! Gossip tolerates lost, late and duplicated datagrams: at worst, the load reported in a message is missing. A message that
+//! cannot be sent is therefore counted and dropped, and the next one follows soon. During an upgrade only the serving process
+//! owns the socket.
 //!
-//! Counters: `notes_sent`, `notes_unsent`, `notes_heard` (received) and `notes_ignored` (of a stranger, or no gossip
-//! message).
+//! Counters: `notes_sent`, `notes_unsent`, `notes_heard` (received) and `notes_ignored` (received from an unknown source, or
+//! not a gossip message).
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,20 +23,20 @@
 use crate::server::lifecycle::Phase;
 use crate::server::metrics::Counters;
 
-/// Wait before the socket is opened again: during an upgrade the old process may still have the address.
+/// Delay before the socket is reopened. During an upgrade the predecessor may still be bound to the address.
 const REOPEN_DELAY: Duration = Duration::from_millis(100);
-/// One byte more than any message has: a datagram that fills the buffer is too long.
+/// One byte larger than the largest message, so that a truncated datagram is recognized as oversized.
 const BUFFER_BYTES: usize = MAX_MESSAGE_BYTES + 1;
 
-/// Where the engine puts its messages. Each is complete, so it replaces one that has not been sent yet.
+/// Publishes the engine's messages. Each message is self-contained, so a new one replaces a message not sent yet.
 pub type GossipSender = watch::Sender<Vec<u8>>;
 
-/// A channel for the engine's messages.
+/// Creates the channel for the engine's messages.
 pub fn channel() -> (GossipSender, watch::Receiver<Vec<u8>>) {
     watch::channel(Vec::new())
 }
 
-/// Sends and receives gossip.
+/// Sends and receives gossip messages.
 pub struct GossipTransport {
     outgoing: watch::Receiver<Vec<u8>>,
     queue: EngineQueue,
@@ -46,7 +46,8 @@
 }
 
 impl GossipTransport {
-    /// Sends `outgoing` messages and queues received ones for the engine, at the latest of `addresses`.
+    /// Creates a transport that sends `outgoing` messages and queues received ones for the engine. It always uses the
+    /// latest value of `addresses`.
     pub fn new(
         outgoing: watch::Receiver<Vec<u8>>,
         queue: EngineQueue,
@@ -57,12 +58,12 @@
         GossipTransport { outgoing, queue, counters, phase, addresses }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub async fn run(mut self) {
         let mut failure_logged = false;
         loop {
             let Some(addresses) = self.current_addresses() else {
-                if !self.changed().await {
+                if !self.wait_for_change().await {
                     return;
                 }
                 continue;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The addresses to use; `None` where there are none, or another process serves.
+    /// The current addresses. `None` if gossip is not configured or another process serves.
     fn current_addresses(&mut self) -> Option<GossipAddresses> {
         let phase = *self.phase.borrow_and_update();
         let addresses = self.addresses.borrow_and_update().clone();
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Waits for another phase or other addresses; false once there can be none.
-    async fn changed(&mut self) -> bool {
+    /// Waits until the phase or the addresses change. Returns false if a channel is closed.
+    async fn wait_for_change(&mut self) -> bool {
         tokio::select! {
             changed = self.phase.changed() => changed.is_ok(),
             changed = self.addresses.changed() => changed.is_ok(),
         }
     }
 
-    /// Sends and receives until the phase, the addresses or the socket call for another socket; false once there can
-    /// be none.
+    /// Sends and receives until the phase or the addresses change or the socket fails. Returns false if a channel is
+    /// closed.
     async fn serve(&mut self, socket: &UdpSocket, addresses: &GossipAddresses) -> bool {
-        self.outgoing.mark_unchanged(); // a message from before the socket was open is out of date
+        self.outgoing.mark_unchanged(); // a message published before the socket was open is stale
         let (mut phase, mut new_addresses) = (self.phase.clone(), self.addresses.clone());
         tokio::select! {
             changed = phase.changed() => changed.is_ok(),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Sends and receives until receiving fails.
+    /// Sends and receives until a receive fails, and returns the error.
     async fn send_and_receive(&mut self, socket: &UdpSocket, addresses: &GossipAddresses) -> io::Error {
         let mut buffer = [0; BUFFER_BYTES];
         loop {
@@ -132,22 +133,23 @@
                 }
                 received = socket.recv_from(&mut buffer) => match received {
                     Err(error) => return error,
-                    Ok((length, source)) => self.received(addresses, source, &buffer[..length]),
+                    Ok((length, source)) => self.handle_received(addresses, source, &buffer[..length]),
                 },
             }
         }
     }
 
-    async fn send(&self, socket: &UdpSocket, to: SocketAddr, message: &[u8]) {
-        match socket.send_to(message, to).await {
+    async fn send(&self, socket: &UdpSocket, destination: SocketAddr, message: &[u8]) {
+        match socket.send_to(message, destination).await {
             Ok(_) => self.counters.notes_sent.add(),
-            // A full buffer, or no route: the next message may get through.
+            // For example a full send buffer or no route. The next message may succeed.
             Err(_) => self.counters.notes_unsent.add(),
         };
     }
 
-    /// Queues a message for the engine, unless it is no gossip message or its source is not one of the schedulers.
-    fn received(&self, addresses: &GossipAddresses, source: SocketAddr, message: &[u8]) {
+    /// Queues a received message for the engine. Ignores datagrams that are not gossip messages or whose source is not a
+    /// configured peer.
+    fn handle_received(&self, addresses: &GossipAddresses, source: SocketAddr, message: &[u8]) {
         let sender = addresses.peers.iter().position(|peer| *peer == source);
         let Some(sender) = sender.filter(|_| is_message(message)) else {
             self.counters.notes_ignored.add();
--- a/src/server/peers/site_links.rs
+++ b/src/server/peers/site_links.rs
@@ -1,22 +1,21 @@
-//! The links to other sites: one TCP connection for each direction in which requests are forwarded.
+//! Links to other sites. Each direction in which requests are forwarded uses its own TCP connection.
 //!
-//! A link is dialled by the site that forwards, and accepted by the site that runs the request. It begins with a
-//! handshake in which both ends prove that they know the operator's secret, and then carries frames. A link that ends
-//! is dialled again after a random backoff. Frames that were under way are not repeated: the gateway asks about open
-//! requests on the next link.
+//! The forwarding site dials a link, and the site that runs the requests accepts it. A link starts with a handshake in which
+//! both sides prove that they know the operator's secret, and then carries frames. After a link ends, it is redialled with a
+//! random backoff. Frames in flight are not retransmitted: the gateway queries open requests on the next link.
 //!
-//! | question | file |
+//! | file | responsibility |
 //! | --- | --- |
-//! | which peers are dialled, what a reload changes | here |
-//! | states of a dialled link, backoff | `site_links/dialer.rs` |
-//! | who is accepted | `site_links/listener.rs` |
-//! | the state that all links share; why a link ended | `site_links/links.rs` |
-//! | the handshake on a stream | `site_links/handshake.rs` |
-//! | frames between stream and engine, the reason given at the end | `site_links/frames.rs` |
-//! | secret and incarnation | `site_links/settings.rs` |
+//! | this file | selects the peers to dial, applies reloaded settings |
+//! | `site_links/dialer.rs` | states of a dialled link, backoff |
+//! | `site_links/listener.rs` | accepts links and checks their peers |
+//! | `site_links/links.rs` | state shared by all links, close reasons |
+//! | `site_links/handshake.rs` | performs the handshake on a stream |
+//! | `site_links/frames.rs` | passes frames between stream and engine, notifies the peer of the close reason |
+//! | `site_links/settings.rs` | secret and incarnation |
 //!
-//! Framing, authentication and heartbeats are in `crates/site-link`, which opens no socket. What the frames mean is
-//! decided in `crates/gateway`, which the engine runs.
+//! Framing, authentication and heartbeats are implemented in `crates/site-link`, which performs no I/O. The gateway protocol
+//! is implemented in `crates/gateway`, which the engine runs.
 
 mod dialer;
 mod frames;
@@ -38,44 +37,44 @@
 pub use settings::{new_incarnation, read_secret, SecretError, SiteLinkSettings};
 
 impl SiteLinks {
-    /// Begins to dial and to accept.
+    /// Starts to dial and accept links.
     pub fn start(self: &Rc<Self>) {
-        spawn_local(Rc::clone(self).notify_drains());
+        spawn_local(Rc::clone(self).publish_drain_state());
         spawn_local(Rc::clone(self).accept());
-        self.dial_all();
+        self.start_dialers();
     }
 
-    /// Applies changed settings; returns the names of those that take a restart.
+    /// Applies changed settings. Returns the changed keys that require a restart.
     pub fn configure(self: &Rc<Self>, settings: SiteLinkSettings) -> Vec<&'static str> {
         let SiteLinkSettings { file, secret } = settings;
         let current = Rc::clone(&self.settings.borrow());
-        let mut need_restart = Vec::new();
+        let mut restart_only_keys = Vec::new();
         if file.site != current.file.site {
-            need_restart.push("gateway site");
+            restart_only_keys.push("gateway site");
         }
         if file.listen != current.file.listen {
-            need_restart.push("gateway listen");
+            restart_only_keys.push("gateway listen");
         }
         let file = GatewaySettings { site: current.file.site.clone(), listen: current.file.listen, ..file };
         self.notify(SiteLinkEvent::SettingsChanged(Box::new(file.decisions.clone())));
         self.settings.send_replace(Rc::new(SiteLinkSettings { file, secret }));
-        self.dial_all();
-        need_restart
+        self.start_dialers();
+        restart_only_keys
     }
 
-    /// Starts a dialling task for each peer that has none.
-    fn dial_all(self: &Rc<Self>) {
+    /// Starts a dialer task for each configured peer that does not have one.
+    fn start_dialers(self: &Rc<Self>) {
         let settings = Rc::clone(&self.settings.borrow());
         for peer in &settings.file.peers {
-            let is_new = self.dialling.borrow_mut().insert(peer.name.clone());
-            if is_new {
+            let inserted = self.dialled_peers.borrow_mut().insert(peer.name.clone());
+            if inserted {
                 spawn_local(Dialer::new(Rc::clone(self), peer.name.clone()).run());
             }
         }
     }
 
-    /// Notifies the gateway when this process begins and ends to drain.
-    async fn notify_drains(self: Rc<Self>) {
+    /// Notifies the gateway when this process starts or stops draining.
+    async fn publish_drain_state(self: Rc<Self>) {
         let mut phase = self.lifecycle.watch();
         loop {
             let is_serving = *phase.borrow_and_update() == Phase::Serving;
--- a/src/server/peers/site_links/dialer.rs
+++ b/src/server/peers/site_links/dialer.rs
@@ -1,4 +1,4 @@
-//! Dials one peer, and keeps the link to it up for as long as the operator lists the peer.
+//! Dials one peer and keeps the link to it up while the peer is configured.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,34 +10,34 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::handshake::EstablishedLink;
-use super::links::{Direction, LinkEnd, SiteLinks};
+use super::links::{CloseReason, Direction, SiteLinks};
 use super::settings::SiteLinkSettings;
 
-/// The lifetime of the link to one peer. The loop in [`Dialer::run`] is the only place where it changes.
+/// State of the link to one peer. Only the loop in [`Dialer::run`] changes it.
 ///
-/// | state | what ends it | next |
+/// | state | event | next state |
 /// | --- | --- | --- |
-/// | `LookUp` | the peer is listed with an address | `Connecting` |
-/// | | it is listed without one | `NoAddress` |
-/// | | it is not listed | `Removed` |
+/// | `LookUp` | the peer is configured with an address | `Connecting` |
+/// | | it is configured without an address | `NoAddress` |
+/// | | it is not configured | `Removed` |
 /// | `NoAddress` | the settings change | `LookUp` |
 /// | `Connecting` | the handshake succeeds | `Up` |
-/// | | connect or handshake fails, or another site answers | `BackingOff` |
+/// | | connect or handshake fails, or the peer is a different site | `BackingOff` |
 /// | `Up` | the link ends | `BackingOff` |
-/// | `BackingOff` | the backoff is over, or the settings change | `LookUp` |
-/// | `Removed` | the end | - |
+/// | `BackingOff` | the backoff elapses, or the settings change | `LookUp` |
+/// | `Removed` | final state | - |
 enum DialState {
-    /// Looks the peer up in the operator's settings.
+    /// Looks up the peer in the operator's settings.
     LookUp,
-    /// Nothing is sent to the peer until the operator says where it is.
+    /// Waits until the operator configures an address for the peer.
     NoAddress,
     /// Connects and performs the handshake.
     Connecting(SocketAddr),
-    /// Carries frames.
+    /// The link carries frames.
     Up(SocketAddr, EstablishedLink<TcpStream>),
-    /// Waits before the next try.
-    BackingOff(LinkEnd),
-    /// The operator does not list the peer any more.
+    /// Waits before the next attempt.
+    BackingOff(CloseReason),
+    /// The peer is no longer configured.
     Removed,
 }
 
@@ -45,47 +45,47 @@
 pub(super) struct Dialer {
     links: Rc<SiteLinks>,
     peer: String,
-    changes: watch::Receiver<Rc<SiteLinkSettings>>,
-    /// The settings of the current try.
+    settings_updates: watch::Receiver<Rc<SiteLinkSettings>>,
+    /// Settings of the current attempt.
     settings: Rc<SiteLinkSettings>,
-    dialled_at: Instant,
+    last_attempt_at: Instant,
     backoff: Duration,
-    /// The loss of the link has been logged, and it has not been up since.
-    lost: bool,
+    /// Whether the loss of the link has been logged. Reset when the link is up again.
+    loss_logged: bool,
 }
 
 impl Dialer {
     pub(super) fn new(links: Rc<SiteLinks>, peer: String) -> Self {
-        let changes = links.settings.subscribe();
-        let settings = Rc::clone(&changes.borrow());
+        let settings_updates = links.settings.subscribe();
+        let settings = Rc::clone(&settings_updates.borrow());
         Dialer {
             links,
             peer,
-            changes,
+            settings_updates,
             settings,
-            dialled_at: Instant::now(),
+            last_attempt_at: Instant::now(),
             backoff: Duration::ZERO,
-            lost: false,
+            loss_logged: false,
         }
     }
 
-    /// Dials until the operator lists the peer no more.
+    /// Dials until the peer is removed from the operator's settings.
     pub(super) async fn run(mut self) {
         let mut state = DialState::LookUp;
         loop {
             state = match state {
                 DialState::LookUp => self.look_up(),
                 DialState::NoAddress => {
-                    if self.changes.changed().await.is_err() {
-                        return; // the process ends
+                    if self.settings_updates.changed().await.is_err() {
+                        return; // the process is exiting
                     }
                     DialState::LookUp
                 }
                 DialState::Connecting(address) => self.connect(address).await,
                 DialState::Up(address, established) => self.serve(address, established).await,
-                DialState::BackingOff(end) => self.back_off(&end).await,
+                DialState::BackingOff(reason) => self.back_off(&reason).await,
                 DialState::Removed => {
-                    self.links.dialling.borrow_mut().remove(&self.peer);
+                    self.links.dialled_peers.borrow_mut().remove(&self.peer);
                     return;
                 }
             };
@@ -93,7 +93,7 @@
     }
 
     fn look_up(&mut self) -> DialState {
-        self.settings = Rc::clone(&self.changes.borrow_and_update());
+        self.settings = Rc::clone(&self.settings_updates.borrow_and_update());
         let Some(peer) = self.settings.file.peers.iter().find(|peer| peer.name == self.peer) else {
             return DialState::Removed;
         };
@@ -104,36 +104,40 @@
     }
 
     async fn connect(&mut self, address: SocketAddr) -> DialState {
-        self.dialled_at = Instant::now();
+        self.last_attempt_at = Instant::now();
         match self.links.dial(address, &self.settings).await {
             Ok(established) if established.peer.site == self.peer => DialState::Up(address, established),
             Ok(established) => {
-                DialState::BackingOff(LinkEnd::Link(LinkError::UnknownPeer(established.peer.site)))
+                DialState::BackingOff(CloseReason::Link(LinkError::UnknownPeer(established.peer.site)))
             }
-            Err(end) => DialState::BackingOff(end),
+            Err(reason) => DialState::BackingOff(reason),
         }
     }
 
     async fn serve(&mut self, address: SocketAddr, established: EstablishedLink<TcpStream>) -> DialState {
         tracing::info!(site = %self.peer, "site link up");
-        self.lost = false;
-        let dialled = DialledAddress { changes: self.changes.clone(), peer: self.peer.clone(), address };
-        DialState::BackingOff(self.links.serve(established, &mut Some(dialled)).await)
+        self.loss_logged = false;
+        let address_watch = PeerAddressWatch {
+            settings_updates: self.settings_updates.clone(),
+            peer: self.peer.clone(),
+            address,
+        };
+        DialState::BackingOff(self.links.serve(established, &mut Some(address_watch)).await)
     }
 
-    async fn back_off(&mut self, end: &LinkEnd) -> DialState {
-        if !self.lost {
-            self.lost = true;
-            tracing::warn!(site = %self.peer, error = %end, "site link down");
+    async fn back_off(&mut self, reason: &CloseReason) -> DialState {
+        if !self.loss_logged {
+            self.loss_logged = true;
+            tracing::warn!(site = %self.peer, error = %reason, "site link down");
         }
         let (first, longest) =
             (self.settings.file.link.reconnect.first, self.settings.file.link.reconnect.longest);
-        let has_lasted = self.dialled_at.elapsed() > longest;
-        self.backoff = if has_lasted { first } else { (2 * self.backoff).clamp(first, longest) };
+        let is_long_lived = self.last_attempt_at.elapsed() > longest;
+        self.backoff = if is_long_lived { first } else { (2 * self.backoff).clamp(first, longest) };
         let jittered = self.backoff.mul_f64(jitter_factor());
         tokio::select! {
             () = sleep(jittered) => {}
-            _ = self.changes.changed() => self.changes.mark_changed(),
+            _ = self.settings_updates.changed() => self.settings_updates.mark_changed(),
         }
         DialState::LookUp
     }
@@ -144,33 +148,33 @@
         &self,
         address: SocketAddr,
         settings: &SiteLinkSettings,
-    ) -> Result<EstablishedLink<TcpStream>, LinkEnd> {
+    ) -> Result<EstablishedLink<TcpStream>, CloseReason> {
         let limit = settings.file.link.handshake_timeout;
         let Ok(connected) = timeout(limit, TcpStream::connect(address)).await else {
-            return Err(LinkEnd::Link(LinkError::HandshakeTimeout));
+            return Err(CloseReason::Link(LinkError::HandshakeTimeout));
         };
         let stream = connected?;
-        let _ = stream.set_nodelay(true); // without it the link works, only slower
+        let _ = stream.set_nodelay(true); // best effort: without it the link is only slower
         self.handshake(stream, settings, Direction::Dialled).await
     }
 }
 
-/// Where a link was dialled, to notice that the operator names another address for the peer.
-pub(super) struct DialledAddress {
-    changes: watch::Receiver<Rc<SiteLinkSettings>>,
+/// Detects that the operator has changed the address of a peer whose link is up.
+pub(super) struct PeerAddressWatch {
+    settings_updates: watch::Receiver<Rc<SiteLinkSettings>>,
     peer: String,
     address: SocketAddr,
 }
 
-impl DialledAddress {
-    /// Ends when the operator names another address for the peer. A peer that is no longer listed keeps its link
+impl PeerAddressWatch {
+    /// Waits until the operator changes the address of the peer. A peer that is no longer configured keeps its link
     /// until the gateway closes it.
     pub(super) async fn changed(&mut self) {
         loop {
-            if self.changes.changed().await.is_err() {
+            if self.settings_updates.changed().await.is_err() {
                 return std::future::pending().await;
             }
-            let settings = Rc::clone(&self.changes.borrow_and_update());
+            let settings = Rc::clone(&self.settings_updates.borrow_and_update());
             let peer = settings.file.peers.iter().find(|peer| peer.name == self.peer);
             if peer.is_some_and(|peer| peer.connect != Some(self.address)) {
                 return;
@@ -179,8 +183,8 @@
     }
 }
 
-/// A random factor between a half and one and a half, so that sites that were cut off together do not all dial at
-/// once. Without random numbers it is 1: one site alone is not harmed by that.
+/// Returns a random factor between 0.5 and 1.5, so that sites that were disconnected together do not redial at the same
+/// time. Returns 1 if no random number is available, which is harmless if it happens at one site only.
 fn jitter_factor() -> f64 {
     0.5 + getrandom::u32().map_or(0.5, |number| f64::from(number) / f64::from(u32::MAX))
 }
--- a/src/server/peers/site_links/frames.rs
+++ b/src/server/peers/site_links/frames.rs
@@ -1,4 +1,4 @@
-//! Carries frames between an established link and the engine.
+//! Passes frames between an established link and the engine.
 
 use std::io;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use tokio::io::{split, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::{sleep_until, timeout};
 
-use super::dialer::DialledAddress;
+use super::dialer::PeerAddressWatch;
 use super::handshake::EstablishedLink;
-use super::links::{Direction, LinkEnd, SiteLinks, READ_BYTES};
+use super::links::{CloseReason, Direction, SiteLinks, READ_BYTES};
 use crate::server::peers::site_messages::{LinkInbox, LinkOutbox, SiteLinkEvent};
 
-/// How long the last frame of a link, which says why it ends, may take to be written.
+/// Write timeout for the last frame of a link, which tells the peer the close reason.
 const BYE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A round-trip time is reported to the engine if it differs from the last reported one by more than this share: each
-/// report is one more message in the engine's queue.
+/// A round-trip time is reported to the engine only if it differs from the last reported one by more than this fraction,
+/// because each report is a message in the engine's queue.
 const MIN_ROUND_TRIP_CHANGE: f64 = 0.1;
 
 impl SiteLinks {
-    /// Serves a link until it ends; returns why it did.
+    /// Serves a link until it is closed, and returns the reason.
     pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         established: EstablishedLink<S>,
-        dialled: &mut Option<DialledAddress>,
-    ) -> LinkEnd {
+        address_watch: &mut Option<PeerAddressWatch>,
+    ) -> CloseReason {
         let EstablishedLink { mut stream, link, peer, direction } = established;
         let id = self.next_link_id();
-        let (outbox, inbox) = LinkOutbox::pair();
+        let (outbox, inbox) = LinkOutbox::channel();
         self.notify(SiteLinkEvent::Up {
             link: id,
             site: peer.site,
@@ -37,89 +37,93 @@
             dialled: direction == Direction::Dialled,
             outbox,
         });
-        let mut carrier =
-            FrameCarrier { links: self, id, link, writing: None, frames: Vec::new(), round_trip: None };
-        let end = carrier.carry(&mut stream, inbox, dialled).await;
+        let mut driver =
+            LinkDriver { links: self, id, link, pending_write: None, frames: Vec::new(), round_trip: None };
+        let reason = driver.run(&mut stream, inbox, address_watch).await;
         self.notify(SiteLinkEvent::Down(id));
-        if end.is_unknown_to_peer() {
-            say_bye(&mut stream, &mut carrier.link, &end).await;
+        if reason.should_notify_peer() {
+            send_close_reason(&mut stream, &mut driver.link, &reason).await;
         }
-        end
+        reason
     }
 }
 
-/// Tells the other end why the link ends, for its log. It may be gone, or read nothing any more.
-async fn say_bye<S: AsyncRead + AsyncWrite + Unpin>(stream: &mut S, link: &mut Link, end: &LinkEnd) {
-    let _ = link.send(&Frame::Bye(end.to_string())); // fails where the queue is full: then nothing is said
-    let write_rest = async {
+/// Notifies the peer of the close reason, which it logs. Best effort: the peer may be gone or no longer reading.
+async fn send_close_reason<S: AsyncRead + AsyncWrite + Unpin>(
+    stream: &mut S,
+    link: &mut Link,
+    reason: &CloseReason,
+) {
+    let _ = link.send(&Frame::Bye(reason.to_string())); // fails if the queue is full: the reason is then not sent
+    let write_queued = async {
         while let Some(transmit) = link.transmit() {
             stream.write_all(&transmit.bytes).await?;
         }
         stream.shutdown().await
     };
-    let _ = timeout(BYE_TIMEOUT, write_rest).await; // the link has ended, whether this is read or not
+    let _ = timeout(BYE_TIMEOUT, write_queued).await; // the link is closed in any case
 }
 
-/// A frame that is partly written.
+/// A frame that has not been written completely.
 struct PendingWrite {
     transmit: Transmit,
     written: usize,
 }
 
-/// Carries the frames of one link.
-struct FrameCarrier<'a> {
+/// Drives the I/O of one link.
+struct LinkDriver<'a> {
     links: &'a SiteLinks,
     id: LinkId,
     link: Box<Link>,
-    writing: Option<PendingWrite>,
-    /// Received frames, between two steps empty.
+    pending_write: Option<PendingWrite>,
+    /// Scratch buffer for received frames. Empty between calls.
     frames: Vec<Frame>,
-    /// The round-trip time that the engine knows.
+    /// The round-trip time last reported to the engine.
     round_trip: Option<Duration>,
 }
 
-impl FrameCarrier<'_> {
-    /// Carries frames both ways until the link ends. Each branch can be dropped while another is faster without a
-    /// loss of bytes: `read_buf` and `write` are cancel-safe, `write_all` would not be.
-    async fn carry<S: AsyncRead + AsyncWrite + Unpin>(
+impl LinkDriver<'_> {
+    /// Passes frames in both directions until the link ends. Every `select!` branch must be cancel-safe, or bytes would
+    /// be lost: `read_buf` and `write` are, `write_all` is not.
+    async fn run<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         stream: &mut S,
         mut inbox: LinkInbox,
-        dialled: &mut Option<DialledAddress>,
-    ) -> LinkEnd {
+        address_watch: &mut Option<PeerAddressWatch>,
+    ) -> CloseReason {
         let (mut reader, mut writer) = split(stream);
-        let mut read = BytesMut::with_capacity(READ_BYTES);
+        let mut buffer = BytesMut::with_capacity(READ_BYTES);
         loop {
             self.next_write();
-            let due = self.links.origin + self.link.due();
-            let step = tokio::select! {
-                written = write_some(&mut writer, self.writing.as_ref()) => self.bytes_written(written),
-                got = reader.read_buf(&mut read) => self.bytes_read(got, &mut read),
+            let next_tick_at = self.links.time_origin + self.link.due();
+            let result = tokio::select! {
+                written = write_some(&mut writer, self.pending_write.as_ref()) => self.handle_written(written),
+                count = reader.read_buf(&mut buffer) => self.handle_read(count, &mut buffer),
                 frame = inbox.recv() => self.send(frame),
-                () = sleep_until(due) => self.link.tick(self.links.now()).map_err(LinkEnd::from),
-                () = address_changed(dialled) => Err(LinkEnd::Closed),
+                () = sleep_until(next_tick_at) => self.link.tick(self.links.now()).map_err(CloseReason::from),
+                () = address_changed(address_watch) => Err(CloseReason::Closed),
             };
-            if let Err(end) = step {
-                return end;
+            if let Err(reason) = result {
+                return reason;
             }
             self.report_round_trip();
         }
     }
 
     fn next_write(&mut self) {
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             return;
         }
         let Some(transmit) = self.link.transmit() else { return };
-        self.writing = Some(PendingWrite { transmit, written: 0 });
+        self.pending_write = Some(PendingWrite { transmit, written: 0 });
     }
 
-    fn bytes_written(&mut self, written: io::Result<usize>) -> Result<(), LinkEnd> {
+    fn handle_written(&mut self, written: io::Result<usize>) -> Result<(), CloseReason> {
         let count = written?;
         if count == 0 {
-            return Err(LinkEnd::Io(io::ErrorKind::WriteZero.into()));
+            return Err(CloseReason::Io(io::ErrorKind::WriteZero.into()));
         }
-        let Some(pending) = &mut self.writing else { return Ok(()) };
+        let Some(pending) = &mut self.pending_write else { return Ok(()) };
         pending.written += count;
         if pending.written < pending.transmit.bytes.len() {
             return Ok(());
@@ -127,33 +131,34 @@
         if let Some(request) = pending.transmit.offered {
             self.links.notify(SiteLinkEvent::OfferWritten { link: self.id, request });
         }
-        self.writing = None;
+        self.pending_write = None;
         Ok(())
     }
 
-    /// Hands the engine the frames that have been read, also those before a malformed one.
-    fn bytes_read(&mut self, got: io::Result<usize>, read: &mut BytesMut) -> Result<(), LinkEnd> {
-        if got? == 0 {
-            return Err(LinkEnd::Io(io::ErrorKind::UnexpectedEof.into()));
+    /// Passes received frames to the engine, including those that precede a malformed frame.
+    fn handle_read(&mut self, count: io::Result<usize>, buffer: &mut BytesMut) -> Result<(), CloseReason> {
+        if count? == 0 {
+            return Err(CloseReason::Io(io::ErrorKind::UnexpectedEof.into()));
         }
-        let input = self.link.input(self.links.now(), read, &mut self.frames);
-        read.clear();
+        let result = self.link.input(self.links.now(), buffer, &mut self.frames);
+        buffer.clear();
         for frame in self.frames.drain(..) {
             self.links.notify(SiteLinkEvent::FrameReceived { link: self.id, frame });
         }
-        Ok(input?)
+        Ok(result?)
     }
 
-    /// Sends a frame of the engine; `None`: the engine has closed the link.
-    fn send(&mut self, frame: Option<Frame>) -> Result<(), LinkEnd> {
-        let Some(frame) = frame else { return Err(LinkEnd::Closed) };
+    /// Queues a frame from the engine for writing. `None` means that the engine has closed the link.
+    fn send(&mut self, frame: Option<Frame>) -> Result<(), CloseReason> {
+        let Some(frame) = frame else { return Err(CloseReason::Closed) };
         Ok(self.link.send(&frame)?)
     }
 
     fn report_round_trip(&mut self) {
         let Some(measured) = self.link.round_trip() else { return };
-        let differs = |known: Duration| measured.abs_diff(known) > known.mul_f64(MIN_ROUND_TRIP_CHANGE);
-        if !self.round_trip.is_none_or(differs) {
+        let changed =
+            |reported: Duration| measured.abs_diff(reported) > reported.mul_f64(MIN_ROUND_TRIP_CHANGE);
+        if !self.round_trip.is_none_or(changed) {
             return;
         }
         self.round_trip = Some(measured);
@@ -161,7 +166,7 @@
     }
 }
 
-/// Writes as much of the pending frame as the socket takes; waits where there is none.
+/// Writes as much of the pending frame as the stream accepts. Never completes if no frame is pending.
 async fn write_some<W: AsyncWrite + Unpin>(
     writer: &mut W,
     pending: Option<&PendingWrite>,
@@ -172,20 +177,20 @@
     }
 }
 
-/// Ends when the operator names another address than the one that was dialled; never for an accepted link.
-async fn address_changed(dialled: &mut Option<DialledAddress>) {
-    match dialled {
-        Some(dialled) => dialled.changed().await,
+/// Waits until the operator changes the address of a dialled peer. Never completes for an accepted link.
+async fn address_changed(address_watch: &mut Option<PeerAddressWatch>) {
+    match address_watch {
+        Some(watch) => watch.changed().await,
         None => std::future::pending().await,
     }
 }
 
-impl LinkEnd {
-    /// Whether the other end cannot know by itself why the link ends.
-    fn is_unknown_to_peer(&self) -> bool {
+impl CloseReason {
+    /// Whether to send the reason to the peer. False if the connection failed or the peer itself closed the link.
+    fn should_notify_peer(&self) -> bool {
         match self {
-            LinkEnd::Io(_) | LinkEnd::Link(LinkError::ClosedByPeer(_)) => false,
-            LinkEnd::Link(_) | LinkEnd::Random(_) | LinkEnd::Closed => true,
+            CloseReason::Io(_) | CloseReason::Link(LinkError::ClosedByPeer(_)) => false,
+            CloseReason::Link(_) | CloseReason::Random(_) | CloseReason::Closed => true,
         }
     }
 }
--- a/src/server/peers/site_links/handshake.rs
+++ b/src/server/peers/site_links/handshake.rs
@@ -1,4 +1,4 @@
-//! Carries the handshake of `crates/site-link` over a stream: each end proves that it knows the secret.
+//! Performs the handshake of `crates/site-link` over a stream: each side proves that it knows the secret.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout_at;
 
-use super::links::{Direction, LinkEnd, SiteLinks, READ_BYTES};
+use super::links::{CloseReason, Direction, SiteLinks, READ_BYTES};
 use super::settings::SiteLinkSettings;
 
-/// A stream with a link on it.
+/// A stream whose handshake has completed.
 pub(super) struct EstablishedLink<S> {
     pub(super) stream: S,
     pub(super) link: Box<Link>,
@@ -19,15 +19,15 @@
 }
 
 impl SiteLinks {
-    /// Performs the handshake. It needs a stream of bytes and nothing of TCP, so that encryption can go between.
+    /// Performs the handshake. Generic over the stream, so that an encryption layer can be added on top of TCP.
     pub(super) async fn handshake<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         mut stream: S,
         settings: &SiteLinkSettings,
         direction: Direction,
-    ) -> Result<EstablishedLink<S>, LinkEnd> {
+    ) -> Result<EstablishedLink<S>, CloseReason> {
         let mut nonce = [0; 16];
-        getrandom::fill(&mut nonce).map_err(LinkEnd::Random)?;
+        getrandom::fill(&mut nonce).map_err(CloseReason::Random)?;
         let local = LocalIdentity {
             site: settings.file.site.clone(),
             incarnation: self.incarnation.0,
@@ -37,10 +37,10 @@
         let config = settings.file.link.clone();
         let (mut handshake, first_bytes) =
             Handshake::begin(self.now(), config, settings.secret.clone(), local)?;
-        let times_out_at = self.origin + handshake.times_out_at();
+        let times_out_at = self.time_origin + handshake.times_out_at();
         let exchange = self.exchange(&mut stream, &mut handshake, &first_bytes);
         let Ok(established) = timeout_at(times_out_at, exchange).await else {
-            return Err(LinkEnd::Link(LinkError::HandshakeTimeout));
+            return Err(CloseReason::Link(LinkError::HandshakeTimeout));
         };
         let (link, peer) = established?;
         Ok(EstablishedLink { stream, link, peer, direction })
@@ -51,15 +51,15 @@
         stream: &mut S,
         handshake: &mut Handshake,
         first_bytes: &[u8],
-    ) -> Result<(Box<Link>, PeerIdentity), LinkEnd> {
+    ) -> Result<(Box<Link>, PeerIdentity), CloseReason> {
         stream.write_all(first_bytes).await?;
-        let mut read = BytesMut::with_capacity(READ_BYTES);
+        let mut buffer = BytesMut::with_capacity(READ_BYTES);
         loop {
-            if stream.read_buf(&mut read).await? == 0 {
-                return Err(LinkEnd::Io(io::ErrorKind::UnexpectedEof.into()));
+            if stream.read_buf(&mut buffer).await? == 0 {
+                return Err(CloseReason::Io(io::ErrorKind::UnexpectedEof.into()));
             }
-            let step = handshake.input(self.now(), &read)?;
-            read.clear();
+            let step = handshake.input(self.now(), &buffer)?;
+            buffer.clear();
             match step {
                 HandshakeStep::Continue(bytes) => stream.write_all(&bytes).await?,
                 HandshakeStep::Established(bytes, link, peer) => {
--- a/src/server/peers/site_links/links.rs
+++ b/src/server/peers/site_links/links.rs
@@ -1,4 +1,4 @@
-//! The state that all site links of a process share, and why one of them ended.
+//! State shared by all site links of a process, and the reasons for closing a link.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -16,27 +16,27 @@
 use crate::server::lifecycle::Lifecycle;
 use crate::server::peers::site_messages::SiteLinkEvent;
 
-/// Capacity of a read buffer, in bytes.
+/// Initial capacity of a read buffer, in bytes.
 pub(super) const READ_BYTES: usize = 16 * 1024;
 
-/// Why a link has ended or did not come up. The text of some is sent to the other end (`Frame::Bye`).
+/// Why a link was closed or could not be established. For some reasons the message is sent to the peer (`Frame::Bye`).
 #[derive(Debug, thiserror::Error)]
-pub(super) enum LinkEnd {
-    /// The machine gives no random numbers for the handshake.
-    #[error("no random numbers: {0}")]
+pub(super) enum CloseReason {
+    /// The operating system returned no random bytes for the handshake nonce.
+    #[error("cannot generate a handshake nonce: {0}")]
     Random(getrandom::Error),
-    /// The other end broke the rules of the link or fell silent, or it has said why it closes.
+    /// The peer violated the protocol, timed out, or closed the link with a reason.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The connection broke or could not be made.
-    #[error("no connection: {0}")]
+    /// The connection failed or could not be established.
+    #[error("connection error: {0}")]
     Io(#[from] io::Error),
-    /// This end has closed it: by the gateway's decision, or since the operator names another address.
-    #[error("it is not needed any more")]
+    /// Closed by this process: the gateway closed the link, or the operator changed the address of the peer.
+    #[error("closed by the gateway, or the configured address of the peer changed")]
     Closed,
 }
 
-/// Which end has opened a link.
+/// Which side opened a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     Dialled,
@@ -47,34 +47,34 @@
 pub struct SiteLinks {
     pub(super) settings: watch::Sender<Rc<SiteLinkSettings>>,
     pub(super) incarnation: Incarnation,
-    /// Where the times of the links and of the gateway's decisions begin.
-    pub(super) origin: Instant,
+    /// Time zero of the links and the gateway, which measure time as a duration from here.
+    pub(super) time_origin: Instant,
     pub(super) queue: EngineQueue,
     pub(super) lifecycle: Rc<Lifecycle>,
     pub(super) last_link_id: Cell<u64>,
-    /// Peers that have a dialling task. With two tasks, each would replace the other's link.
-    pub(super) dialling: RefCell<HashSet<String>>,
-    /// Accepted connections in their handshake.
+    /// Peers that have a dialer task. Two tasks for the same peer would keep replacing each other's link.
+    pub(super) dialled_peers: RefCell<HashSet<String>>,
+    /// Number of accepted connections whose handshake is in progress.
     pub(super) handshakes: Cell<usize>,
 }
 
 impl SiteLinks {
-    /// The links that the operator's file lists.
+    /// Creates the links configured in the operator's file. [`Self::start`] starts them.
     pub fn new(
         settings: SiteLinkSettings,
         incarnation: Incarnation,
-        origin: Instant,
+        time_origin: Instant,
         queue: EngineQueue,
         lifecycle: Rc<Lifecycle>,
     ) -> Rc<Self> {
         Rc::new(SiteLinks {
             settings: watch::Sender::new(Rc::new(settings)),
             incarnation,
-            origin,
+            time_origin,
             queue,
             lifecycle,
             last_link_id: Cell::new(0),
-            dialling: RefCell::default(),
+            dialled_peers: RefCell::default(),
             handshakes: Cell::new(0),
         })
     }
@@ -84,7 +84,7 @@
     }
 
     pub(super) fn now(&self) -> Duration {
-        self.origin.elapsed()
+        self.time_origin.elapsed()
     }
 
     pub(super) fn next_link_id(&self) -> LinkId {
--- a/src/server/peers/site_links/listener.rs
+++ b/src/server/peers/site_links/listener.rs
@@ -11,25 +11,25 @@
 use tokio::time::sleep;
 
 use super::handshake::EstablishedLink;
-use super::links::{Direction, LinkEnd, SiteLinks};
+use super::links::{CloseReason, Direction, SiteLinks};
 use super::settings::SiteLinkSettings;
 use crate::server::lifecycle::Phase;
 
-/// Connections that may be in their handshake at a time; one more is closed at once.
+/// Maximum number of concurrent handshakes. Further connections are closed immediately.
 const MAX_HANDSHAKES: usize = 32;
-/// Wait before the listener is bound again, and after a failed accept.
+/// Delay before the listener is bound again, and after a failed accept.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl SiteLinks {
-    /// Accepts links while this process is the one that serves. A process that replaces it binds the address again.
+    /// Accepts links unless this process is starting or has been replaced. A successor binds the address itself.
     pub(super) async fn accept(self: Rc<Self>) {
         let Some(address) = self.settings.borrow().file.listen else { return };
         let mut phase = self.lifecycle.watch();
         let mut failures = 0u64;
         loop {
-            let serves = |phase: &Phase| !matches!(phase, Phase::Replaced | Phase::Starting);
-            // Fails only without a sender, which lives as long as `self`.
-            let _ = phase.wait_for(serves).await;
+            let is_active = |phase: &Phase| !matches!(phase, Phase::Replaced | Phase::Starting);
+            // Fails only if the sender is dropped, but `self` keeps it alive.
+            let _ = phase.wait_for(is_active).await;
             let listener = match TcpListener::bind(address).await {
                 Ok(listener) => listener,
                 Err(error) => {
@@ -62,20 +62,20 @@
             match accepted {
                 Ok((stream, from)) if self.handshakes.get() < MAX_HANDSHAKES => {
                     self.handshakes.set(self.handshakes.get() + 1);
-                    spawn_local(Rc::clone(self).accepted(stream, from));
+                    spawn_local(Rc::clone(self).handle_accepted(stream, from));
                 }
                 Ok(_) => {}
-                Err(_) => sleep(RETRY_DELAY).await, // out of descriptors, for example: they may be free again
+                Err(_) => sleep(RETRY_DELAY).await, // for example out of descriptors, which may be released
             }
         }
     }
 
-    async fn accepted(self: Rc<Self>, stream: TcpStream, from: SocketAddr) {
-        let _ = stream.set_nodelay(true); // without it the link works, only slower
+    async fn handle_accepted(self: Rc<Self>, stream: TcpStream, from: SocketAddr) {
+        let _ = stream.set_nodelay(true); // best effort: without it the link is only slower
         let settings = Rc::clone(&self.settings.borrow());
         let handshake = self.handshake(stream, &settings, Direction::Accepted).await;
         self.handshakes.set(self.handshakes.get() - 1);
-        let established = handshake.and_then(|established| known_peer(established, &settings));
+        let established = handshake.and_then(|established| require_known_peer(established, &settings));
         let established = match established {
             Ok(established) => established,
             Err(error) => {
@@ -90,14 +90,14 @@
     }
 }
 
-/// The link, if the operator lists its peer.
-fn known_peer(
+/// Rejects a link whose peer is not configured.
+fn require_known_peer(
     established: EstablishedLink<TcpStream>,
     settings: &SiteLinkSettings,
-) -> Result<EstablishedLink<TcpStream>, LinkEnd> {
+) -> Result<EstablishedLink<TcpStream>, CloseReason> {
     let site = &established.peer.site;
     if settings.file.peers.iter().any(|peer| peer.name == *site) {
         return Ok(established);
     }
-    Err(LinkEnd::Link(LinkError::UnknownPeer(site.clone())))
+    Err(CloseReason::Link(LinkError::UnknownPeer(site.clone())))
 }
--- a/src/server/peers/site_links/settings.rs
+++ b/src/server/peers/site_links/settings.rs
@@ -1,4 +1,4 @@
-//! What the operator configures for the links, with the secret that it names.
+//! The operator's settings of the site links, with the secret.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,38 +8,38 @@
 use chutesaddle_operator_config::GatewaySettings;
 use chutesaddle_site_link::Secret;
 
-/// Why the secret cannot be used.
+/// An error while loading the secret.
 #[derive(Debug, thiserror::Error)]
 pub enum SecretError {
-    /// It cannot be read.
-    #[error("the gateway's secret {path:?} cannot be read: {source}")]
+    /// The file cannot be read.
+    #[error("cannot read gateway secret file {path:?}: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system reported.
+        /// The I/O error.
         source: io::Error,
     },
-    /// It is too short.
-    #[error("the gateway's secret {path:?} has under {least} bytes", least = Secret::LEAST_BYTES)]
+    /// The secret is too short.
+    #[error("gateway secret in {path:?} is shorter than {min_bytes} bytes", min_bytes = Secret::LEAST_BYTES)]
     TooShort {
         /// The file.
         path: PathBuf,
     },
 }
 
-/// The operator's file and the secret that its `secret-file` holds.
+/// The gateway section of the operator's file and the secret from its `secret-file`.
 #[derive(Clone)]
 pub struct SiteLinkSettings {
-    /// The file.
+    /// The settings in the file.
     pub file: GatewaySettings,
     /// The secret.
     pub secret: Secret,
 }
 
-/// Reads the secret, without the line end that an editor leaves.
+/// Reads the secret. Trailing ASCII whitespace is removed, because editors append a newline.
 ///
 /// # Errors
-/// If it cannot be read or is too short.
+/// Returns an error if the file cannot be read or the secret is too short.
 pub fn read_secret(path: &Path) -> Result<Secret, SecretError> {
     let read = std::fs::read(path);
     let mut bytes = read.map_err(|source| SecretError::Unreadable { path: path.into(), source })?;
@@ -49,8 +49,8 @@
     Secret::new(bytes).ok_or_else(|| SecretError::TooShort { path: path.into() })
 }
 
-/// A number for this incarnation of the process. A later one has a greater number, as far as the clock does not go
-/// back.
+/// Creates the incarnation number of this process, derived from the wall clock. A later process has a greater number
+/// unless the clock is set back.
 pub fn new_incarnation() -> Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation(since_epoch.as_micros() as u64)
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the links to other sites and the engine. Like [`crate::server::messages`] they know neither
-//! of the two, so that no module depends on itself in a circle.
+//! Messages between the site links and the engine. Like [`crate::server::messages`], this module depends on neither of
+//! the two, which avoids circular module dependencies.
 
 use std::time::Duration;
 
@@ -9,80 +9,80 @@
 
 use crate::server::messages::FinalAnswer;
 
-/// Frames that may wait for a link's task. Those that wait to be written are bounded in bytes by the link.
-const MAX_WAITING_FRAMES: usize = 4096;
+/// Capacity of the queue from the engine to a link's task, in frames. The link itself limits the bytes queued for writing.
+const MAX_QUEUED_FRAMES: usize = 4096;
 
-/// The engine's end of a link. Dropped, it closes the link.
+/// The engine's side of a link: queues frames for sending. Dropping it closes the link.
 #[derive(Debug)]
 pub struct LinkOutbox(mpsc::Sender<Frame>);
 
-/// The link's end: brings the frames to send. Closed, the link is to close.
+/// The link task's side: receives the frames to send. The task closes the link when the channel is closed.
 pub type LinkInbox = mpsc::Receiver<Frame>;
 
 impl LinkOutbox {
-    /// Both ends.
-    pub fn pair() -> (Self, LinkInbox) {
-        let (sender, receiver) = mpsc::channel(MAX_WAITING_FRAMES);
+    /// Creates a channel and returns both sides.
+    pub fn channel() -> (Self, LinkInbox) {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         (LinkOutbox(sender), receiver)
     }
 
-    /// Queues a frame; false if the link takes nothing more, and is to be closed.
+    /// Queues a frame. Returns false if the queue is full or the link has ended; the link must then be closed.
     pub fn send(&self, frame: Frame) -> bool {
         self.0.try_send(frame).is_ok()
     }
 }
 
-/// What the links notify the engine of.
+/// Notifications from the site links to the engine.
 #[derive(Debug)]
 pub enum SiteLinkEvent {
-    /// A link is up: its handshake is over.
+    /// A link has completed its handshake.
     Up {
-        /// Its number, unique within the process.
+        /// ID of the link, unique within the process.
         link: LinkId,
-        /// The name of the other end's site.
+        /// Name of the peer's site.
         site: String,
-        /// The incarnation of the other end's process.
+        /// Incarnation of the peer process.
         incarnation: u64,
-        /// Whether this end has dialled.
+        /// Whether this process dialled the link.
         dialled: bool,
-        /// Takes frames for the other end.
+        /// Queue of frames to the peer.
         outbox: LinkOutbox,
     },
     /// A link has ended.
     Down(LinkId),
     /// A frame has been received.
     FrameReceived {
-        /// On which link.
+        /// The link.
         link: LinkId,
         /// The frame.
         frame: Frame,
     },
-    /// The last byte of the frame that offers this request is written: it may run from now on.
+    /// The frame that offers this request has been written completely, so the peer may now run it.
     OfferWritten {
-        /// On which link.
+        /// The link.
         link: LinkId,
-        /// The number of the forwarded request.
+        /// ID of the forwarded request.
         request: u64,
     },
-    /// The round-trip time has changed.
+    /// The round-trip time of a link has changed.
     RoundTripChanged {
-        /// On which link.
+        /// The link.
         link: LinkId,
-        /// The measured time.
+        /// The measured round-trip time.
         round_trip: Duration,
     },
-    /// A request that another site has forwarded has its answer.
+    /// A request forwarded by another site has been answered.
     RequestAnswered {
-        /// Where the request came from.
+        /// Origin of the request.
         origin: Origin,
-        /// Its answer.
+        /// The answer.
         answer: FinalAnswer,
     },
-    /// This process has begun or ended to drain.
+    /// This process has started or stopped draining.
     DrainChanged {
-        /// Whether it is draining now.
+        /// Whether it is draining.
         draining: bool,
     },
-    /// The operator's settings of the gateway have changed.
+    /// The gateway settings in the operator's file have changed.
     SettingsChanged(Box<Config>),
 }
