--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -40,7 +40,8 @@
 /// How long idle client connections stay open once the process drains. The front layer must see the 503 of `/ready`
 /// before they close.
 const IDLE_CONNECTION_GRACE: Duration = Duration::from_millis(500);
-/// After PAUSE, a request received completely later than this is rejected, regardless of when it began to arrive.
+/// How long after PAUSE a request may take to be received completely. A later one is rejected, regardless of when it
+/// began to arrive.
 const PAUSE_COMPLETION_WINDOW: Duration = Duration::from_millis(1900);
 /// After SIGTERM the platform waits for the longest deadline, but at most this plus 0.7 s, before it kills the process.
 /// The process does not limit its own shutdown: this value only shortens the deadlines of requests that are received
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -48,7 +48,8 @@
 /// How often a successor checks whether discovery has delivered an endpoint list.
 const DISCOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Takes part in upgrades, first as the successor of an earlier process and later as the predecessor of a new one.
+/// Runs this process's side of upgrades: first as the successor of an earlier process, later as the predecessor of a new
+/// one.
 pub struct Handover {
     /// Path of the Unix socket that a successor connects to. `None` disables upgrades.
     pub socket_path: Option<PathBuf>,
--- a/src/server/lifecycle/handover_frames/link.rs
+++ b/src/server/lifecycle/handover_frames/link.rs
@@ -20,7 +20,7 @@
 
 /// Maximum length of a received frame. The largest frame sent is a callback with its result.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Size of the read buffer.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 /// Size of the length prefix of each frame.
 const LENGTH_PREFIX_BYTES: usize = 4;
@@ -28,8 +28,8 @@
 /// A protocol error of the other process.
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
-    #[error("handover frame exceeds {MAX_FRAME_BYTES} bytes")]
-    TooLong,
+    #[error("handover frame of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
+    TooLong(usize),
     #[error("handover frame has no format version byte")]
     Empty,
     #[error("handover frame was received without its socket")]
@@ -193,7 +193,7 @@
         let Some(length) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(FrameError::TooLong);
+            return Err(FrameError::TooLong(length));
         }
         if self.buffer.len() < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
--- a/src/server/peers/site_links/dialer.rs
+++ b/src/server/peers/site_links/dialer.rs
@@ -132,8 +132,9 @@
         }
         let (first, longest) =
             (self.settings.file.link.reconnect.first, self.settings.file.link.reconnect.longest);
-        let is_long_lived = self.last_attempt_at.elapsed() > longest;
-        self.backoff = if is_long_lived { first } else { (2 * self.backoff).clamp(first, longest) };
+        // A link that stayed up longer than the maximum backoff resets the backoff.
+        let was_long_lived = self.last_attempt_at.elapsed() > longest;
+        self.backoff = if was_long_lived { first } else { (2 * self.backoff).clamp(first, longest) };
         let jittered = self.backoff.mul_f64(jitter_factor());
         tokio::select! {
             () = sleep(jittered) => {}
@@ -149,8 +150,8 @@
         address: SocketAddr,
         settings: &SiteLinkSettings,
     ) -> Result<EstablishedLink<TcpStream>, CloseReason> {
-        let limit = settings.file.link.handshake_timeout;
-        let Ok(connected) = timeout(limit, TcpStream::connect(address)).await else {
+        let connect_timeout = settings.file.link.handshake_timeout;
+        let Ok(connected) = timeout(connect_timeout, TcpStream::connect(address)).await else {
             return Err(CloseReason::Link(LinkError::HandshakeTimeout));
         };
         let stream = connected?;
