--- a/src/server/engine/attempts.rs
+++ b/src/server/engine/attempts.rs
@@ -48,7 +48,7 @@
         let work_s = request.estimated_work_s.unwrap_or(0.0);
         self.spawn_attempt(id, attempt, task.run());
         self.recent_sends.expire(&self.settings);
-        let frame = HandoverFrame::WorkSent { worker_name: worker_name.clone(), class, work_s };
+        let frame = HandoverFrame::AttemptSent { worker_name: worker_name.clone(), class, work_s };
         self.peers.broadcast(None, &frame);
         self.recent_sends.add(worker_name, class, work_s);
         None
--- a/src/server/engine/recent_sends.rs
+++ b/src/server/engine/recent_sends.rs
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Returns the `WorkSent` frames for a process that joins, oldest first.
+    /// Returns the `AttemptSent` frames for a process that joins, oldest first.
     pub(super) fn frames(&self) -> impl Iterator<Item = HandoverFrame> + '_ {
-        self.0.iter().map(|sent| HandoverFrame::WorkSent {
+        self.0.iter().map(|sent| HandoverFrame::AttemptSent {
             worker_name: sent.worker_name.clone(),
             class: sent.class,
             work_s: sent.work_s,
--- a/src/server/lifecycle/handover.rs
+++ b/src/server/lifecycle/handover.rs
@@ -193,8 +193,8 @@
                 let relay = CallbackRelay { from: peer, relays };
                 self.queue.send(EngineMessage::CallbackReceived { callback, relay: Some(relay) });
             }
-            (HandoverFrame::WorkSent { worker_name, class, work_s }, _) => {
-                let frame = HandoverFrame::WorkSent { worker_name: worker_name.clone(), class, work_s };
+            (HandoverFrame::AttemptSent { worker_name, class, work_s }, _) => {
+                let frame = HandoverFrame::AttemptSent { worker_name: worker_name.clone(), class, work_s };
                 self.peers.broadcast(Some(peer), &frame);
                 self.queue.send(EngineMessage::SentByOtherProcess { worker_name, class, work_s });
             }
--- a/src/server/lifecycle/handover_frames/frame.rs
+++ b/src/server/lifecycle/handover_frames/frame.rs
@@ -13,7 +13,7 @@
 /// its idle connections instead of handing them over, and finishes its own requests.
 pub(super) const FRAME_FORMAT_VERSION: u8 = 2;
 /// Number of stable frames, the first variants of [`HandoverFrame`]. All builds encode them identically.
-pub(super) const STABLE_FRAMES: u8 = 5;
+pub(super) const STABLE_FRAME_COUNT: u8 = 5;
 
 /// A message between the predecessor and its successor. The order of variants and fields is part of the encoding, see
 /// [`super`].
@@ -58,7 +58,7 @@
         keep_alive: bool,
     },
     /// The sending process has sent an attempt to a worker.
-    WorkSent {
+    AttemptSent {
         /// Name of the worker.
         worker_name: String,
         /// Index of the request class in the settings.
@@ -80,7 +80,7 @@
             HandoverFrame::IdleConnection { .. }
             | HandoverFrame::LearnedState { .. }
             | HandoverFrame::Request { .. }
-            | HandoverFrame::WorkSent { .. } => false,
+            | HandoverFrame::AttemptSent { .. } => false,
         }
     }
 
@@ -95,7 +95,7 @@
             | HandoverFrame::RequestClosed(_)
             | HandoverFrame::Callback { .. }
             | HandoverFrame::LearnedState { .. }
-            | HandoverFrame::WorkSent { .. } => false,
+            | HandoverFrame::AttemptSent { .. } => false,
         }
     }
 }
--- a/src/server/lifecycle/handover_frames/link.rs
+++ b/src/server/lifecycle/handover_frames/link.rs
@@ -16,7 +16,7 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAMES};
+use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAME_COUNT};
 
 /// Maximum length of a received frame. The largest frame sent is a callback with its result.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
@@ -174,7 +174,7 @@
             let (&version, body) = bytes.split_first().ok_or(FrameError::Empty)?;
             if version != FRAME_FORMAT_VERSION {
                 self.same_format.set(false);
-                if body.first().is_none_or(|variant| *variant >= STABLE_FRAMES) {
+                if body.first().is_none_or(|variant| *variant >= STABLE_FRAME_COUNT) {
                     continue;
                 }
             }
--- a/src/server/lifecycle/handover_frames/tests.rs
+++ b/src/server/lifecycle/handover_frames/tests.rs
@@ -5,7 +5,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::UnixStream;
 
-use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAMES};
+use super::frame::{HandoverFrame, FRAME_FORMAT_VERSION, STABLE_FRAME_COUNT};
 use super::{link, FrameReceiver, FrameSender};
 use crate::server::frontend::connection_eviction::EvictionClass;
 use crate::server::messages::{CallbackEvent, WorkerCallback};
@@ -40,14 +40,14 @@
         ),
     ];
     for (frame, bytes) in frames {
-        assert!(frame.is_stable() && bytes[0] < STABLE_FRAMES);
+        assert!(frame.is_stable() && bytes[0] < STABLE_FRAME_COUNT);
         assert_eq!(postcard::to_allocvec(&frame).unwrap(), bytes, "{frame:?}");
         let read: HandoverFrame = postcard::from_bytes(bytes).unwrap();
         assert_eq!(postcard::to_allocvec(&read).unwrap(), bytes, "{read:?}");
     }
     let unstable =
         HandoverFrame::IdleConnection { eviction_class: EvictionClass::NeverUsed, answered: false };
-    assert!(!unstable.is_stable() && postcard::to_allocvec(&unstable).unwrap()[0] == STABLE_FRAMES);
+    assert!(!unstable.is_stable() && postcard::to_allocvec(&unstable).unwrap()[0] == STABLE_FRAME_COUNT);
 }
 
 /// Runs a test in a `LocalSet`, because links spawn local tasks.
@@ -95,13 +95,13 @@
         let (mut remote, local) = UnixStream::pair().unwrap();
         let (sender, mut receiver) = link(local);
         assert!(sender.has_same_format());
-        remote.write_all(&encoded(FRAME_FORMAT_VERSION + 1, &[STABLE_FRAMES, 1, 2, 3])).await.unwrap();
+        remote.write_all(&encoded(FRAME_FORMAT_VERSION + 1, &[STABLE_FRAME_COUNT, 1, 2, 3])).await.unwrap();
         remote.write_all(&encoded(FRAME_FORMAT_VERSION + 1, &[1])).await.unwrap();
         let received = receiver.next().await.unwrap();
         assert!(matches!(received.frame, HandoverFrame::Serving), "{:?}", received.frame);
         assert!(!sender.has_same_format());
         let worker_name = "m1".to_owned();
-        sender.send(HandoverFrame::WorkSent { worker_name, class: 0, work_s: 1.0 }, None);
+        sender.send(HandoverFrame::AttemptSent { worker_name, class: 0, work_s: 1.0 }, None);
         assert!(sender.is_flushed(), "the frame is dropped, not queued");
     });
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn reads_work_sent_written_by_84881d9() {
+fn reads_attempt_sent_written_by_84881d9() {
     let frame = read_frame("handover-sent-work-84881d9.bin");
-    let HandoverFrame::WorkSent { worker_name: worker, class, work_s: work } = frame else {
-        panic!("not a WorkSent frame: {frame:?}")
+    let HandoverFrame::AttemptSent { worker_name: worker, class, work_s: work } = frame else {
+        panic!("not a AttemptSent frame: {frame:?}")
     };
     assert_eq!((worker.as_str(), class, work), ("worker-4", 1, 0.25));
 }
