--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -23,11 +23,11 @@
 use chutesaddle::server::engine::Engine;
 use chutesaddle::server::engine_queue::EngineQueue;
 use chutesaddle::server::frontend::Frontend;
-use chutesaddle::server::lifecycle::handover::{self, Handover, Predecessor, TakenListener};
+use chutesaddle::server::lifecycle::handover::{self, AcquiredListener, Handover, Predecessor};
 use chutesaddle::server::lifecycle::operator_file::{self, OperatorFileError};
 use chutesaddle::server::lifecycle::operator_interface::OperatorInterface;
 use chutesaddle::server::lifecycle::peer_processes::PeerProcesses;
-use chutesaddle::server::lifecycle::reload::Reload;
+use chutesaddle::server::lifecycle::reload::ConfigReloader;
 use chutesaddle::server::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use chutesaddle::server::metrics::Counters;
 use chutesaddle::server::peers::gossip_transport::{self, GossipSender, GossipTransport};
@@ -92,9 +92,10 @@
 
     let address = files.config.listen;
     let socket_path = handover::socket_path();
-    let TakenListener { listener, predecessor } = handover::take_listener(socket_path.as_deref(), address)
-        .await
-        .map_err(|error| ServeError::Listen(address, error))?;
+    let AcquiredListener { listener, predecessor } =
+        handover::acquire_listener(socket_path.as_deref(), address)
+            .await
+            .map_err(|error| ServeError::Listen(address, error))?;
     let address = listener.local_addr().unwrap_or(address);
     let name = files.config.name.clone();
 
@@ -131,7 +132,7 @@
     fn read(arguments: ServeArguments) -> Result<Self, ServeError> {
         let config_path = arguments.config.ok_or(ServeError::NoConfig)?;
         let config = Config::load(&config_path)?;
-        let site_links = operator_file::load_if_named(arguments.operator.as_deref())?;
+        let site_links = operator_file::load_optional(arguments.operator.as_deref())?;
         let operator_listen = config.operator_listen.or(arguments.ops);
         Ok(LoadedFiles {
             config,
@@ -214,7 +215,7 @@
     discovery_watch: DiscoveryWatch,
     discovery_address: watch::Receiver<SocketAddr>,
     gossip: GossipTransport,
-    reload: Reload,
+    reload: ConfigReloader,
     frontend: Rc<Frontend>,
     handover: Rc<Handover>,
     site_links: Option<Rc<SiteLinks>>,
@@ -237,7 +238,7 @@
         gossip_addresses,
     );
     let handover = build_handover(listener, &frontend, &queue, shared);
-    let reload = Reload {
+    let reload = ConfigReloader {
         config_path,
         operator_path,
         name: config.name,
@@ -367,7 +368,7 @@
     let mut drained_at = None;
     loop {
         sleep(DRAIN_CHECK_INTERVAL).await;
-        let admission_ended = !lifecycle.admission_is_open() && lifecycle.closes_idle_connections();
+        let admission_ended = !lifecycle.admission_is_open() && lifecycle.should_close_idle_connections();
         let drained = frontend.is_empty() && peers.is_flushed() && counters.gateway.is_idle();
         if !admission_ended || !drained {
             drained_at = None;
