--- a/crates/gateway/src/capacity_grant.rs
+++ b/crates/gateway/src/capacity_grant.rs
@@ -32,7 +32,7 @@
     }
 
     /// Counts a request that arrives; false if it exceeds every limit that was sent, or comes long after.
-    pub(crate) fn receive(&mut self, now: Time, slots: u32) -> bool {
+    pub(crate) fn record_received(&mut self, now: Time, slots: u32) -> bool {
         self.received = self.received.saturating_add(u64::from(slots));
         self.received <= self.highest_limit && now < self.expires_at
     }
--- a/crates/gateway/src/credit.rs
+++ b/crates/gateway/src/credit.rs
@@ -16,7 +16,7 @@
 
 impl Credit {
     /// Records a grant. The last one counts, also where it is lower.
-    pub(crate) fn granted(&mut self, limit: u64, expires_at: Time) {
+    pub(crate) fn set_limit(&mut self, limit: u64, expires_at: Time) {
         self.limit = limit;
         self.expires_at = expires_at;
     }
@@ -30,7 +30,7 @@
     }
 
     /// Uses some of it; false, and nothing is used, if it is not there.
-    pub(crate) fn take(&mut self, now: Time, slots: u32) -> bool {
+    pub(crate) fn consume(&mut self, now: Time, slots: u32) -> bool {
         let slots = u64::from(slots);
         if self.available(now) < slots {
             return false;
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -92,7 +92,7 @@
         /// Time until its client gives up, as estimated by the sender.
         time_left: Duration,
         /// How long the sender may ask for its outcome after it has ended.
-        keep_outcome: Duration,
+        outcome_retention: Duration,
     },
     /// The client of a request that came in has disconnected.
     RequestCancelled(LinkId, ForwardedRequestId),
--- a/crates/gateway/src/forwarded_request.rs
+++ b/crates/gateway/src/forwarded_request.rs
@@ -24,7 +24,7 @@
 
 /// How far a forwarded request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum ForwardingStage {
     /// Not a whole frame has left: it has not run anywhere.
     Unsent,
     /// Its last byte is written: it may run.
@@ -78,7 +78,7 @@
     /// The workers of both sites drop each other's repeats.
     pub(crate) shares_keys: bool,
     pub(crate) give_up_at: Time,
-    pub(crate) stage: Stage,
+    pub(crate) stage: ForwardingStage,
 }
 
 impl ForwardedRequest {
@@ -86,46 +86,52 @@
     pub(crate) fn apply(&mut self, transition: Transition) -> Decision {
         match transition {
             Transition::Written => match self.stage {
-                Stage::Unsent => self.enter(Stage::Sent),
-                Stage::Sent | Stage::Accepted | Stage::InDoubt => Decision::Wait,
+                ForwardingStage::Unsent => self.enter(ForwardingStage::Sent),
+                ForwardingStage::Sent | ForwardingStage::Accepted | ForwardingStage::InDoubt => {
+                    Decision::Wait
+                }
             },
             Transition::Accepted => match self.stage {
                 // It may overtake "written", which another task reports.
-                Stage::Unsent | Stage::Sent => self.enter(Stage::Accepted),
-                Stage::Accepted | Stage::InDoubt => Decision::Wait,
+                ForwardingStage::Unsent | ForwardingStage::Sent => self.enter(ForwardingStage::Accepted),
+                ForwardingStage::Accepted | ForwardingStage::InDoubt => Decision::Wait,
             },
             Transition::Returned => Decision::ReturnToScheduler,
-            Transition::Ended(outcome) => self.ended(outcome),
-            Transition::Status(status) => self.status_received(status),
+            Transition::Ended(outcome) => self.apply_outcome(outcome),
+            Transition::Status(status) => self.apply_status(status),
             Transition::LinkDown => match self.stage {
-                Stage::Unsent => Decision::ReturnToScheduler,
-                Stage::Sent | Stage::Accepted | Stage::InDoubt => self.enter(Stage::InDoubt),
+                ForwardingStage::Unsent => Decision::ReturnToScheduler,
+                ForwardingStage::Sent | ForwardingStage::Accepted | ForwardingStage::InDoubt => {
+                    self.enter(ForwardingStage::InDoubt)
+                }
             },
             Transition::PeerRestarted | Transition::DeadlineNear => match self.stage {
                 // Nothing was sent, so the scheduler can still place it or reject it.
-                Stage::Unsent => Decision::ReturnToScheduler,
-                Stage::Sent | Stage::Accepted | Stage::InDoubt => self.answer_by_idempotency(false),
+                ForwardingStage::Unsent => Decision::ReturnToScheduler,
+                ForwardingStage::Sent | ForwardingStage::Accepted | ForwardingStage::InDoubt => {
+                    self.answer_by_idempotency(false)
+                }
             },
         }
     }
 
-    fn enter(&mut self, stage: Stage) -> Decision {
+    fn enter(&mut self, stage: ForwardingStage) -> Decision {
         self.stage = stage;
         Decision::Wait
     }
 
-    fn status_received(&mut self, status: RemoteStatus) -> Decision {
+    fn apply_status(&mut self, status: RemoteStatus) -> Decision {
         match status {
             RemoteStatus::NeverReceived => Decision::ReturnToScheduler,
             RemoteStatus::OutcomeForgotten => self.answer_by_idempotency(false),
             RemoteStatus::Received => match self.stage {
-                Stage::InDoubt => self.enter(Stage::Accepted),
-                Stage::Unsent | Stage::Sent | Stage::Accepted => Decision::Wait,
+                ForwardingStage::InDoubt => self.enter(ForwardingStage::Accepted),
+                ForwardingStage::Unsent | ForwardingStage::Sent | ForwardingStage::Accepted => Decision::Wait,
             },
         }
     }
 
-    fn ended(&self, outcome: Outcome) -> Decision {
+    fn apply_outcome(&self, outcome: Outcome) -> Decision {
         match outcome {
             Outcome::Unstarted => Decision::ReturnToScheduler,
             Outcome::Served(result) => {
--- a/crates/gateway/src/forwarded_request/tests.rs
+++ b/crates/gateway/src/forwarded_request/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn request(stage: Stage, idempotency: Idempotency, shares_keys: bool) -> ForwardedRequest {
+fn request(stage: ForwardingStage, idempotency: Idempotency, shares_keys: bool) -> ForwardedRequest {
     ForwardedRequest {
         request: Some(LocalRequestId(1)),
         site: SiteId(0),
@@ -24,7 +24,7 @@
 
 #[test]
 fn returns_to_scheduler_only_what_cannot_have_run() {
-    for stage in [Stage::Sent, Stage::Accepted, Stage::InDoubt] {
+    for stage in [ForwardingStage::Sent, ForwardingStage::Accepted, ForwardingStage::InDoubt] {
         for transition in [
             Transition::LinkDown,
             Transition::PeerRestarted,
@@ -36,18 +36,23 @@
         }
     }
     for transition in [Transition::LinkDown, Transition::PeerRestarted, Transition::DeadlineNear] {
-        assert_eq!(request(Stage::Unsent, keyed(), false).apply(transition), Decision::ReturnToScheduler);
+        assert_eq!(
+            request(ForwardingStage::Unsent, keyed(), false).apply(transition),
+            Decision::ReturnToScheduler
+        );
     }
     assert_eq!(
-        request(Stage::InDoubt, keyed(), false).apply(Transition::Status(RemoteStatus::NeverReceived)),
+        request(ForwardingStage::InDoubt, keyed(), false)
+            .apply(Transition::Status(RemoteStatus::NeverReceived)),
         Decision::ReturnToScheduler
     );
 }
 
 #[test]
 fn rejects_what_may_have_run_only_where_a_repeat_is_harmless() {
-    let end =
-        |idempotency, shares| request(Stage::InDoubt, idempotency, shares).apply(Transition::PeerRestarted);
+    let end = |idempotency, shares| {
+        request(ForwardingStage::InDoubt, idempotency, shares).apply(Transition::PeerRestarted)
+    };
     let answer = |answer| Decision::Answer { answer, outcome_received: false };
     assert_eq!(end(Idempotency::Idempotent, false), answer(ForwardedAnswer::Rejected));
     assert_eq!(end(keyed(), true), answer(ForwardedAnswer::Rejected));
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether an outbound link to that site is needed: it is listed, or requests forwarded to it are open.
-    pub fn needs(&self, site: SiteId) -> bool {
+    pub fn needs_link_to(&self, site: SiteId) -> bool {
         self.is_listed(site) || self.forwarded.values().any(|request| request.site == site)
     }
 
@@ -138,13 +138,13 @@
 
     fn dispatch(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::LoadMeasured(load) => self.load.measured(now, load, &self.config),
-            Event::Candidates(candidates) => self.candidates(now, candidates, actions),
+            Event::LoadMeasured(load) => self.load.record_load(now, load, &self.config),
+            Event::Candidates(candidates) => self.handle_candidates(now, candidates, actions),
             Event::KeyRanLocally { key, window } => {
                 // Without space the store counts every unknown key as run here, so nothing is lost.
-                let _ = self.keys.record(now, &key, KeyLocation::Local, window, self.config.most_keys);
+                let _ = self.keys.record(now, &key, KeyLocation::Local, window, self.config.max_keys);
             }
-            Event::ClientDisconnected(request) => self.client_disconnected(request, actions),
+            Event::ClientDisconnected(request) => self.handle_client_disconnect(request, actions),
             Event::Drain(draining) => self.draining = draining,
             Event::Configure(config) => self.configure(config),
             Event::Tick => self.tick(now, actions),
@@ -154,28 +154,38 @@
             Event::OutboundLinkDown(link) => self.outbound_link_down(link, actions),
             Event::RoundTripMeasured(link, round_trip) => self.round_trip_measured(link, round_trip),
             Event::CreditGranted { link, epoch, limit, term } => {
-                self.credit_granted(link, epoch, limit, now + term.min(self.config.term));
+                self.credit_granted(link, epoch, limit, now + term.min(self.config.grant_term));
+            }
+            Event::RequestWritten(link, id) => self.handle_link_event(link, id, Transition::Written, actions),
+            Event::RequestAccepted(link, id) => {
+                self.handle_link_event(link, id, Transition::Accepted, actions)
+            }
+            Event::RequestReturned(link, id) => {
+                self.handle_link_event(link, id, Transition::Returned, actions)
             }
-            Event::RequestWritten(link, id) => self.on_link(link, id, Transition::Written, actions),
-            Event::RequestAccepted(link, id) => self.on_link(link, id, Transition::Accepted, actions),
-            Event::RequestReturned(link, id) => self.on_link(link, id, Transition::Returned, actions),
             Event::RequestEnded(link, id, outcome) => {
-                self.on_link(link, id, Transition::Ended(outcome), actions);
+                self.handle_link_event(link, id, Transition::Ended(outcome), actions);
             }
             Event::StatusReceived(link, id, status) => {
-                self.on_link(link, id, Transition::Status(status), actions);
+                self.handle_link_event(link, id, Transition::Status(status), actions);
             }
             Event::InboundLinkUp { link, site, incarnation } => {
                 self.inbound_link_up(now, link, PeerProcess { site, incarnation }, actions);
             }
             Event::InboundLinkDown(link) => self.inbound_link_down(link),
-            Event::RequestOffered { link, forwarded, epoch, slots, time_left, keep_outcome } => {
-                self.offered(now, Offer { link, forwarded, epoch, slots, time_left, keep_outcome }, actions);
+            Event::RequestOffered { link, forwarded, epoch, slots, time_left, outcome_retention } => {
+                self.handle_offer(
+                    now,
+                    Offer { link, forwarded, epoch, slots, time_left, outcome_retention },
+                    actions,
+                );
+            }
+            Event::RequestCancelled(link, id) => self.handle_cancel(link, id, actions),
+            Event::StatusQueried(link, ids) => self.handle_status_query(link, ids, actions),
+            Event::OutcomeAcknowledged(link, id) => self.handle_acknowledgement(link, id),
+            Event::InboundRequestEnded(origin, outcome) => {
+                self.handle_inbound_end(now, origin, outcome, actions)
             }
-            Event::RequestCancelled(link, id) => self.cancelled(link, id, actions),
-            Event::StatusQueried(link, ids) => self.status_queried(link, ids, actions),
-            Event::OutcomeAcknowledged(link, id) => self.acknowledged(link, id),
-            Event::InboundRequestEnded(origin, outcome) => self.inbound_ended(now, origin, outcome, actions),
         }
     }
 
@@ -188,7 +198,7 @@
             let new = PeerSite {
                 name: peer.name.clone(),
                 shares_keys: peer.shares_keys,
-                most_open: peer.most_open,
+                max_open_requests: peer.max_open_requests,
                 listed: true,
             };
             match self.sites.iter_mut().find(|site| site.name == peer.name) {
@@ -202,7 +212,7 @@
     /// Ends what has run out of time and closes the links that are not needed any more.
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.expire_forwarded(now, actions);
-        self.ledger.forget(now, self.config.most_kept, self.config.most_kept_bytes);
+        self.ledger.forget(now, self.config.max_stored_outcomes, self.config.max_stored_bytes);
         self.close_unlisted_links(actions);
     }
 }
--- a/crates/gateway/src/gateway/granting.rs
+++ b/crates/gateway/src/gateway/granting.rs
@@ -22,7 +22,7 @@
             .filter(|(_, link)| self.is_listed(link.site))
             .map(|(id, _)| *id)
             .collect();
-        let term = self.config.term;
+        let term = self.config.grant_term;
         let early_renewal = term / (2 * RENEWALS_PER_TERM);
         for (&link, inbound) in &mut self.inbound_links {
             let position = listed.iter().position(|id| *id == link);
--- a/crates/gateway/src/gateway/inbound.rs
+++ b/crates/gateway/src/gateway/inbound.rs
@@ -16,7 +16,7 @@
     pub(super) slots: u32,
     pub(super) time_left: Time,
     /// How long its outcome may be asked for after it has ended.
-    pub(super) keep_outcome: Time,
+    pub(super) outcome_retention: Time,
 }
 
 impl Gateway {
@@ -27,11 +27,11 @@
     }
 
     /// Accepts an offered request, returns it, or says again what is known of one that is here already.
-    pub(super) fn offered(&mut self, now: Time, offer: Offer, actions: &mut Vec<Action>) {
+    pub(super) fn handle_offer(&mut self, now: Time, offer: Offer, actions: &mut Vec<Action>) {
         let Some(origin) = self.origin(offer.link, offer.forwarded) else { return };
         let Some(inbound) = self.inbound_links.get_mut(&offer.link) else { return };
         // Counted also when it is returned, as the sender counts its credit as used.
-        let within_grant = inbound.grant.receive(now, offer.slots) && offer.epoch == self.incarnation;
+        let within_grant = inbound.grant.record_received(now, offer.slots) && offer.epoch == self.incarnation;
         if self.ledger.lookup(origin).status != RemoteStatus::NeverReceived {
             self.statistics.duplicates += 1;
             self.send_status(offer.link, origin, actions);
@@ -42,9 +42,9 @@
             actions.push(Action::ReturnUnstarted(offer.link, offer.forwarded, reason));
             return;
         }
-        self.ledger.accept(origin, offer.keep_outcome);
+        self.ledger.accept(origin, offer.outcome_retention);
         self.statistics.accepted += 1;
-        self.load.accepted(offer.slots);
+        self.load.record_accepted(offer.slots);
         actions.push(Action::Accept { link: offer.link, origin, time_left: offer.time_left });
     }
 
@@ -65,14 +65,14 @@
         Ok(())
     }
 
-    pub(super) fn cancelled(&mut self, link: LinkId, id: ForwardedRequestId, actions: &mut Vec<Action>) {
+    pub(super) fn handle_cancel(&mut self, link: LinkId, id: ForwardedRequestId, actions: &mut Vec<Action>) {
         let Some(origin) = self.origin(link, id) else { return };
         if self.ledger.cancel(origin) {
             actions.push(Action::CancelInbound(origin));
         }
     }
 
-    pub(super) fn status_queried(
+    pub(super) fn handle_status_query(
         &mut self,
         link: LinkId,
         ids: Vec<ForwardedRequestId>,
@@ -93,14 +93,14 @@
         });
     }
 
-    pub(super) fn acknowledged(&mut self, link: LinkId, id: ForwardedRequestId) {
+    pub(super) fn handle_acknowledgement(&mut self, link: LinkId, id: ForwardedRequestId) {
         if let Some(origin) = self.origin(link, id) {
             self.ledger.acknowledge(origin);
         }
     }
 
     /// Records how a request of another site ended here and tells its sender, if there is a link to it.
-    pub(super) fn inbound_ended(
+    pub(super) fn handle_inbound_end(
         &mut self,
         now: Time,
         origin: Origin,
@@ -118,7 +118,7 @@
                 }
             });
         }
-        self.ledger.forget(now, self.config.most_kept, self.config.most_kept_bytes);
+        self.ledger.forget(now, self.config.max_stored_outcomes, self.config.max_stored_bytes);
     }
 
     fn link_to_sender(&self, origin: Origin) -> Option<LinkId> {
--- a/crates/gateway/src/gateway/links.rs
+++ b/crates/gateway/src/gateway/links.rs
@@ -5,7 +5,7 @@
 
 use crate::capacity_grant::CapacityGrant;
 use crate::credit::Credit;
-use crate::forwarded_request::{ForwardedRequest, Stage, Transition};
+use crate::forwarded_request::{ForwardedRequest, ForwardingStage, Transition};
 use crate::{Action, ForwardedRequestId, Incarnation, LinkId, SiteId, Time};
 
 use super::Gateway;
@@ -16,7 +16,7 @@
     pub(super) name: String,
     pub(super) shares_keys: bool,
     /// Requests that may be open at this site at once.
-    pub(super) most_open: usize,
+    pub(super) max_open_requests: usize,
     /// False once the operator has taken it out.
     pub(super) listed: bool,
 }
@@ -86,7 +86,7 @@
         actions: &mut Vec<Action>,
     ) {
         let is_in_doubt =
-            |request: &ForwardedRequest| request.site == site && request.stage == Stage::InDoubt;
+            |request: &ForwardedRequest| request.site == site && request.stage == ForwardingStage::InDoubt;
         let in_doubt: Vec<ForwardedRequestId> =
             self.forwarded.iter().filter(|(_, request)| is_in_doubt(request)).map(|(id, _)| *id).collect();
         let mut queried = Vec::new();
@@ -117,7 +117,8 @@
         if self.outbound_links.remove(&link).is_none() {
             return;
         }
-        let is_on_link = |request: &ForwardedRequest| request.link == link && request.stage != Stage::InDoubt;
+        let is_on_link =
+            |request: &ForwardedRequest| request.link == link && request.stage != ForwardingStage::InDoubt;
         let affected: Vec<ForwardedRequestId> =
             self.forwarded.iter().filter(|(_, request)| is_on_link(request)).map(|(id, _)| *id).collect();
         for id in affected {
@@ -135,7 +136,7 @@
         let Some(outbound) = self.outbound_links.get_mut(&link) else { return };
         // A grant of another incarnation counts what this one has never seen.
         if outbound.incarnation == epoch {
-            outbound.credit.granted(limit, expires_at);
+            outbound.credit.set_limit(limit, expires_at);
         }
     }
 
@@ -168,12 +169,12 @@
     /// A site that is no longer listed keeps its links until nothing of it is open.
     pub(super) fn close_unlisted_links(&self, actions: &mut Vec<Action>) {
         for (id, link) in &self.outbound_links {
-            if !self.is_listed(link.site) && !self.needs(link.site) {
+            if !self.is_listed(link.site) && !self.needs_link_to(link.site) {
                 actions.push(Action::CloseLink(*id));
             }
         }
         for (id, link) in &self.inbound_links {
-            if !self.is_listed(link.site) && !self.ledger.runs_for(link.site) {
+            if !self.is_listed(link.site) && !self.ledger.has_running_from(link.site) {
                 actions.push(Action::CloseLink(*id));
             }
         }
--- a/crates/gateway/src/gateway/outbound.rs
+++ b/crates/gateway/src/gateway/outbound.rs
@@ -3,7 +3,7 @@
 //! [`Gateway::advance`] is the only place where a forwarded request changes or ends; its stages are in
 //! `forwarded_request`.
 
-use crate::forwarded_request::{Decision, ForwardedRequest, Stage, Transition};
+use crate::forwarded_request::{Decision, ForwardedRequest, ForwardingStage, Transition};
 use crate::idempotency_store::{KeyLocation, RecordNumber};
 use crate::{
     Action, Candidate, ForwardedRequestId, Idempotency, LinkId, LocalRequestId, NotForwarded, SiteId, Time,
@@ -17,7 +17,7 @@
 impl Gateway {
     /// Forwards what may be forwarded. Requests within their tenant's quota go first, then the highest priority;
     /// among equals the one that can wait least.
-    pub(super) fn candidates(
+    pub(super) fn handle_candidates(
         &mut self,
         now: Time,
         mut candidates: Vec<Candidate>,
@@ -52,7 +52,7 @@
         let (site, incarnation) = (outbound.site, outbound.incarnation);
         let round_trip = outbound.round_trip.unwrap_or_default();
         let key_record = self.record_key(now, &idempotency, site, time_left)?;
-        self.take_credit(now, link, slots)?;
+        self.consume_credit(now, link, slots)?;
         self.last_forwarded_id += 1;
         let id = ForwardedRequestId(self.last_forwarded_id);
         let forwarded = ForwardedRequest {
@@ -63,14 +63,14 @@
             idempotency,
             key_record,
             shares_keys: self.shares_keys(site),
-            give_up_at: now + time_left - self.config.margin / ANSWER_MARGIN_DIVISOR,
-            stage: Stage::Unsent,
+            give_up_at: now + time_left - self.config.forwarding_margin / ANSWER_MARGIN_DIVISOR,
+            stage: ForwardingStage::Unsent,
         };
         self.forwarded.insert(id, forwarded);
         self.forwarded_by_request.insert(request, id);
         self.statistics.forwarded += 1;
-        self.load.forwarded(now);
-        let time_left = time_left - round_trip - self.config.margin;
+        self.load.record_forwarded(now);
+        let time_left = time_left - round_trip - self.config.forwarding_margin;
         actions.push(Action::Forward { request, link, forwarded: id, epoch: incarnation, time_left });
         Ok(())
     }
@@ -86,33 +86,33 @@
     ) -> Result<Option<RecordNumber>, NotForwarded> {
         let Idempotency::WithKey { key, window } = idempotency else { return Ok(None) };
         let location = KeyLocation::Remote(site);
-        let record = self.keys.record(now, key, location, time_left + *window, self.config.most_keys);
+        let record = self.keys.record(now, key, location, time_left + *window, self.config.max_keys);
         record.map(Some).ok_or(NotForwarded::KeyBoundElsewhere)
     }
 
-    fn take_credit(&mut self, now: Time, link: LinkId, slots: u32) -> Result<(), NotForwarded> {
+    fn consume_credit(&mut self, now: Time, link: LinkId, slots: u32) -> Result<(), NotForwarded> {
         let Some(outbound) = self.outbound_links.get_mut(&link) else {
             return Err(NotForwarded::NoPeerCapacity);
         };
-        if !outbound.credit.take(now, slots) {
+        if !outbound.credit.consume(now, slots) {
             return Err(NotForwarded::NoPeerCapacity); // `route` has checked it: not reached
         }
         outbound.open += 1;
         Ok(())
     }
 
-    pub(super) fn client_disconnected(&mut self, request: LocalRequestId, actions: &mut Vec<Action>) {
+    pub(super) fn handle_client_disconnect(&mut self, request: LocalRequestId, actions: &mut Vec<Action>) {
         let Some(id) = self.forwarded_by_request.remove(&request) else { return };
         let Some(forwarded) = self.forwarded.get_mut(&id) else { return };
         forwarded.request = None;
         // One in doubt has no link; the cancellation is sent when the next one is up.
-        if forwarded.stage != Stage::InDoubt {
+        if forwarded.stage != ForwardingStage::InDoubt {
             actions.push(Action::SendCancel(forwarded.link, id));
         }
     }
 
     /// Applies what arrived on a link, which must be the one that the request is on.
-    pub(super) fn on_link(
+    pub(super) fn handle_link_event(
         &mut self,
         link: LinkId,
         id: ForwardedRequestId,
@@ -146,7 +146,7 @@
     ) {
         let Some(request) = self.forwarded.get_mut(&id) else { return };
         let gives_up_on_link =
-            matches!(transition, Transition::DeadlineNear) && request.stage != Stage::InDoubt;
+            matches!(transition, Transition::DeadlineNear) && request.stage != ForwardingStage::InDoubt;
         let decision = request.apply(transition);
         if decision == Decision::Wait {
             return;
--- a/crates/gateway/src/gateway/routing.rs
+++ b/crates/gateway/src/gateway/routing.rs
@@ -35,7 +35,7 @@
             Idempotency::NonIdempotent => return Err(NotForwarded::NonIdempotent),
         };
         let bound = key.is_some_and(|key| self.bound_elsewhere(now, key));
-        let beyond_quota = !candidate.within_quota && !self.config.over_share;
+        let beyond_quota = !candidate.within_quota && !self.config.forward_over_quota;
         if !bound && beyond_quota {
             return Err(NotForwarded::OverQuota);
         }
@@ -79,7 +79,7 @@
 
     /// Whether a link's site is listed and has granted enough for this candidate.
     fn has_capacity(&self, now: Time, link: &OutboundLink, candidate: &Candidate) -> bool {
-        let below_open_limit = link.open < self.sites[usize::from(link.site.0)].most_open;
+        let below_open_limit = link.open < self.sites[usize::from(link.site.0)].max_open_requests;
         let enough_credit = link.credit.available(now) >= u64::from(candidate.slots);
         below_open_limit && enough_credit && self.is_listed(link.site)
     }
@@ -98,14 +98,14 @@
 
     /// Whether forwarding over this round trip comes neither too early nor too late.
     fn check_timing(&self, candidate: &Candidate, round_trip: Time, bound: bool) -> Result<(), NotForwarded> {
-        let cost = round_trip / 2 + self.config.margin;
-        let is_urgent =
-            candidate.start_in <= cost + self.config.lead || self.load.too_long_for(candidate.start_in);
+        let cost = round_trip / 2 + self.config.forwarding_margin;
+        let is_urgent = candidate.start_in <= cost + self.config.forwarding_lead
+            || self.load.backlog_exceeds(candidate.start_in);
         if !is_urgent && !candidate.rejected && !bound {
             return Err(NotForwarded::CanStillWait);
         }
         let starts_in_time = candidate.start_in > cost || bound;
-        let answer_in_time = candidate.time_left > round_trip + self.config.margin;
+        let answer_in_time = candidate.time_left > round_trip + self.config.forwarding_margin;
         if !starts_in_time || !answer_in_time {
             return Err(NotForwarded::TooLate);
         }
--- a/crates/gateway/src/ledger.rs
+++ b/crates/gateway/src/ledger.rs
@@ -10,7 +10,7 @@
 use crate::{ForwardedRequestId, Incarnation, Origin, Outcome, RemoteStatus, SiteId, Time};
 
 /// Senders of which a forgotten number is remembered: the incarnations of all peers within the longest window.
-const MOST_SENDERS: usize = 1024;
+const MAX_SENDERS: usize = 1024;
 
 /// One incarnation of a peer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 enum Entry {
     /// It is with the scheduler here.
-    Running { keep_outcome: Duration },
+    Running { outcome_retention: Duration },
     /// Its outcome is kept until it is acknowledged or `forget_at`.
     Ended { outcome: Outcome, forget_at: Time },
 }
@@ -50,7 +50,7 @@
     /// Those that have ended, in the order in which they are forgotten.
     forget_order: BTreeSet<(Time, Origin)>,
     /// Bytes of the results that are kept.
-    kept_bytes: usize,
+    stored_bytes: usize,
     running: usize,
     /// The highest number of each sender of which the outcome was forgotten.
     highest_forgotten: HashMap<Sender, ForwardedRequestId>,
@@ -63,7 +63,7 @@
     }
 
     /// Whether a request of that site is with the scheduler here.
-    pub(crate) fn runs_for(&self, site: SiteId) -> bool {
+    pub(crate) fn has_running_from(&self, site: SiteId) -> bool {
         let is_running = |entry: &Entry| matches!(entry, Entry::Running { .. });
         self.entries.iter().any(|(origin, entry)| origin.site == site && is_running(entry))
     }
@@ -88,26 +88,26 @@
     }
 
     /// Enters a request that is handed to the scheduler; false if it has been here before.
-    pub(crate) fn accept(&mut self, origin: Origin, keep_outcome: Duration) -> bool {
+    pub(crate) fn accept(&mut self, origin: Origin, outcome_retention: Duration) -> bool {
         if self.lookup(origin).status != RemoteStatus::NeverReceived {
             return false;
         }
-        self.entries.insert(origin, Entry::Running { keep_outcome });
+        self.entries.insert(origin, Entry::Running { outcome_retention });
         self.running += 1;
         true
     }
 
     /// Records how a request ended; false if it was not running.
     pub(crate) fn end(&mut self, now: Time, origin: Origin, outcome: Outcome) -> bool {
-        let Some(Entry::Running { keep_outcome }) = self.entries.get(&origin) else { return false };
-        let forget_at = now + *keep_outcome;
+        let Some(Entry::Running { outcome_retention }) = self.entries.get(&origin) else { return false };
+        let forget_at = now + *outcome_retention;
         self.running -= 1;
         if outcome == Outcome::Unstarted {
             // It never ran, and that is what a query is answered.
             self.entries.remove(&origin);
             return true;
         }
-        self.kept_bytes += result_bytes(&outcome);
+        self.stored_bytes += result_bytes(&outcome);
         self.forget_order.insert((forget_at, origin));
         self.entries.insert(origin, Entry::Ended { outcome, forget_at });
         true
@@ -134,7 +134,7 @@
     /// Forgets the outcomes whose time is over, and the oldest ones beyond `most` or `most_bytes`.
     pub(crate) fn forget(&mut self, now: Time, most: usize, most_bytes: usize) {
         while let Some(&(forget_at, origin)) = self.forget_order.first() {
-            let within_bounds = self.forget_order.len() <= most && self.kept_bytes <= most_bytes;
+            let within_bounds = self.forget_order.len() <= most && self.stored_bytes <= most_bytes;
             if forget_at > now && within_bounds {
                 return;
             }
@@ -153,7 +153,7 @@
             Some(Entry::Running { .. }) => self.running -= 1,
             Some(Entry::Ended { outcome, forget_at }) => {
                 self.forget_order.remove(&(forget_at, origin));
-                self.kept_bytes -= result_bytes(&outcome);
+                self.stored_bytes -= result_bytes(&outcome);
             }
             None => return false,
         }
@@ -162,7 +162,7 @@
 
     fn mark_forgotten(&mut self, origin: Origin) {
         let sender = Sender::from(origin);
-        if self.highest_forgotten.len() >= MOST_SENDERS && !self.highest_forgotten.contains_key(&sender) {
+        if self.highest_forgotten.len() >= MAX_SENDERS && !self.highest_forgotten.contains_key(&sender) {
             self.drop_oldest_idle_sender();
         }
         let highest = self.highest_forgotten.entry(sender).or_insert(origin.forwarded);
--- a/crates/gateway/src/ledger/tests.rs
+++ b/crates/gateway/src/ledger/tests.rs
@@ -54,7 +54,7 @@
     ledger.forget(Duration::from_secs(5), 3, 10);
     assert_eq!(ledger.lookup(origin(4)).status, RemoteStatus::OutcomeForgotten);
     assert_eq!(ledger.lookup(origin(5)).status, RemoteStatus::Received);
-    assert_eq!(ledger.kept_bytes, 10);
+    assert_eq!(ledger.stored_bytes, 10);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     assert!(
         ledger.entries.is_empty()
             && ledger.forget_order.is_empty()
-            && ledger.kept_bytes == 0
+            && ledger.stored_bytes == 0
             && ledger.running() == 0
     );
     assert_eq!(ledger.lookup(origin(1)).status, RemoteStatus::OutcomeForgotten);
--- a/crates/gateway/src/load_state.rs
+++ b/crates/gateway/src/load_state.rs
@@ -1,13 +1,13 @@
 //! Whether this site forwards requests, grants capacity to others, or neither, with hysteresis both ways.
 //!
 //! Two sites that are both loaded must not pass requests back and forth, and a site must not grant and withdraw
-//! by turns. So a site grants only after it has been free for [`Config::settle`], and grants nothing for
-//! [`Config::shed_hold`] after it has forwarded a request.
+//! by turns. So a site grants only after it has been free for [`Config::settle_time`], and grants nothing for
+//! [`Config::shedding_hold`] after it has forwarded a request.
 
 use crate::{Config, Time};
 
 /// A site without one free slot is short of capacity, in slots.
-const LEAST_FREE_SLOTS: f64 = 1.0;
+const MIN_FREE_SLOTS: f64 = 1.0;
 
 /// The load of a site, as its scheduler estimates it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -43,7 +43,7 @@
 /// | state | becomes | when |
 /// | --- | --- | --- |
 /// | any | shedding | a request is forwarded |
-/// | shedding | shedding | for `shed_hold` after the last forwarded request |
+/// | shedding | shedding | for `shedding_hold` after the last forwarded request |
 /// | open | open | while the spare fraction is at least `close_at` |
 /// | any, else | open | the spare fraction has been at least `open_at` for `settle` |
 /// | any, else | neutral | |
@@ -78,19 +78,19 @@
     }
 
     /// Takes a new measurement of the load.
-    pub(crate) fn measured(&mut self, now: Time, load: SiteLoad, config: &Config) {
+    pub(crate) fn record_load(&mut self, now: Time, load: SiteLoad, config: &Config) {
         self.load = load;
         self.accepted_slots = 0;
-        self.starved_since = since(self.starved_since, load.free < LEAST_FREE_SLOTS, now);
+        self.starved_since = since(self.starved_since, load.free < MIN_FREE_SLOTS, now);
         self.spare_since = since(self.spare_since, load.spare_fraction() >= config.open_at, now);
         self.update_state(now, config);
     }
 
     /// Changes the state where its time has come.
     pub(crate) fn update_state(&mut self, now: Time, config: &Config) {
-        let holds_after_forwarding = now < self.last_forwarded_at + config.shed_hold;
+        let holds_after_forwarding = now < self.last_forwarded_at + config.shedding_hold;
         let stays_open = self.load.spare_fraction() >= config.close_at;
-        let opens = self.spare_since.is_some_and(|since| now >= since + config.settle);
+        let opens = self.spare_since.is_some_and(|since| now >= since + config.settle_time);
         self.state = match self.state {
             LoadState::Shedding if holds_after_forwarding => LoadState::Shedding,
             LoadState::Open if stays_open => LoadState::Open,
@@ -101,17 +101,17 @@
 
     /// Whether this site has lacked a free slot for long enough that requests may be forwarded.
     pub(crate) fn may_forward(&self, now: Time, config: &Config) -> bool {
-        let starved = self.starved_since.is_some_and(|since| now >= since + config.starve);
+        let starved = self.starved_since.is_some_and(|since| now >= since + config.starvation_time);
         self.state != LoadState::Open && starved
     }
 
     /// Whether a request that must start this soon comes too late if it waits behind the others here.
-    pub(crate) fn too_long_for(&self, start_in: Time) -> bool {
+    pub(crate) fn backlog_exceeds(&self, start_in: Time) -> bool {
         self.load.backlog > start_in
     }
 
     /// Records that a waiting request is forwarded, and takes its part off the backlog.
-    pub(crate) fn forwarded(&mut self, now: Time) {
+    pub(crate) fn record_forwarded(&mut self, now: Time) {
         self.state = LoadState::Shedding;
         self.last_forwarded_at = now;
         let waiting = self.load.waiting.max(1) as u32;
@@ -120,7 +120,7 @@
     }
 
     /// Records that a request of another site is accepted.
-    pub(crate) fn accepted(&mut self, slots: u32) {
+    pub(crate) fn record_accepted(&mut self, slots: u32) {
         self.accepted_slots = self.accepted_slots.saturating_add(slots);
     }
 
@@ -129,15 +129,15 @@
         if self.state != LoadState::Open {
             return 0;
         }
-        let reserved = config.reserve * self.load.slots + f64::from(self.accepted_slots);
+        let reserved = config.reserved_fraction * self.load.slots + f64::from(self.accepted_slots);
         (self.load.spare() - reserved).max(0.0) as u32
     }
 
     /// When the state may change without a new measurement.
     pub(crate) fn due(&self, now: Time, config: &Config) -> Option<Time> {
         let change_at = match self.state {
-            LoadState::Shedding => Some(self.last_forwarded_at + config.shed_hold),
-            LoadState::Neutral => self.spare_since.map(|since| since + config.settle),
+            LoadState::Shedding => Some(self.last_forwarded_at + config.shedding_hold),
+            LoadState::Neutral => self.spare_since.map(|since| since + config.settle_time),
             LoadState::Open => None,
         };
         change_at.filter(|at| *at > now)
--- a/crates/gateway/src/load_state/tests.rs
+++ b/crates/gateway/src/load_state/tests.rs
@@ -25,7 +25,7 @@
         (700, 3.0, LoadState::Neutral),
     ];
     for (ms, free, state) in steps {
-        monitor.measured(at(ms), load(free, 0), &config);
+        monitor.record_load(at(ms), load(free, 0), &config);
         assert_eq!(monitor.state(), state, "at {ms} ms with {free} free");
     }
 }
@@ -33,36 +33,36 @@
 #[test]
 fn grants_nothing_for_the_hold_time_after_forwarding() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
-    monitor.measured(at(0), load(20.0, 0), &config);
-    monitor.measured(at(300), load(20.0, 0), &config);
+    monitor.record_load(at(0), load(20.0, 0), &config);
+    monitor.record_load(at(300), load(20.0, 0), &config);
     assert_eq!(monitor.grantable_slots(&config), 18);
-    monitor.forwarded(at(300));
+    monitor.record_forwarded(at(300));
     for ms in (300..1300).step_by(20) {
-        monitor.measured(at(ms), load(20.0, 0), &config);
+        monitor.record_load(at(ms), load(20.0, 0), &config);
         assert_eq!(monitor.grantable_slots(&config), 0, "at {ms} ms");
     }
-    monitor.measured(at(1300), load(20.0, 0), &config);
+    monitor.record_load(at(1300), load(20.0, 0), &config);
     assert_eq!(monitor.grantable_slots(&config), 18);
 }
 
 #[test]
 fn does_not_grant_slots_of_waiting_or_just_accepted_requests() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
-    monitor.measured(at(0), load(12.0, 2), &config);
-    monitor.measured(at(200), load(12.0, 2), &config);
+    monitor.record_load(at(0), load(12.0, 2), &config);
+    monitor.record_load(at(200), load(12.0, 2), &config);
     assert_eq!(monitor.grantable_slots(&config), 8);
-    monitor.accepted(5);
+    monitor.record_accepted(5);
     assert_eq!(monitor.grantable_slots(&config), 3);
 }
 
 #[test]
 fn forwards_only_after_starving_without_a_break() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
-    monitor.measured(at(0), load(0.0, 3), &config);
+    monitor.record_load(at(0), load(0.0, 3), &config);
     assert!(!monitor.may_forward(at(19), &config));
     assert!(monitor.may_forward(at(20), &config));
-    monitor.measured(at(25), load(1.0, 3), &config);
-    monitor.measured(at(30), load(0.4, 3), &config);
+    monitor.record_load(at(25), load(1.0, 3), &config);
+    monitor.record_load(at(30), load(0.4, 3), &config);
     assert!(!monitor.may_forward(at(49), &config));
     assert!(monitor.may_forward(at(50), &config));
 }
--- a/crates/gateway/tests/two_sites/granting.rs
+++ b/crates/gateway/tests/two_sites/granting.rs
@@ -18,7 +18,7 @@
             Event::LoadMeasured(SiteLoad { slots: 10.0, free: 0.0, waiting: 5, backlog: ms(0) }),
         );
     }
-    pair.now += Config::default().starve;
+    pair.now += Config::default().starvation_time;
     for n in 0..2 {
         pair.offer_candidate(n, 1, Idempotency::Idempotent);
         assert_eq!(pair.fate(n, 1).forwarded_count, 1, "{:?}", pair.sites[n].kept_local);
@@ -59,7 +59,7 @@
             epoch: Incarnation(2),
             slots: 1,
             time_left: TIME_LEFT,
-            keep_outcome: TIME_LEFT,
+            outcome_retention: TIME_LEFT,
         },
     );
     assert_eq!(pair.sites[1].return_reasons, [ReturnReason::ExceedsGrant]);
--- a/crates/gateway/tests/two_sites/harness.rs
+++ b/crates/gateway/tests/two_sites/harness.rs
@@ -74,7 +74,7 @@
 }
 
 pub(crate) fn config(peer: &str, shares: bool) -> Config {
-    let peer = PeerConfig { shares_keys: shares, most_open: 100, ..PeerConfig::new(peer) };
+    let peer = PeerConfig { shares_keys: shares, max_open_requests: 100, ..PeerConfig::new(peer) };
     Config { peers: vec![peer], ..Config::default() }
 }
 
@@ -202,7 +202,7 @@
                     epoch,
                     slots: 1,
                     time_left: left,
-                    keep_outcome: ms(40_000),
+                    outcome_retention: ms(40_000),
                 },
                 Message::Grant { epoch, limit, term } => Event::CreditGranted { link, epoch, limit, term },
                 Message::Accepted(id) => Event::RequestAccepted(link, id),
--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -103,7 +103,7 @@
     }
     let mut decisions = PeerConfig::new(name.clone());
     set_boolean(&nodes, "shares-keys", &mut decisions.shares_keys, reader);
-    set_integer(&nodes, "most-open", &mut decisions.most_open, 0..=MOST_OPEN, reader);
+    set_integer(&nodes, "most-open", &mut decisions.max_open_requests, 0..=MOST_OPEN, reader);
     let connect = read_address(&nodes, "connect", reader);
     settings.peers.push(PeerAddress { name, connect });
     settings.decisions.peers.push(decisions);
@@ -117,17 +117,17 @@
     let nodes = reader.children(node, &["open-at", "close-at", "reserve", "term", "settle"]);
     set_percentage(&nodes, "open-at", &mut config.open_at, reader);
     set_percentage(&nodes, "close-at", &mut config.close_at, reader);
-    set_percentage(&nodes, "reserve", &mut config.reserve, reader);
-    set_duration(&nodes, "term", &mut config.term, reader);
-    set_duration(&nodes, "settle", &mut config.settle, reader);
+    set_percentage(&nodes, "reserve", &mut config.reserved_fraction, reader);
+    set_duration(&nodes, "term", &mut config.grant_term, reader);
+    set_duration(&nodes, "settle", &mut config.settle_time, reader);
     if reader.errors.len() > errors_before {
         return; // the checks below would report the same values again
     }
     if config.close_at >= config.open_at {
         reader.error(node.span(), "a close-at below open-at", "one that leaves no gap");
     }
-    if config.term < LEAST_TERM {
-        reader.error(node.span(), "a term of 10ms or more", format!("{:?}", config.term));
+    if config.grant_term < LEAST_TERM {
+        reader.error(node.span(), "a term of 10ms or more", format!("{:?}", config.grant_term));
     }
 }
 
@@ -137,14 +137,14 @@
     reader.no_argument(node);
     let names = ["starve", "hold", "margin", "lead", "over-share", "most-keys", "most-kept", "kept-bytes"];
     let nodes = reader.children(node, &names);
-    set_duration(&nodes, "starve", &mut config.starve, reader);
-    set_duration(&nodes, "hold", &mut config.shed_hold, reader);
-    set_duration(&nodes, "margin", &mut config.margin, reader);
-    set_duration(&nodes, "lead", &mut config.lead, reader);
-    set_boolean(&nodes, "over-share", &mut config.over_share, reader);
-    set_integer(&nodes, "most-keys", &mut config.most_keys, 1..=MOST_KEYS, reader);
-    set_integer(&nodes, "most-kept", &mut config.most_kept, 1..=MOST_KEPT, reader);
-    set_bytes(&nodes, "kept-bytes", &mut config.most_kept_bytes, reader);
+    set_duration(&nodes, "starve", &mut config.starvation_time, reader);
+    set_duration(&nodes, "hold", &mut config.shedding_hold, reader);
+    set_duration(&nodes, "margin", &mut config.forwarding_margin, reader);
+    set_duration(&nodes, "lead", &mut config.forwarding_lead, reader);
+    set_boolean(&nodes, "over-share", &mut config.forward_over_quota, reader);
+    set_integer(&nodes, "most-keys", &mut config.max_keys, 1..=MOST_KEYS, reader);
+    set_integer(&nodes, "most-kept", &mut config.max_stored_outcomes, 1..=MOST_KEPT, reader);
+    set_bytes(&nodes, "kept-bytes", &mut config.max_stored_bytes, reader);
 }
 
 fn read_link(nodes: &Nodes, config: &mut chutesaddle_site_link::Config, reader: &mut Reader) {
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -29,10 +29,10 @@
     assert_eq!(gateway.peers[0].connect, Some("127.0.0.1:7401".parse().unwrap()));
     assert_eq!((gateway.peers[1].name.as_str(), gateway.peers[1].connect), ("isb-1", None));
     let config = &gateway.decisions;
-    assert!(config.peers[0].shares_keys && !config.peers[1].shares_keys && config.over_share);
-    assert_eq!((config.peers[0].most_open, config.most_kept_bytes), (12, 1024 * 1024));
-    assert_eq!((config.open_at, config.close_at, config.reserve), (0.3, 0.05, 0.0));
-    assert_eq!(config.shed_hold, Duration::from_secs(2));
+    assert!(config.peers[0].shares_keys && !config.peers[1].shares_keys && config.forward_over_quota);
+    assert_eq!((config.peers[0].max_open_requests, config.max_stored_bytes), (12, 1024 * 1024));
+    assert_eq!((config.open_at, config.close_at, config.reserved_fraction), (0.3, 0.05, 0.0));
+    assert_eq!(config.shedding_hold, Duration::from_secs(2));
     assert_eq!(
         (gateway.link.silence_timeout, gateway.link.most_frame_bytes),
         (Duration::from_millis(200), 65_536)
--- a/src/server/engine/site_forwarding/frames.rs
+++ b/src/server/engine/site_forwarding/frames.rs
@@ -50,7 +50,7 @@
                     epoch: Incarnation(epoch),
                     slots,
                     time_left: Duration::from_micros(time_left_us),
-                    keep_outcome: Duration::from_micros(keep_outcome_us).min(MAX_RETENTION),
+                    outcome_retention: Duration::from_micros(keep_outcome_us).min(MAX_RETENTION),
                 }
             }
             (false, Frame::Cancel(number)) => GatewayEvent::RequestCancelled(link, id(number)),
