--- a/crates/gateway/src/action.rs
+++ b/crates/gateway/src/action.rs
@@ -1,4 +1,4 @@
-//! The output of the gateway.
+//! Output of the gateway.
 
 use std::time::Duration;
 
@@ -7,61 +7,62 @@
     RemoteStatus, ReturnReason,
 };
 
-/// What is to be done, in order.
+/// An action for the caller to perform, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forward a request. The scheduler here must give it up.
+    /// Forward a request on a link and remove it from the local scheduler.
     Forward {
-        /// The request.
+        /// The request to forward.
         request: LocalRequestId,
-        /// The link to forward it on.
+        /// The outbound link.
         link: LinkId,
-        /// Its number on the link.
+        /// The ID of the request on the link.
         forwarded: ForwardedRequestId,
-        /// The incarnation that granted the capacity it uses.
+        /// The incarnation that granted the capacity used by this request.
         epoch: Incarnation,
-        /// Time left for it at the other site: until its client gives up, less the round trip and a margin.
+        /// Time left for the request at the peer: until its client gives up, less the round trip and a
+        /// margin.
         time_left: Duration,
     },
-    /// A candidate is not forwarded.
+    /// Keep a candidate at this site.
     KeepLocal(LocalRequestId, NotForwarded),
-    /// A forwarded request never ran elsewhere: it goes back to the scheduler here.
+    /// Return a forwarded request, which never ran at the peer, to the local scheduler.
     ReturnToScheduler(LocalRequestId),
-    /// The final answer to a forwarded request.
+    /// Answer the client of a forwarded request.
     Answer(LocalRequestId, ForwardedAnswer),
     /// Tell the peer that the client has disconnected.
     SendCancel(LinkId, ForwardedRequestId),
-    /// Ask the peer what it knows of these.
+    /// Query the peer for the status of these requests.
     QueryStatus(LinkId, Vec<ForwardedRequestId>),
-    /// Tell the peer that the outcome has arrived.
+    /// Tell the peer that the outcome was received.
     AcknowledgeOutcome(LinkId, ForwardedRequestId),
 
     /// Tell the peer how much capacity it may use.
     GrantCapacity {
-        /// The link.
+        /// The inbound link.
         link: LinkId,
-        /// Slots that may have been used on this link, counted since it came up.
+        /// Total number of slots that the peer may use on this link, counted since the link came up.
         limit: u64,
-        /// How long the grant holds.
+        /// How long the grant is valid.
         term: Duration,
     },
-    /// Accept an offered request: hand it to the scheduler with this time left.
+    /// Accept an offered request: hand it to the scheduler.
     Accept {
-        /// The link that it came on.
+        /// The link on which the request was received.
         link: LinkId,
-        /// Its name here.
+        /// Identifies the request at this site.
         origin: Origin,
-        /// Time until its client gives up.
+        /// Time left for the request, until its client gives up.
         time_left: Duration,
     },
     /// Return a request to the peer unstarted.
     ReturnUnstarted(LinkId, ForwardedRequestId, ReturnReason),
-    /// Tell the peer the outcome.
+    /// Send the outcome of a request to the peer.
     SendOutcome(LinkId, ForwardedRequestId, Outcome),
-    /// Tell the peer what is known of a request.
+    /// Send the status of a request to the peer.
     SendStatus(LinkId, ForwardedRequestId, RemoteStatus),
-    /// The client of an accepted request has disconnected: the scheduler is to give it up.
+    /// Cancel an accepted request whose client has disconnected.
     CancelInbound(Origin),
-    /// Close a link that is not needed any more.
+    /// Close a link that is replaced or no longer needed.
     CloseLink(LinkId),
 }
--- a/crates/gateway/src/candidate.rs
+++ b/crates/gateway/src/candidate.rs
@@ -1,4 +1,4 @@
-//! A request that may be forwarded, and why one is not.
+//! Requests that may be forwarded, and the reasons not to forward one.
 
 use std::time::Duration;
 
@@ -9,16 +9,17 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// The workers of one site drop repeats with this idempotency key within the deduplication window.
+    /// The workers of one site drop repeated requests with this idempotency key within the deduplication
+    /// window.
     WithKey {
-        /// The key as the client wrote it.
+        /// The key as sent by the client.
         key: Bytes,
         /// The deduplication window.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
@@ -27,43 +28,44 @@
 pub struct Candidate {
     /// The request.
     pub request: LocalRequestId,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// Its priority weight; the highest is forwarded first.
+    /// Priority weight. Candidates with a higher weight are forwarded first.
     pub priority: f64,
-    /// Its tenant is within its quota.
+    /// Whether the tenant is within its quota.
     pub within_quota: bool,
-    /// Slots that it needs.
+    /// Number of slots that the request needs.
     pub slots: u32,
-    /// Time until it must be with a worker to be in time.
+    /// Time left until a worker must have the request for it to finish in time.
     pub start_in: Duration,
-    /// Time until its client gives up.
+    /// Time until the client gives up.
     pub time_left: Duration,
-    /// The scheduler has rejected it: it is forwarded now or answered now.
+    /// The scheduler has rejected the request: unless it is forwarded now, its client is answered now.
     pub rejected: bool,
-    /// It came from another site, or was forwarded and came back. It is not forwarded (again).
+    /// The request came from another site, or was forwarded and returned. It is not forwarded again.
     pub forwarded_before: bool,
 }
 
 /// Why a request is not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotForwarded {
-    /// This site has free capacity, or has lacked it for too short a time.
+    /// This site has free capacity, or has lacked it only briefly.
     LocalCapacity,
-    /// It can wait here for longer.
+    /// The request can still wait at this site.
     CanStillWait,
     /// No peer has granted enough capacity.
     NoPeerCapacity,
     /// Too little time is left.
     TooLate,
-    /// It was forwarded before, here or at another site.
+    /// The request was already forwarded, by this site or by another.
     ForwardedBefore,
-    /// Its tenant is beyond its quota.
+    /// The tenant is over its quota.
     OverQuota,
-    /// Its idempotency key may have run here, or at a site that cannot be reached.
+    /// The idempotency key may have run at this site or at a site that cannot be reached, or it cannot be
+    /// recorded.
     KeyBoundElsewhere,
-    /// This site drains.
+    /// This site is draining.
     Draining,
-    /// It is non-idempotent, and that it runs once cannot be assured across sites.
+    /// The request is non-idempotent, and running at most once cannot be guaranteed across sites.
     NonIdempotent,
 }
--- a/crates/gateway/src/credit.rs
+++ b/crates/gateway/src/credit.rs
@@ -1,8 +1,8 @@
-//! Flow control at the sender: what the peer has granted on a link, and what is used of it.
+//! Sender-side flow control: the capacity granted by the peer on a link, and how much of it is used.
 //!
-//! As in QUIC's flow control (RFC 9000, section 4), limit and use are totals over the life of the link, in slots:
-//! a grant that crosses with a request is counted neither twice nor not at all. The other end of the account is
-//! `capacity_grant`.
+//! As in QUIC flow control (RFC 9000, section 4), limit and use are totals over the lifetime of the link, in
+//! slots, so a grant and a request that cross on the link are counted exactly once. The receiver's
+//! counterpart is `capacity_grant`.
 
 use crate::Time;
 
@@ -15,13 +15,13 @@
 }
 
 impl Credit {
-    /// Records a grant. The last one counts, also where it is lower.
+    /// Sets the limit. The latest grant applies, even if it is lower.
     pub(crate) fn set_limit(&mut self, limit: u64, expires_at: Time) {
         self.limit = limit;
         self.expires_at = expires_at;
     }
 
-    /// Slots that may still be used.
+    /// Returns how many slots may still be used.
     pub(crate) fn available(&self, now: Time) -> u64 {
         if now >= self.expires_at {
             return 0;
@@ -29,13 +29,13 @@
         self.limit.saturating_sub(self.used)
     }
 
-    /// Uses some of it; false, and nothing is used, if it is not there.
+    /// Uses `slots` of the credit. Returns false and uses nothing if fewer are available.
     pub(crate) fn consume(&mut self, now: Time, slots: u32) -> bool {
         let slots = u64::from(slots);
         if self.available(now) < slots {
             return false;
         }
-        self.used += slots; // at most `limit`, so it cannot overflow
+        self.used += slots; // cannot overflow: at most `limit`
         true
     }
 }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! The input of the gateway.
+//! Input of the gateway.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
     RemoteStatus, SiteId, SiteLoad,
 };
 
-/// What happened.
+/// An event that the gateway handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The load of this site was measured.
     LoadMeasured(SiteLoad),
-    /// These requests would otherwise be rejected or late. Each gets one [`Action::Forward`](crate::Action::Forward)
-    /// or [`Action::KeepLocal`](crate::Action::KeepLocal).
+    /// Requests that would otherwise be rejected or late. Each results in one
+    /// [`Action::Forward`](crate::Action::Forward) or [`Action::KeepLocal`](crate::Action::KeepLocal).
     Candidates(Vec<Candidate>),
-    /// A request with an idempotency key is sent to a worker of this site.
+    /// A request with an idempotency key is being sent to a worker of this site.
     KeyRanLocally {
-        /// Its key.
+        /// The idempotency key.
         key: Bytes,
-        /// Its deduplication window.
+        /// The deduplication window of the key.
         window: Duration,
     },
     /// The client of a request of this site has disconnected.
     ClientDisconnected(LocalRequestId),
-    /// Whether this site drains: while it does, it forwards nothing and accepts nothing.
+    /// This site started (`true`) or stopped (`false`) draining. While it drains, it neither forwards nor
+    /// accepts requests.
     Drain(bool),
     /// The settings have changed.
     Configure(Config),
     /// Time has passed; see [`Gateway::due`](crate::Gateway::due).
     Tick,
 
-    /// A link on which requests may be forwarded is up.
+    /// An outbound link is up.
     OutboundLinkUp {
         /// The link.
         link: LinkId,
@@ -42,33 +43,33 @@
         /// The incarnation of the process there.
         incarnation: Incarnation,
     },
-    /// An outbound link has ended, for whatever reason.
+    /// An outbound link has ended, for any reason.
     OutboundLinkDown(LinkId),
-    /// The round trip of a link was measured.
+    /// The round-trip time of an outbound link was measured.
     RoundTripMeasured(LinkId, Duration),
     /// The peer has granted capacity.
     CreditGranted {
         /// The link.
         link: LinkId,
-        /// The incarnation that granted it.
+        /// The incarnation that granted the capacity.
         epoch: Incarnation,
-        /// Slots that may have been used on this link, counted since it came up.
+        /// Total number of slots that may be used on this link, counted since the link came up.
         limit: u64,
-        /// How long the grant holds from now on.
+        /// How long the grant is valid, starting now.
         term: Duration,
     },
-    /// The last byte of a forwarded request is written.
+    /// The last byte of a forwarded request was written.
     RequestWritten(LinkId, ForwardedRequestId),
-    /// The peer has accepted it.
+    /// The peer accepted a forwarded request.
     RequestAccepted(LinkId, ForwardedRequestId),
-    /// The peer returns it unstarted.
+    /// The peer returned a forwarded request unstarted.
     RequestReturned(LinkId, ForwardedRequestId),
-    /// It has ended at the peer.
+    /// A forwarded request ended at the peer.
     RequestEnded(LinkId, ForwardedRequestId, Outcome),
-    /// The peer has answered a status query.
+    /// The peer answered a status query.
     StatusReceived(LinkId, ForwardedRequestId, RemoteStatus),
 
-    /// A peer has dialled this site.
+    /// An inbound link, dialled by a peer, is up.
     InboundLinkUp {
         /// The link.
         link: LinkId,
@@ -79,27 +80,27 @@
     },
     /// An inbound link has ended.
     InboundLinkDown(LinkId),
-    /// A peer forwards a request to this site.
+    /// A peer offered a request to this site.
     RequestOffered {
         /// The link.
         link: LinkId,
-        /// Its number at the sender.
+        /// The ID assigned by the sender.
         forwarded: ForwardedRequestId,
-        /// The incarnation of this process that granted the capacity it uses.
+        /// The incarnation of this process that granted the capacity used by the request.
         epoch: Incarnation,
-        /// Slots that it needs.
+        /// Number of slots that the request needs.
         slots: u32,
-        /// Time until its client gives up, as estimated by the sender.
+        /// Time until the client gives up, as estimated by the sender.
         time_left: Duration,
-        /// How long the sender may ask for its outcome after it has ended.
+        /// How long to store the outcome for status queries after the request ends.
         outcome_retention: Duration,
     },
-    /// The client of a request that came in has disconnected.
+    /// The sender cancelled a request because its client disconnected.
     RequestCancelled(LinkId, ForwardedRequestId),
-    /// A peer asks what this site knows of these requests.
+    /// A peer queried the status of these requests.
     StatusQueried(LinkId, Vec<ForwardedRequestId>),
-    /// The sender has received the outcome.
+    /// The sender acknowledged the outcome of a request.
     OutcomeAcknowledged(LinkId, ForwardedRequestId),
-    /// A request that came in has ended here.
+    /// A request from a peer ended at this site.
     InboundRequestEnded(Origin, Outcome),
 }
--- a/crates/gateway/src/forwarded_request.rs
+++ b/crates/gateway/src/forwarded_request.rs
@@ -1,9 +1,9 @@
-//! The stages of one forwarded request, as its sender knows them.
+//! The sender's state machine for one forwarded request.
 //!
-//! [`ForwardedRequest::apply`] is the only function that changes the stage, so that nothing that arrives, however
-//! late or odd, can take a step that is not written here. What the decision leads to is in `gateway/outbound`.
+//! Only [`ForwardedRequest::apply`] changes the stage, so late or unexpected messages cannot cause
+//! transitions other than these:
 //!
-//! | learnt | unsent | sent | accepted | in doubt |
+//! | transition | unsent | sent | accepted | in doubt |
 //! | --- | --- | --- | --- | --- |
 //! | written | sent | – | – | – |
 //! | accepted | accepted | accepted | – | – |
@@ -14,28 +14,31 @@
 //! | returned, status never received | to scheduler | to scheduler | to scheduler | to scheduler |
 //! | ended | answered | answered | answered | answered |
 //!
-//! *To scheduler*: it never ran, and the scheduler here goes on with it. *By idempotency*: it may have run, and is
-//! answered as rejected where a repeat does no harm, else as failed. An outcome says which of these is the answer.
+//! *To scheduler*: the request never ran, and the local scheduler continues with it. *By idempotency*: the
+//! request may have run; the answer is "rejected" if a retry is harmless, otherwise "failed". *Answered*: the
+//! outcome decides whether the client gets the result or a failure, or one of the other two applies.
+//!
+//! `gateway/outbound` carries out the resulting [`Decision`].
 
 use crate::idempotency_store::RecordNumber;
 use crate::{
     ForwardedAnswer, Idempotency, Incarnation, LinkId, LocalRequestId, Outcome, RemoteStatus, SiteId, Time,
 };
 
-/// How far a forwarded request has come.
+/// The progress of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForwardingStage {
-    /// Not a whole frame has left: it has not run anywhere.
+    /// The frame is not fully written, so the request has not run anywhere.
     Unsent,
-    /// Its last byte is written: it may run.
+    /// The last byte is written, so the request may run.
     Sent,
-    /// The peer has accepted it.
+    /// The peer has accepted the request.
     Accepted,
-    /// The link has ended: it may have run. Its status is queried on the next link.
+    /// The link has ended and the request may have run. Its status is queried on the next link.
     InDoubt,
 }
 
-/// What is learnt of a forwarded request.
+/// An event that concerns a forwarded request.
 #[derive(Debug)]
 pub(crate) enum Transition {
     Written,
@@ -44,27 +47,27 @@
     Ended(Outcome),
     Status(RemoteStatus),
     LinkDown,
-    /// A new incarnation of the peer's process remembers nothing.
+    /// The peer's process has a new incarnation, which knows no earlier requests.
     PeerRestarted,
     DeadlineNear,
 }
 
-/// What follows.
+/// The result of a transition.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
-    /// It goes on.
+    /// The request stays open.
     Wait,
-    /// It never ran.
+    /// The request never ran.
     ReturnToScheduler,
-    /// The final answer.
+    /// The client gets its final answer.
     Answer {
         answer: ForwardedAnswer,
-        /// The peer has sent the outcome, and waits for the acknowledgement.
+        /// The peer sent the outcome and waits for an acknowledgement.
         outcome_received: bool,
     },
 }
 
-/// A forwarded request that is open.
+/// An open forwarded request.
 #[derive(Debug)]
 pub(crate) struct ForwardedRequest {
     /// `None` once the client has disconnected.
@@ -73,16 +76,16 @@
     pub(crate) link: LinkId,
     pub(crate) incarnation: Incarnation,
     pub(crate) idempotency: Idempotency,
-    /// The record that binds its key to the site.
+    /// The record that binds the idempotency key to the site.
     pub(crate) key_record: Option<RecordNumber>,
-    /// The workers of both sites drop each other's repeats.
+    /// Whether the workers of both sites deduplicate requests by idempotency key across the two sites.
     pub(crate) shares_keys: bool,
     pub(crate) give_up_at: Time,
     pub(crate) stage: ForwardingStage,
 }
 
 impl ForwardedRequest {
-    /// Applies what was learnt, changes the stage and decides what follows.
+    /// Applies a transition to the stage and returns the decision.
     pub(crate) fn apply(&mut self, transition: Transition) -> Decision {
         match transition {
             Transition::Written => match self.stage {
@@ -92,7 +95,7 @@
                 }
             },
             Transition::Accepted => match self.stage {
-                // It may overtake "written", which another task reports.
+                // Another task reports `Written`, so `Accepted` may arrive first.
                 ForwardingStage::Unsent | ForwardingStage::Sent => self.enter(ForwardingStage::Accepted),
                 ForwardingStage::Accepted | ForwardingStage::InDoubt => Decision::Wait,
             },
@@ -106,7 +109,7 @@
                 }
             },
             Transition::PeerRestarted | Transition::DeadlineNear => match self.stage {
-                // Nothing was sent, so the scheduler can still place it or reject it.
+                // The request was not sent, so the scheduler can still place or reject it.
                 ForwardingStage::Unsent => Decision::ReturnToScheduler,
                 ForwardingStage::Sent | ForwardingStage::Accepted | ForwardingStage::InDoubt => {
                     self.answer_by_idempotency(false)
@@ -142,15 +145,15 @@
         }
     }
 
-    /// The answer to a request that may have run and of which no result will come. The client may be told that it
-    /// can try again only where a repeat does no harm at any site.
+    /// Returns the answer to a request that may have run and whose result will not arrive. The client may be
+    /// told to retry only if running the request again is harmless at every site.
     fn answer_by_idempotency(&self, outcome_received: bool) -> Decision {
-        let repeat_is_harmless = match self.idempotency {
+        let retry_is_harmless = match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { .. } => self.shares_keys,
             Idempotency::NonIdempotent => false,
         };
-        let answer = if repeat_is_harmless { ForwardedAnswer::Rejected } else { ForwardedAnswer::Failed };
+        let answer = if retry_is_harmless { ForwardedAnswer::Rejected } else { ForwardedAnswer::Failed };
         Decision::Answer { answer, outcome_received }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,8 +1,9 @@
-//! The state machine of one site's gateway: events in, actions out.
+//! The gateway state machine of one site.
 //!
-//! [`Gateway`] owns the links, the forwarded requests and the ledger of what came in. [`Gateway::handle`] is its
-//! only entry that changes anything. The rules are in the modules below: `routing` decides whether a request is
-//! forwarded, `outbound` and `inbound` follow it at either end, `granting` hands out capacity.
+//! [`Gateway`] owns the links, the forwarded requests and the ledger of requests received from peers. Only
+//! [`Gateway::handle`] changes its state. The rules are in the submodules: `routing` decides whether a
+//! request is forwarded, `outbound` and `inbound` track it at its sender and receiver, and `granting`
+//! distributes capacity.
 
 mod granting;
 mod inbound;
@@ -31,12 +32,12 @@
     incarnation: Incarnation,
     load: LoadMonitor,
     draining: bool,
-    /// Every site that was ever listed; its index is its [`SiteId`].
+    /// Every site that was ever listed, indexed by [`SiteId`].
     sites: Vec<PeerSite>,
     outbound_links: BTreeMap<LinkId, OutboundLink>,
     inbound_links: BTreeMap<LinkId, InboundLink>,
     forwarded: BTreeMap<ForwardedRequestId, ForwardedRequest>,
-    /// The forwarded requests whose client still waits.
+    /// The forwarded requests whose clients still wait.
     forwarded_by_request: BTreeMap<LocalRequestId, ForwardedRequestId>,
     last_forwarded_id: u64,
     keys: IdempotencyStore,
@@ -45,7 +46,8 @@
 }
 
 impl Gateway {
-    /// A gateway without links. `incarnation` must differ from every earlier one of this process.
+    /// Creates a gateway without links. `incarnation` must differ from all earlier incarnations of this
+    /// process.
     pub fn new(config: Config, incarnation: Incarnation) -> Self {
         let mut gateway = Gateway {
             config: Config::default(),
@@ -66,28 +68,29 @@
         gateway
     }
 
-    /// The incarnation of this process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The number of a peer that the operator lists.
+    /// Returns the ID of a peer that the operator lists.
     pub fn site(&self, name: &str) -> Option<SiteId> {
         let index = self.sites.iter().position(|site| site.listed && site.name == name)?;
         Some(SiteId(index as u16))
     }
 
-    /// Whether the operator lists that peer.
+    /// Returns whether the operator lists a peer.
     pub fn is_listed(&self, site: SiteId) -> bool {
         self.sites.get(usize::from(site.0)).is_some_and(|site| site.listed)
     }
 
-    /// Whether an outbound link to that site is needed: it is listed, or requests forwarded to it are open.
+    /// Returns whether an outbound link to a site is needed: the site is listed, or requests forwarded to it
+    /// are open.
     pub fn needs_link_to(&self, site: SiteId) -> bool {
         self.is_listed(site) || self.forwarded.values().any(|request| request.site == site)
     }
 
-    /// Whether a request could be forwarded now, if there were a candidate.
+    /// Returns whether a candidate could be forwarded now.
     pub fn wants_candidates(&self, now: Time) -> bool {
         let has_credit = |link: &OutboundLink| link.credit.available(now) > 0 && self.is_listed(link.site);
         !self.draining
@@ -95,8 +98,8 @@
             && self.outbound_links.values().any(has_credit)
     }
 
-    /// Whether a request with this idempotency key may run at another site only, as an earlier one may have run
-    /// there. Given to the scheduler here, it could run at both.
+    /// Returns whether a request with this idempotency key may run only at another site, because an earlier
+    /// request with the key may have run there. If the local scheduler ran it, it could run at both sites.
     pub fn bound_elsewhere(&self, now: Time, key: &Bytes) -> bool {
         match self.keys.location(now, key) {
             Some(KeyLocation::Remote(site)) => !self.shares_keys(site),
@@ -104,22 +107,23 @@
         }
     }
 
-    /// Whether the workers of this site and of that one drop each other's repeats of a key.
+    /// Returns whether the workers of this site and the given one deduplicate requests by idempotency key
+    /// across the two sites.
     fn shares_keys(&self, site: SiteId) -> bool {
         self.sites[usize::from(site.0)].shares_keys
     }
 
-    /// Whether this site forwards, grants capacity, or neither.
+    /// Returns whether this site forwards requests, grants capacity, or neither.
     pub fn load_state(&self) -> LoadState {
         self.load.state()
     }
 
-    /// Whether nothing of this site is elsewhere, and nothing of others is here.
+    /// Returns whether no client waits for a forwarded request and no request from a peer is running here.
     pub fn is_idle(&self) -> bool {
         self.forwarded_by_request.is_empty() && self.ledger.running() == 0
     }
 
-    /// When [`Event::Tick`] is due at the latest.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn due(&self, now: Time) -> Option<Time> {
         let give_up = self.forwarded.values().map(|request| request.give_up_at).min();
         let granting = |link: &&InboundLink| link.granted_slots > 0;
@@ -129,7 +133,7 @@
         [give_up, renewal, forget, load_change].into_iter().flatten().min()
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.dispatch(now, event, actions);
         self.load.update_state(now, &self.config);
@@ -141,7 +145,8 @@
             Event::LoadMeasured(load) => self.load.record_load(now, load, &self.config),
             Event::Candidates(candidates) => self.handle_candidates(now, candidates, actions),
             Event::KeyRanLocally { key, window } => {
-                // Without space the store counts every unknown key as run here, so nothing is lost.
+                // If the store is full, it treats every unknown key as possibly run here, so ignoring the
+                // error is safe.
                 let _ = self.keys.record(now, &key, KeyLocation::Local, window, self.config.max_keys);
             }
             Event::ClientDisconnected(request) => self.handle_client_disconnect(request, actions),
@@ -189,7 +194,8 @@
         }
     }
 
-    /// Replaces the settings. Peers keep their numbers, and those no longer listed are kept for what is open.
+    /// Replaces the settings. Peers keep their IDs, and peers that are no longer listed are retained for
+    /// their open requests.
     fn configure(&mut self, config: Config) {
         for site in &mut self.sites {
             site.listed = false;
@@ -209,7 +215,7 @@
         self.config = config;
     }
 
-    /// Ends what has run out of time and closes the links that are not needed any more.
+    /// Ends expired requests, forgets expired outcomes and closes links that are no longer needed.
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.expire_forwarded(now, actions);
         self.ledger.forget(now, self.config.max_stored_outcomes, self.config.max_stored_bytes);
--- a/crates/gateway/src/gateway/granting.rs
+++ b/crates/gateway/src/gateway/granting.rs
@@ -1,19 +1,20 @@
-//! How much capacity each peer is granted, and when its grant is renewed.
+//! Decides how much capacity each peer is granted, and when its grant is renewed.
 
 use crate::{Action, LinkId, Time};
 
 use super::Gateway;
 
-/// Renewals of a grant within its term, so that one lost wake-up does not end it.
+/// Number of renewals of a grant within its term, so that one missed wake-up does not let it expire.
 const RENEWALS_PER_TERM: u32 = 2;
-/// A grant still covers what arrives within this many terms: it may have been sent at the end of the first.
+/// Number of terms for which a grant covers arriving requests: one may have been sent at the end of the
+/// first.
 const GRACE_TERMS: u32 = 3;
 
 impl Gateway {
-    /// Tells every inbound link its capacity, where that changed or its grant is about to expire.
+    /// Grants capacity on every inbound link where it changed or the grant is about to expire.
     ///
-    /// More capacity can wait for the next renewal. A grant that is used up is renewed early, and one that is
-    /// withdrawn is withdrawn at once.
+    /// An increase waits for the next renewal. A used-up grant is renewed early, and a withdrawal is sent at
+    /// once.
     pub(super) fn renew_grants(&mut self, now: Time, actions: &mut Vec<Action>) {
         let total = if self.draining { 0 } else { self.load.grantable_slots(&self.config) };
         let listed: Vec<LinkId> = self
@@ -43,7 +44,7 @@
     }
 }
 
-/// The part of `total` for the peer at this position among `peers`; the first ones get what is left over.
+/// Returns the share of `total` for the peer at `position` among `peers`. The first peers get the remainder.
 fn equal_share(total: u32, peers: usize, position: usize) -> u32 {
     let peers = peers.max(1) as u32;
     total / peers + u32::from((position as u32) < total % peers)
--- a/crates/gateway/src/gateway/inbound.rs
+++ b/crates/gateway/src/gateway/inbound.rs
@@ -1,4 +1,4 @@
-//! Requests of other sites: whether one is accepted, and what its sender is told about it.
+//! Accepts or returns requests from peers and reports their status and outcome to their senders.
 
 use crate::load_state::LoadState;
 use crate::{
@@ -7,30 +7,31 @@
 
 use super::Gateway;
 
-/// A request that a peer forwards to this site.
+/// A request offered to this site by a peer.
 pub(super) struct Offer {
     pub(super) link: LinkId,
     pub(super) forwarded: ForwardedRequestId,
-    /// The incarnation that granted the capacity it uses.
+    /// The incarnation that granted the capacity used by the request.
     pub(super) epoch: Incarnation,
     pub(super) slots: u32,
     pub(super) time_left: Time,
-    /// How long its outcome may be asked for after it has ended.
+    /// How long to store the outcome after the request ends.
     pub(super) outcome_retention: Time,
 }
 
 impl Gateway {
-    /// The name here of a forwarded request on an inbound link, also of a peer that is no longer listed.
+    /// Returns the origin of a request received on an inbound link, including links of peers that are no
+    /// longer listed.
     pub fn origin(&self, link: LinkId, forwarded: ForwardedRequestId) -> Option<Origin> {
         let inbound = self.inbound_links.get(&link)?;
         Some(Origin { site: inbound.site, incarnation: inbound.incarnation, forwarded })
     }
 
-    /// Accepts an offered request, returns it, or says again what is known of one that is here already.
+    /// Accepts an offered request or returns it. Reports the status again if the request is a duplicate.
     pub(super) fn handle_offer(&mut self, now: Time, offer: Offer, actions: &mut Vec<Action>) {
         let Some(origin) = self.origin(offer.link, offer.forwarded) else { return };
         let Some(inbound) = self.inbound_links.get_mut(&offer.link) else { return };
-        // Counted also when it is returned, as the sender counts its credit as used.
+        // A returned request counts too, because the sender counts its credit as used.
         let within_grant = inbound.grant.record_received(now, offer.slots) && offer.epoch == self.incarnation;
         if self.ledger.lookup(origin).status != RemoteStatus::NeverReceived {
             self.statistics.duplicates += 1;
@@ -48,7 +49,7 @@
         actions.push(Action::Accept { link: offer.link, origin, time_left: offer.time_left });
     }
 
-    /// Decides whether a request that is not here yet may be accepted.
+    /// Checks whether a new request may be accepted.
     fn check_offer(&self, offer: &Offer, origin: Origin, within_grant: bool) -> Result<(), ReturnReason> {
         if self.draining || !self.is_listed(origin.site) {
             return Err(ReturnReason::NotAccepting);
@@ -84,12 +85,12 @@
         }
     }
 
-    /// Sends the outcome where it is known, else the status.
+    /// Sends the outcome if it is known, otherwise the status.
     fn send_status(&self, link: LinkId, origin: Origin, actions: &mut Vec<Action>) {
-        let known = self.ledger.lookup(origin);
-        actions.push(match known.outcome {
+        let entry = self.ledger.lookup(origin);
+        actions.push(match entry.outcome {
             Some(outcome) => Action::SendOutcome(link, origin.forwarded, outcome),
-            None => Action::SendStatus(link, origin.forwarded, known.status),
+            None => Action::SendStatus(link, origin.forwarded, entry.status),
         });
     }
 
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Records how a request of another site ended here and tells its sender, if there is a link to it.
+    /// Records how a request from a peer ended here and notifies its sender if there is a link to it.
     pub(super) fn handle_inbound_end(
         &mut self,
         now: Time,
@@ -123,7 +124,7 @@
 
     fn link_to_sender(&self, origin: Origin) -> Option<LinkId> {
         let sender = (origin.site, origin.incarnation);
-        let found = self.inbound_links.iter().find(|(_, link)| (link.site, link.incarnation) == sender);
-        found.map(|(id, _)| *id)
+        let link = self.inbound_links.iter().find(|(_, link)| (link.site, link.incarnation) == sender);
+        link.map(|(id, _)| *id)
     }
 }
--- a/crates/gateway/src/gateway/links.rs
+++ b/crates/gateway/src/gateway/links.rs
@@ -1,7 +1,7 @@
-//! Sites and links: which are up, and what happens when one comes up or ends.
+//! Handles sites and links: which links are up, and what happens when a link comes up or goes down.
 //!
-//! A link has no stages of its own here: it is in the map from the event that it is up to the event that it is
-//! down. The handshake before that is in `chutesaddle-site-link`.
+//! A link has no state machine here: it is in the map while it is up. The handshake that precedes this is in
+//! `chutesaddle-site-link`.
 
 use crate::capacity_grant::CapacityGrant;
 use crate::credit::Credit;
@@ -10,45 +10,45 @@
 
 use super::Gateway;
 
-/// A site that the operator lists, or has listed.
+/// A site that the operator lists or has listed.
 #[derive(Debug)]
 pub(super) struct PeerSite {
     pub(super) name: String,
     pub(super) shares_keys: bool,
-    /// Requests that may be open at this site at once.
+    /// Maximum number of forwarded requests open at this site at once.
     pub(super) max_open_requests: usize,
-    /// False once the operator has taken it out.
+    /// False once the operator has removed the site from the settings.
     pub(super) listed: bool,
 }
 
-/// The process at the other end of a link.
+/// The process of a peer site that dialled an inbound link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PeerProcess {
     pub(super) site: SiteId,
     pub(super) incarnation: Incarnation,
 }
 
-/// A link on which requests are forwarded.
+/// A link on which this site forwards requests.
 #[derive(Debug)]
 pub(super) struct OutboundLink {
     pub(super) site: SiteId,
     pub(super) incarnation: Incarnation,
     pub(super) credit: Credit,
-    /// `None` until it has been measured; nothing is forwarded before that.
+    /// `None` until measured; nothing is forwarded before.
     pub(super) round_trip: Option<Time>,
-    /// Forwarded requests that are open on this link.
+    /// Number of forwarded requests open on this link.
     pub(super) open: usize,
 }
 
-/// A link on which requests of another site come in.
+/// A link on which this site receives requests from a peer.
 #[derive(Debug)]
 pub(super) struct InboundLink {
     pub(super) site: SiteId,
     pub(super) incarnation: Incarnation,
     pub(super) grant: CapacityGrant,
-    /// Slots of the last grant.
+    /// Number of slots in the last grant.
     pub(super) granted_slots: u32,
-    /// When the grant is to be renewed.
+    /// When the next renewal of the grant is due.
     pub(super) renew_at: Time,
 }
 
@@ -66,7 +66,8 @@
         self.resume_in_doubt(link, site, incarnation, actions);
     }
 
-    /// A second link to the same incarnation replaces the first, which is dead without this side knowing yet.
+    /// Closes older links to the same incarnation. A second link replaces the first, which must be dead even
+    /// if this side has not noticed.
     fn replace_outbound_links(&mut self, site: SiteId, incarnation: Incarnation, actions: &mut Vec<Action>) {
         let is_same_peer = |link: &OutboundLink| (link.site, link.incarnation) == (site, incarnation);
         let replaced: Vec<LinkId> =
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Moves the requests in doubt at this site to its new link, and asks what became of them.
+    /// Moves the requests in doubt at a site to its new link and queries their status.
     fn resume_in_doubt(
         &mut self,
         link: LinkId,
@@ -134,14 +135,16 @@
 
     pub(super) fn credit_granted(&mut self, link: LinkId, epoch: Incarnation, limit: u64, expires_at: Time) {
         let Some(outbound) = self.outbound_links.get_mut(&link) else { return };
-        // A grant of another incarnation counts what this one has never seen.
+        // The totals in a grant of another incarnation include slots that this link has not used.
         if outbound.incarnation == epoch {
             outbound.credit.set_limit(limit, expires_at);
         }
     }
 
-    /// A sender that dials again has lost its old link, whether or not this side has noticed. What still comes
-    /// on that one must not be accepted any more: the sender has been told what had arrived.
+    /// Adds an inbound link and closes older links from the same incarnation. A sender that dials again has
+    /// lost its old link, even if this side has not noticed. Requests that still arrive on the old link must
+    /// not be accepted, because status queries on the new link may already have reported them as never
+    /// received.
     pub(super) fn inbound_link_up(
         &mut self,
         now: Time,
@@ -166,7 +169,7 @@
         self.inbound_links.remove(&link);
     }
 
-    /// A site that is no longer listed keeps its links until nothing of it is open.
+    /// Closes the links of unlisted sites that have no open requests.
     pub(super) fn close_unlisted_links(&self, actions: &mut Vec<Action>) {
         for (id, link) in &self.outbound_links {
             if !self.is_listed(link.site) && !self.needs_link_to(link.site) {
--- a/crates/gateway/src/gateway/outbound.rs
+++ b/crates/gateway/src/gateway/outbound.rs
@@ -1,7 +1,6 @@
-//! Requests of this site that are forwarded: from the decision to the client's answer.
+//! Tracks forwarded requests from the routing decision to the client's answer.
 //!
-//! [`Gateway::advance`] is the only place where a forwarded request changes or ends; its stages are in
-//! `forwarded_request`.
+//! Only [`Gateway::advance`] changes or ends a forwarded request. The stages are in `forwarded_request`.
 
 use crate::forwarded_request::{Decision, ForwardedRequest, ForwardingStage, Transition};
 use crate::idempotency_store::{KeyLocation, RecordNumber};
@@ -11,12 +10,12 @@
 
 use super::Gateway;
 
-/// The client is answered this part of the margin before it gives up.
+/// The client is answered this fraction of the forwarding margin before it gives up.
 const ANSWER_MARGIN_DIVISOR: u32 = 4;
 
 impl Gateway {
-    /// Forwards what may be forwarded. Requests within their tenant's quota go first, then the highest priority;
-    /// among equals the one that can wait least.
+    /// Forwards the candidates that may be forwarded. Requests within their tenant's quota go first, then
+    /// those with the highest priority, then those that must start soonest.
     pub(super) fn handle_candidates(
         &mut self,
         now: Time,
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Forwards a candidate on the link that [`Gateway::route`] chose.
+    /// Forwards a candidate on the link chosen by [`Gateway::route`].
     fn forward(
         &mut self,
         now: Time,
@@ -47,7 +46,7 @@
     ) -> Result<(), NotForwarded> {
         let Candidate { request, idempotency, slots, time_left, .. } = candidate;
         let Some(outbound) = self.outbound_links.get(&link) else {
-            return Err(NotForwarded::NoPeerCapacity); // `route` chose an existing link: not reached
+            return Err(NotForwarded::NoPeerCapacity); // unreachable: `route` chose an existing link
         };
         let (site, incarnation) = (outbound.site, outbound.incarnation);
         let round_trip = outbound.round_trip.unwrap_or_default();
@@ -75,8 +74,8 @@
         Ok(())
     }
 
-    /// Binds the key of a request to the site that it is forwarded to. It stays bound for its window, counted
-    /// from the last moment at which the request could begin there.
+    /// Binds the idempotency key of a request to the site to which it is forwarded. The deduplication window
+    /// is counted from the latest time at which the request could start there.
     fn record_key(
         &mut self,
         now: Time,
@@ -95,7 +94,7 @@
             return Err(NotForwarded::NoPeerCapacity);
         };
         if !outbound.credit.consume(now, slots) {
-            return Err(NotForwarded::NoPeerCapacity); // `route` has checked it: not reached
+            return Err(NotForwarded::NoPeerCapacity); // unreachable: `route` checked the credit
         }
         outbound.open += 1;
         Ok(())
@@ -105,13 +104,13 @@
         let Some(id) = self.forwarded_by_request.remove(&request) else { return };
         let Some(forwarded) = self.forwarded.get_mut(&id) else { return };
         forwarded.request = None;
-        // One in doubt has no link; the cancellation is sent when the next one is up.
+        // A request in doubt has no link. The cancellation is sent when the next link is up.
         if forwarded.stage != ForwardingStage::InDoubt {
             actions.push(Action::SendCancel(forwarded.link, id));
         }
     }
 
-    /// Applies what arrived on a link, which must be the one that the request is on.
+    /// Handles an event received on a link. It applies only if the request is currently on that link.
     pub(super) fn handle_link_event(
         &mut self,
         link: LinkId,
@@ -122,12 +121,12 @@
         if self.forwarded.get(&id).is_some_and(|request| request.link == link) {
             self.advance(id, transition, actions);
         } else if matches!(transition, Transition::Ended(_)) {
-            // The client has been answered, and the peer need not keep the outcome.
+            // The client has been answered, so the peer can drop the outcome.
             actions.push(Action::AcknowledgeOutcome(link, id));
         }
     }
 
-    /// Gives up the requests whose clients are about to give up.
+    /// Ends the requests whose clients are about to give up.
     pub(super) fn expire_forwarded(&mut self, now: Time, actions: &mut Vec<Action>) {
         let is_expired = |request: &ForwardedRequest| request.give_up_at <= now;
         let expired: Vec<ForwardedRequestId> =
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Changes a forwarded request and, when it has ended, carries out the decision.
+    /// Applies a transition to a forwarded request and, if that ends it, carries out the decision.
     pub(super) fn advance(
         &mut self,
         id: ForwardedRequestId,
@@ -175,7 +174,7 @@
         }
     }
 
-    /// The request never ran elsewhere, so its key binds nothing.
+    /// Returns a request that never ran at the peer to the scheduler, and unbinds its key.
     fn return_to_scheduler(
         &mut self,
         request: &ForwardedRequest,
--- a/crates/gateway/src/gateway/routing.rs
+++ b/crates/gateway/src/gateway/routing.rs
@@ -1,7 +1,7 @@
-//! Whether a request is forwarded, and on which link.
+//! Decides whether a request is forwarded, and on which link.
 //!
-//! Forwarding costs service, so only a request that would otherwise be rejected or late is forwarded, and only
-//! while it can still be in time at the other site.
+//! Forwarding costs performance, so a request is forwarded only if it would otherwise be rejected or late,
+//! and only if it can still finish in time at the other site.
 
 use bytes::Bytes;
 
@@ -11,17 +11,17 @@
 use super::links::OutboundLink;
 use super::Gateway;
 
-/// A link that a candidate may take.
+/// A link on which a candidate may be forwarded.
 struct Route {
     link: LinkId,
     round_trip: Time,
 }
 
 impl Gateway {
-    /// Decides the link on which a candidate is forwarded, or why it is not.
+    /// Returns the link on which to forward a candidate, or the reason not to.
     ///
-    /// A candidate whose key is bound to another site goes there however free this site is, even if it will be
-    /// late there: it must not run here.
+    /// A candidate whose key is bound to another site must not run here. It is forwarded to that site even if
+    /// this site has free capacity, and even if it will start late there.
     pub(super) fn route(&self, now: Time, candidate: &Candidate) -> Result<LinkId, NotForwarded> {
         if self.draining {
             return Err(NotForwarded::Draining);
@@ -34,28 +34,29 @@
             Idempotency::WithKey { key, .. } => Some(key),
             Idempotency::NonIdempotent => return Err(NotForwarded::NonIdempotent),
         };
-        let bound = key.is_some_and(|key| self.bound_elsewhere(now, key));
+        let is_bound = key.is_some_and(|key| self.bound_elsewhere(now, key));
         let beyond_quota = !candidate.within_quota && !self.config.forward_over_quota;
-        if !bound && beyond_quota {
+        if !is_bound && beyond_quota {
             return Err(NotForwarded::OverQuota);
         }
-        if !bound && !self.load.may_forward(now, &self.config) {
+        if !is_bound && !self.load.may_forward(now, &self.config) {
             return Err(NotForwarded::LocalCapacity);
         }
-        self.nearest_route(now, candidate, key, bound).map(|route| route.link)
+        self.nearest_route(now, candidate, key, is_bound).map(|route| route.link)
     }
 
-    /// Forwarding costs the same everywhere, so the nearest site that can take the candidate is the best. Without
-    /// one, the reason is that of the last site that had capacity.
+    /// Returns the nearest site that can take the candidate. Forwarding costs the same everywhere, so the
+    /// nearest site is best. If there is none, the reason is that of the last site that had capacity.
     fn nearest_route(
         &self,
         now: Time,
         candidate: &Candidate,
         key: Option<&Bytes>,
-        bound: bool,
+        is_bound: bool,
     ) -> Result<Route, NotForwarded> {
         let location = key.and_then(|key| self.keys.location(now, key));
-        let mut reason = if bound { NotForwarded::KeyBoundElsewhere } else { NotForwarded::NoPeerCapacity };
+        let mut reason =
+            if is_bound { NotForwarded::KeyBoundElsewhere } else { NotForwarded::NoPeerCapacity };
         let mut nearest: Option<Route> = None;
         for (&link, outbound) in &self.outbound_links {
             let Some(round_trip) = outbound.round_trip else { continue };
@@ -66,8 +67,8 @@
                 reason = NotForwarded::KeyBoundElsewhere;
                 continue;
             }
-            if let Err(untimely) = self.check_timing(candidate, round_trip, bound) {
-                reason = untimely;
+            if let Err(timing_reason) = self.check_timing(candidate, round_trip, is_bound) {
+                reason = timing_reason;
                 continue;
             }
             if nearest.as_ref().is_none_or(|nearest| round_trip < nearest.round_trip) {
@@ -77,14 +78,15 @@
         nearest.ok_or(reason)
     }
 
-    /// Whether a link's site is listed and has granted enough for this candidate.
+    /// Returns whether the site of a link is listed, is below its limit of open requests, and has granted
+    /// enough capacity for a candidate.
     fn has_capacity(&self, now: Time, link: &OutboundLink, candidate: &Candidate) -> bool {
         let below_open_limit = link.open < self.sites[usize::from(link.site.0)].max_open_requests;
         let enough_credit = link.credit.available(now) >= u64::from(candidate.slots);
         below_open_limit && enough_credit && self.is_listed(link.site)
     }
 
-    /// Whether a key may run at a site, given where it may have run already.
+    /// Returns whether a key may run at a site, given where it may already have run.
     fn key_may_run_at(&self, location: Option<KeyLocation>, site: SiteId) -> bool {
         match location {
             None => true,
@@ -96,15 +98,20 @@
         }
     }
 
-    /// Whether forwarding over this round trip comes neither too early nor too late.
-    fn check_timing(&self, candidate: &Candidate, round_trip: Time, bound: bool) -> Result<(), NotForwarded> {
+    /// Checks that forwarding on a link with this round trip is neither too early nor too late.
+    fn check_timing(
+        &self,
+        candidate: &Candidate,
+        round_trip: Time,
+        is_bound: bool,
+    ) -> Result<(), NotForwarded> {
         let cost = round_trip / 2 + self.config.forwarding_margin;
         let is_urgent = candidate.start_in <= cost + self.config.forwarding_lead
             || self.load.backlog_exceeds(candidate.start_in);
-        if !is_urgent && !candidate.rejected && !bound {
+        if !is_urgent && !candidate.rejected && !is_bound {
             return Err(NotForwarded::CanStillWait);
         }
-        let starts_in_time = candidate.start_in > cost || bound;
+        let starts_in_time = candidate.start_in > cost || is_bound;
         let answer_in_time = candidate.time_left > round_trip + self.config.forwarding_margin;
         if !starts_in_time || !answer_in_time {
             return Err(NotForwarded::TooLate);
--- a/crates/gateway/src/gateway/statistics.rs
+++ b/crates/gateway/src/gateway/statistics.rs
@@ -1,34 +1,35 @@
-//! What the gateway counts for the operators.
+//! Gateway metrics for operators.
 
 use super::Gateway;
 
-/// Counters, which only grow, and gauges.
+/// Counters and gauges of the gateway. Fields not marked as gauges are counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// Requests forwarded.
+    /// Requests forwarded to peers.
     pub forwarded: u64,
-    /// Of these, returned unstarted by the peer or by a link that broke before the last byte.
+    /// Forwarded requests that were returned unstarted by the peer, or because the link broke before the last
+    /// byte was written.
     pub returned: u64,
-    /// Of these, asked about after a break of the link.
+    /// Forwarded requests resumed on a new link after their link broke.
     pub resumed: u64,
-    /// Of these, ended without a known outcome.
+    /// Forwarded requests that ended without a known outcome.
     pub unknown: u64,
-    /// Requests of other sites that were accepted.
+    /// Requests accepted from peers.
     pub accepted: u64,
-    /// Requests of other sites that this gateway returned.
+    /// Requests from peers that this gateway returned.
     pub returned_to_peers: u64,
-    /// Requests of other sites that were offered again, and not run again.
+    /// Requests that a peer offered more than once and that were not run again.
     pub duplicates: u64,
-    /// Gauge: forwarded requests of this site whose client still waits.
+    /// Gauge: forwarded requests whose clients still wait.
     pub outbound_open: usize,
-    /// Gauge: requests of other sites that are with the scheduler here.
+    /// Gauge: requests from peers that are with the local scheduler.
     pub inbound_open: usize,
-    /// Gauge: slots granted to other sites and not used.
+    /// Gauge: slots granted to peers and not used.
     pub unused_grants: u64,
 }
 
 impl Gateway {
-    /// The counters and gauges as they are now.
+    /// Returns the current counters and gauges.
     pub fn statistics(&self) -> Statistics {
         Statistics {
             outbound_open: self.forwarded_by_request.len(),
--- a/crates/gateway/src/idempotency_store.rs
+++ b/crates/gateway/src/idempotency_store.rs
@@ -1,7 +1,7 @@
-//! Where requests with an idempotency key may have run lately.
+//! Records where requests with an idempotency key may recently have run.
 //!
-//! Unless two sites share their keys, a key must not run at both within its deduplication window, whoever repeats
-//! it. The store only records; `gateway/routing` decides what follows from a location.
+//! Unless two sites share their keys, a key must not run at both within its deduplication window, whoever
+//! repeats it. The store only records locations; `gateway/routing` decides where a key may run.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,22 +10,22 @@
 
 use crate::{SiteId, Time};
 
-/// Where a key may have run.
+/// The location where a key may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyLocation {
-    /// At this site.
+    /// This site.
     Local,
-    /// At that site.
+    /// A peer site.
     Remote(SiteId),
-    /// The store was full and has missed keys that ran here: this may be one of them.
+    /// Unknown: the store was full and did not record some keys that ran here, possibly including this one.
     Unknown,
 }
 
-/// The number of one record of a key; numbers grow.
+/// Identifies one record of a key. Numbers increase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordNumber(u64);
 
-/// What is recorded of a key.
+/// The records of a key, merged.
 #[derive(Debug)]
 struct KeyRecord {
     location: KeyLocation,
@@ -34,31 +34,32 @@
     last: RecordNumber,
 }
 
-/// The keys whose windows are not over.
+/// The keys whose deduplication windows have not ended.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyStore {
     records: HashMap<Bytes, KeyRecord>,
     expiries: BTreeMap<(Time, RecordNumber), Bytes>,
     last_number: u64,
-    /// Until then a key that is not in the store may be one that was missed.
+    /// Until this time, a key that is not in the store may have run here unrecorded.
     incomplete_until: Time,
 }
 
 impl IdempotencyStore {
-    /// Records that a key may run at a location from now on, and gives the number of the record.
+    /// Records that a key may run at a location from now on, and returns the number of the record.
     ///
-    /// `None` if the store holds `most` other keys: then nothing that needs the record may be forwarded.
+    /// Returns `None` if the key is new and the store already holds `max_keys` keys. A request that depends
+    /// on the record must then not be forwarded.
     pub(crate) fn record(
         &mut self,
         now: Time,
         key: &Bytes,
         location: KeyLocation,
         window: Duration,
-        most: usize,
+        max_keys: usize,
     ) -> Option<RecordNumber> {
         self.expire(now);
         let expires_at = now + window;
-        if !self.records.contains_key(key) && self.records.len() >= most {
+        if !self.records.contains_key(key) && self.records.len() >= max_keys {
             if location == KeyLocation::Local {
                 self.incomplete_until = self.incomplete_until.max(expires_at);
             }
@@ -75,7 +76,7 @@
         Some(number)
     }
 
-    /// Removes the record of a request that never ran, unless another request with the key may have run.
+    /// Removes the record of a request that never ran, unless the key has been recorded for another request.
     pub(crate) fn clear(&mut self, key: &Bytes, number: RecordNumber) {
         let is_only_record =
             self.records.get(key).is_some_and(|record| record.first == number && record.last == number);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Where a key may have run; `None` if nowhere within its window.
+    /// Returns where a key may have run, or `None` if it has not run anywhere within its window.
     pub(crate) fn location(&self, now: Time, key: &Bytes) -> Option<KeyLocation> {
         if let Some(record) = self.records.get(key).filter(|record| now < record.expires_at) {
             return Some(record.location);
--- a/crates/gateway/src/ids.rs
+++ b/crates/gateway/src/ids.rs
@@ -2,36 +2,37 @@
 
 use std::time::Duration;
 
-/// Time since a start that the caller chooses; it must not run backwards.
+/// Time elapsed since an instant chosen by the caller. It must not run backwards.
 pub type Time = Duration;
 
-/// A peer site. Its number stays for as long as the process lives.
+/// Identifies a peer site for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SiteId(pub u16);
 
-/// One connection to or from a peer site. The number is never used again after the connection has ended.
+/// Identifies one connection to or from a peer site. IDs are not reused after the connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// One run of a process. A restarted process has another incarnation and remembers nothing of the earlier one.
+/// Identifies one run of a process. A restarted process has a new incarnation and no state from the previous
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// A forwarded request, numbered in growing order by the incarnation that sends it.
+/// Identifies a forwarded request. IDs increase within one incarnation of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwardedRequestId(pub u64);
 
-/// A request of this process, whether or not it is forwarded.
+/// Identifies a request in this process, whether or not it is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LocalRequestId(pub u32);
 
-/// The name under which the receiver knows a forwarded request. It is unique across sites and restarts.
+/// Identifies a forwarded request at its receiver. Unique across sites and restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
-    /// The site that forwarded it.
+    /// The site that forwarded the request.
     pub site: SiteId,
-    /// The incarnation of the process there.
+    /// The incarnation of the process that forwarded it.
     pub incarnation: Incarnation,
-    /// Its number there.
+    /// The ID assigned by the sender.
     pub forwarded: ForwardedRequestId,
 }
--- a/crates/gateway/src/ledger.rs
+++ b/crates/gateway/src/ledger.rs
@@ -1,15 +1,16 @@
-//! The requests that came in from other sites and how they ended, for as long as their senders may ask.
+//! Stores the requests received from peers and their outcomes, for status queries.
 //!
-//! A request that arrives twice runs once because the ledger knows it. An outcome that had to be forgotten is
-//! remembered as forgotten: "never received" must not be said of a request that may have run. For this the ledger
-//! keeps one number per sender, the highest of which an outcome was forgotten.
+//! The ledger detects duplicates, so that a request received twice runs once. It also remembers that an
+//! outcome was forgotten, because "never received" must not be reported for a request that may have run. For
+//! this it stores one number per sender: the highest ID whose outcome was forgotten.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 use crate::{ForwardedRequestId, Incarnation, Origin, Outcome, RemoteStatus, SiteId, Time};
 
-/// Senders of which a forgotten number is remembered: the incarnations of all peers within the longest window.
+/// Maximum number of senders whose highest forgotten ID is stored. It must cover the incarnations of all
+/// peers within the longest retention time.
 const MAX_SENDERS: usize = 1024;
 
 /// One incarnation of a peer's process.
@@ -25,50 +26,50 @@
     }
 }
 
-/// The lifetime of one entry: running, then ended, then removed. An entry that ends unstarted or is cancelled is
-/// removed at once.
+/// A stored request. An entry is running, then ended, then removed. It is removed at once if the request ends
+/// unstarted or is cancelled.
 #[derive(Debug)]
 enum Entry {
-    /// It is with the scheduler here.
+    /// The request is with the local scheduler.
     Running { outcome_retention: Duration },
-    /// Its outcome is kept until it is acknowledged or `forget_at`.
+    /// The outcome is stored until it is acknowledged or `forget_at` passes.
     Ended { outcome: Outcome, forget_at: Time },
 }
 
-/// What the ledger knows of a request.
+/// The state of a request according to the ledger.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct LedgerStatus {
     pub(crate) status: RemoteStatus,
-    /// The outcome, if it has ended and is not forgotten.
+    /// The outcome, if the request has ended and the outcome is still stored.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// The requests of all senders.
+/// The requests received from all senders.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     entries: BTreeMap<Origin, Entry>,
-    /// Those that have ended, in the order in which they are forgotten.
+    /// Ended requests, in the order in which their outcomes are forgotten.
     forget_order: BTreeSet<(Time, Origin)>,
-    /// Bytes of the results that are kept.
+    /// Total size, in bytes, of the stored results.
     stored_bytes: usize,
     running: usize,
-    /// The highest number of each sender of which the outcome was forgotten.
+    /// For each sender, the highest ID whose outcome was forgotten.
     highest_forgotten: HashMap<Sender, ForwardedRequestId>,
 }
 
 impl Ledger {
-    /// Requests that are with the scheduler here.
+    /// Returns the number of requests that are with the local scheduler.
     pub(crate) fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether a request of that site is with the scheduler here.
+    /// Returns whether a request from that site is with the local scheduler.
     pub(crate) fn has_running_from(&self, site: SiteId) -> bool {
         let is_running = |entry: &Entry| matches!(entry, Entry::Running { .. });
         self.entries.iter().any(|(origin, entry)| origin.site == site && is_running(entry))
     }
 
-    /// What is known of a request.
+    /// Returns the state of a request.
     pub(crate) fn lookup(&self, origin: Origin) -> LedgerStatus {
         match self.entries.get(&origin) {
             Some(Entry::Running { .. }) => LedgerStatus { status: RemoteStatus::Received, outcome: None },
@@ -87,7 +88,7 @@
         highest.is_some_and(|highest| origin.forwarded <= *highest)
     }
 
-    /// Enters a request that is handed to the scheduler; false if it has been here before.
+    /// Adds a request that is handed to the scheduler. Returns false if it was received before.
     pub(crate) fn accept(&mut self, origin: Origin, outcome_retention: Duration) -> bool {
         if self.lookup(origin).status != RemoteStatus::NeverReceived {
             return false;
@@ -97,13 +98,13 @@
         true
     }
 
-    /// Records how a request ended; false if it was not running.
+    /// Records how a request ended. Returns false if it was not running.
     pub(crate) fn end(&mut self, now: Time, origin: Origin, outcome: Outcome) -> bool {
         let Some(Entry::Running { outcome_retention }) = self.entries.get(&origin) else { return false };
         let forget_at = now + *outcome_retention;
         self.running -= 1;
         if outcome == Outcome::Unstarted {
-            // It never ran, and that is what a query is answered.
+            // The request never ran, so status queries are answered as for one never received.
             self.entries.remove(&origin);
             return true;
         }
@@ -113,8 +114,8 @@
         true
     }
 
-    /// Removes a request whose client has disconnected; whether it was running. Nobody will ask for it, and it may
-    /// have run.
+    /// Removes a request whose client has disconnected, and returns whether it was running. It may have run,
+    /// so it counts as forgotten, although no status query is expected.
     pub(crate) fn cancel(&mut self, origin: Origin) -> bool {
         let was_running = matches!(self.entries.get(&origin), Some(Entry::Running { .. }));
         if self.remove(origin) {
@@ -123,7 +124,7 @@
         was_running
     }
 
-    /// Removes an outcome that the sender has received.
+    /// Removes an outcome that the sender has acknowledged.
     pub(crate) fn acknowledge(&mut self, origin: Origin) {
         let has_ended = matches!(self.entries.get(&origin), Some(Entry::Ended { .. }));
         if has_ended && self.remove(origin) {
@@ -131,10 +132,11 @@
         }
     }
 
-    /// Forgets the outcomes whose time is over, and the oldest ones beyond `most` or `most_bytes`.
-    pub(crate) fn forget(&mut self, now: Time, most: usize, most_bytes: usize) {
+    /// Forgets the outcomes whose retention time is over, and those next in order while the stored outcomes
+    /// exceed `max_outcomes` or `max_bytes`.
+    pub(crate) fn forget(&mut self, now: Time, max_outcomes: usize, max_bytes: usize) {
         while let Some(&(forget_at, origin)) = self.forget_order.first() {
-            let within_bounds = self.forget_order.len() <= most && self.stored_bytes <= most_bytes;
+            let within_bounds = self.forget_order.len() <= max_outcomes && self.stored_bytes <= max_bytes;
             if forget_at > now && within_bounds {
                 return;
             }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// When the next outcome is to be forgotten.
+    /// Returns when the next outcome is to be forgotten.
     pub(crate) fn due(&self) -> Option<Time> {
         self.forget_order.first().map(|(forget_at, _)| *forget_at)
     }
@@ -169,7 +171,8 @@
         *highest = (*highest).max(origin.forwarded);
     }
 
-    /// A sender that is dropped counts as one that was never here, so one with entries must stay.
+    /// Drops the sender with the lowest incarnation. A dropped sender counts as never seen, so senders with
+    /// entries are not dropped.
     fn drop_oldest_idle_sender(&mut self) {
         let is_idle = |sender: &Sender| !self.entries.keys().any(|origin| Sender::from(*origin) == *sender);
         let oldest =
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,32 +1,34 @@
-//! The decisions of a gateway between sites: which requests are forwarded to another site, to which one, and how
-//! much capacity this site grants to the others.
+//! Decides which requests a site forwards to peer sites, and how much capacity it grants them.
 //!
-//! This crate is sans-I/O: it opens no socket, reads no clock and draws no random number. [`Gateway::handle`]
-//! takes an [`Event`] with the time at which it happened and appends the [`Action`]s to carry out.
+//! This crate is sans-I/O: it opens no sockets, reads no clock and draws no random numbers.
+//! [`Gateway::handle`] takes an [`Event`] and the time at which it happened, and appends the [`Action`]s to
+//! perform.
 //!
-//! Links have a direction. On an outbound link, which this site has dialled, it forwards requests; on an inbound
-//! link, which it has accepted, it receives them. Two sites that help each other have one link each way. The two
-//! directions share only the [`LoadState`]: a site that forwards requests grants no capacity.
+//! Links are directional. A site dials its outbound links and forwards requests on them; it accepts inbound
+//! links and receives requests on them. Two sites that help each other have one link in each direction. The
+//! two directions share only the [`LoadState`]: a site that forwards requests grants no capacity.
 //!
-//! Which worker runs a request, whether it is retried and whether it is rejected is decided by the scheduler of
-//! the site where the request is. The bytes on a link are `chutesaddle-site-link`. Sockets are in
-//! `src/server/peers/site_links.rs`, and the engine's part is in `src/server/engine/site_forwarding.rs`.
+//! The scheduler of the site that holds a request decides which worker runs it, whether it is retried and
+//! whether it is rejected. The frame encoding is in `chutesaddle-site-link`. The sockets are in
+//! `src/server/peers/site_links.rs`, and the engine's side is in `src/server/engine/site_forwarding.rs`.
 //!
-//! | file | question |
+//! | module | purpose |
 //! | --- | --- |
-//! | `event`, `action`, `candidate`, `outcome`, `ids` | what goes in, what comes out |
-//! | `gateway` | the state and the dispatch of events |
-//! | `gateway/routing` | is this request forwarded, and on which link |
-//! | `gateway/outbound` | what happens to a forwarded request until its client is answered |
-//! | `gateway/inbound` | is a request of another site accepted, and what is said about its outcome |
-//! | `gateway/granting` | how much capacity each peer gets |
-//! | `forwarded_request` | the stages of one forwarded request, as its sender knows them |
-//! | `load_state` | hysteresis: does this site forward, grant capacity, or neither |
-//! | `credit`, `capacity_grant` | flow control: what a peer has granted, what this site has granted |
-//! | `idempotency_store` | at which site an idempotency key may have run lately |
-//! | `ledger` | what came in and how it ended, for as long as its sender may ask |
+//! | `event`, `action`, `candidate`, `outcome`, `ids` | inputs and outputs |
+//! | `gateway` | holds the state and dispatches events |
+//! | `gateway/routing` | decides whether a request is forwarded, and on which link |
+//! | `gateway/outbound` | tracks a forwarded request until its client is answered |
+//! | `gateway/inbound` | accepts or returns requests from peers, and reports their outcomes |
+//! | `gateway/granting` | decides how much capacity each peer is granted |
+//! | `gateway/links` | handles links that come up or go down |
+//! | `gateway/statistics` | counters and gauges for operators |
+//! | `forwarded_request` | the sender's state machine for one forwarded request |
+//! | `load_state` | decides, with hysteresis, whether this site forwards, grants capacity, or neither |
+//! | `credit`, `capacity_grant` | flow control: capacity granted by a peer, and capacity granted to a peer |
+//! | `idempotency_store` | records the sites at which an idempotency key may have run |
+//! | `ledger` | stores requests from peers and their outcomes for status queries |
 //!
-//! The design and its reasons are in `docs/gateway.md`.
+//! The design is explained in `docs/gateway.md`.
 #![warn(missing_docs)]
 
 mod action;
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,55 +1,57 @@
-//! How forwarded requests end. [`Outcome`], [`RemoteStatus`] and [`ReturnReason`] travel on the link by the
-//! position of their variants: never reorder, add or remove one without a new version of the link.
+//! Outcomes and statuses of forwarded requests.
+//!
+//! [`Outcome`], [`RemoteStatus`] and [`ReturnReason`] are encoded on the link by variant index: do not
+//! reorder, add or remove variants without a new version of the link protocol.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// How a request ended at the site that it was forwarded to.
+/// How a forwarded request ended at the peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// With a worker's result.
+    /// A worker returned this result.
     Served(Bytes),
-    /// Rejected there, and nothing of it has run.
+    /// The peer rejected it, and no part of it ran.
     Unstarted,
-    /// Rejected there after something of it may have run.
+    /// The peer rejected it after it may have run in part.
     Rejected,
-    /// Failed there; it may have run.
+    /// It failed at the peer and may have run.
     Failed,
 }
 
-/// The final answer to a request of this site that was forwarded.
+/// The final answer to the client of a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardedAnswer {
-    /// The result that a worker gave.
+    /// The worker's result.
     Served(Bytes),
-    /// The client may try again without harm.
+    /// The client can safely retry.
     Rejected,
-    /// It may have run, and a repeat could run it twice.
+    /// The request may have run, and a retry could run it twice.
     Failed,
 }
 
-/// What the receiver knows of a forwarded request that the sender asks about after a link has broken.
+/// The receiver's answer to a status query, which the sender sends after a link broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RemoteStatus {
-    /// It has not arrived, and cannot arrive any more: it never ran.
+    /// The request has not arrived and can no longer arrive: it never ran.
     NeverReceived,
-    /// It is here, and its outcome follows.
+    /// The request arrived; its outcome will follow.
     Received,
-    /// It was here, and its outcome is forgotten.
+    /// The request arrived, but its outcome has been forgotten.
     OutcomeForgotten,
 }
 
-/// Why the receiver returns a forwarded request unstarted.
+/// Why a receiver returns a forwarded request unstarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReturnReason {
-    /// The receiving site forwards requests itself.
+    /// The receiving site is itself forwarding requests.
     Shedding,
-    /// It exceeds the granted capacity, or uses a grant of another incarnation.
+    /// The request exceeds the granted capacity, or uses a grant of another incarnation.
     ExceedsGrant,
-    /// The receiving site drains, or the operator no longer lists the sender.
+    /// The receiving site is draining, or its operator no longer lists the sender.
     NotAccepting,
     /// No time is left.
     TooLate,
-    /// The scheduler there rejected it, or its request ID is in use there.
+    /// The scheduler of the receiving site rejected the request, or the request ID is in use there.
     Rejected,
 }
