--- a/crates/gateway/src/forwarded_request/tests.rs
+++ b/crates/gateway/src/forwarded_request/tests.rs
@@ -18,12 +18,12 @@
     }
 }
 
-fn keyed() -> Idempotency {
+fn with_key() -> Idempotency {
     Idempotency::WithKey { key: Bytes::from_static(b"k"), window: Duration::from_secs(40) }
 }
 
 #[test]
-fn returns_to_scheduler_only_what_cannot_have_run() {
+fn returns_to_scheduler_only_requests_that_cannot_have_run() {
     for stage in [ForwardingStage::Sent, ForwardingStage::Accepted, ForwardingStage::InDoubt] {
         for transition in [
             Transition::LinkDown,
@@ -31,31 +31,31 @@
             Transition::DeadlineNear,
             Transition::Status(RemoteStatus::OutcomeForgotten),
         ] {
-            let decision = request(stage, keyed(), false).apply(transition);
+            let decision = request(stage, with_key(), false).apply(transition);
             assert_ne!(decision, Decision::ReturnToScheduler, "{stage:?}");
         }
     }
     for transition in [Transition::LinkDown, Transition::PeerRestarted, Transition::DeadlineNear] {
         assert_eq!(
-            request(ForwardingStage::Unsent, keyed(), false).apply(transition),
+            request(ForwardingStage::Unsent, with_key(), false).apply(transition),
             Decision::ReturnToScheduler
         );
     }
     assert_eq!(
-        request(ForwardingStage::InDoubt, keyed(), false)
+        request(ForwardingStage::InDoubt, with_key(), false)
             .apply(Transition::Status(RemoteStatus::NeverReceived)),
         Decision::ReturnToScheduler
     );
 }
 
 #[test]
-fn rejects_what_may_have_run_only_where_a_repeat_is_harmless() {
-    let end = |idempotency, shares| {
-        request(ForwardingStage::InDoubt, idempotency, shares).apply(Transition::PeerRestarted)
+fn rejects_requests_that_may_have_run_only_if_a_retry_is_harmless() {
+    let answer_after_restart = |idempotency, shares_keys| {
+        request(ForwardingStage::InDoubt, idempotency, shares_keys).apply(Transition::PeerRestarted)
     };
-    let answer = |answer| Decision::Answer { answer, outcome_received: false };
-    assert_eq!(end(Idempotency::Idempotent, false), answer(ForwardedAnswer::Rejected));
-    assert_eq!(end(keyed(), true), answer(ForwardedAnswer::Rejected));
-    assert_eq!(end(keyed(), false), answer(ForwardedAnswer::Failed));
-    assert_eq!(end(Idempotency::NonIdempotent, true), answer(ForwardedAnswer::Failed));
+    let decision = |answer| Decision::Answer { answer, outcome_received: false };
+    assert_eq!(answer_after_restart(Idempotency::Idempotent, false), decision(ForwardedAnswer::Rejected));
+    assert_eq!(answer_after_restart(with_key(), true), decision(ForwardedAnswer::Rejected));
+    assert_eq!(answer_after_restart(with_key(), false), decision(ForwardedAnswer::Failed));
+    assert_eq!(answer_after_restart(Idempotency::NonIdempotent, true), decision(ForwardedAnswer::Failed));
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -126,8 +126,8 @@
     /// Returns when the next [`Event::Tick`] is due.
     pub fn due(&self, now: Time) -> Option<Time> {
         let give_up = self.forwarded.values().map(|request| request.give_up_at).min();
-        let granting = |link: &&InboundLink| link.granted_slots > 0;
-        let renewal = self.inbound_links.values().filter(granting).map(|link| link.renew_at).min();
+        let has_grant = |link: &&InboundLink| link.granted_slots > 0;
+        let renewal = self.inbound_links.values().filter(has_grant).map(|link| link.renew_at).min();
         let forget = self.ledger.due();
         let load_change = self.load.due(now, &self.config);
         [give_up, renewal, forget, load_change].into_iter().flatten().min()
--- a/crates/gateway/src/gateway/granting.rs
+++ b/crates/gateway/src/gateway/granting.rs
@@ -24,14 +24,14 @@
             .map(|(id, _)| *id)
             .collect();
         let term = self.config.grant_term;
-        let early_renewal = term / (2 * RENEWALS_PER_TERM);
+        let early_renewal_window = term / (2 * RENEWALS_PER_TERM);
         for (&link, inbound) in &mut self.inbound_links {
             let position = listed.iter().position(|id| *id == link);
             let slots = position.map_or(0, |position| equal_share(total, listed.len(), position));
             let withdrawn = slots == 0 && inbound.granted_slots > 0;
             let renewal_due = slots > 0 && now >= inbound.renew_at;
             let used_up = slots > 0 && inbound.grant.unused() == 0;
-            let early_renewal_due = used_up && now + early_renewal >= inbound.renew_at;
+            let early_renewal_due = used_up && now + early_renewal_window >= inbound.renew_at;
             if !withdrawn && !renewal_due && !early_renewal_due {
                 continue;
             }
--- a/crates/gateway/src/gateway/outbound.rs
+++ b/crates/gateway/src/gateway/outbound.rs
@@ -154,10 +154,10 @@
         if let Some(outbound) = self.outbound_links.get_mut(&request.link) {
             outbound.open = outbound.open.saturating_sub(1);
         }
-        let waiting = request.request.filter(|waiting| self.forwarded_by_request.remove(waiting).is_some());
+        let waiting_request = request.request.filter(|id| self.forwarded_by_request.remove(id).is_some());
         match decision {
             Decision::Wait => {}
-            Decision::ReturnToScheduler => self.return_to_scheduler(&request, waiting, actions),
+            Decision::ReturnToScheduler => self.return_to_scheduler(&request, waiting_request, actions),
             Decision::Answer { answer, outcome_received } => {
                 if outcome_received {
                     actions.push(Action::AcknowledgeOutcome(request.link, id));
@@ -167,8 +167,8 @@
                         actions.push(Action::SendCancel(request.link, id));
                     }
                 }
-                if let Some(waiting) = waiting {
-                    actions.push(Action::Answer(waiting, answer));
+                if let Some(waiting_request) = waiting_request {
+                    actions.push(Action::Answer(waiting_request, answer));
                 }
             }
         }
@@ -178,15 +178,15 @@
     fn return_to_scheduler(
         &mut self,
         request: &ForwardedRequest,
-        waiting: Option<LocalRequestId>,
+        waiting_request: Option<LocalRequestId>,
         actions: &mut Vec<Action>,
     ) {
         self.statistics.returned += 1;
         if let (Idempotency::WithKey { key, .. }, Some(record)) = (&request.idempotency, request.key_record) {
             self.keys.clear(key, record);
         }
-        if let Some(waiting) = waiting {
-            actions.push(Action::ReturnToScheduler(waiting));
+        if let Some(waiting_request) = waiting_request {
+            actions.push(Action::ReturnToScheduler(waiting_request));
         }
     }
 }
--- a/crates/gateway/src/idempotency_store/tests.rs
+++ b/crates/gateway/src/idempotency_store/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn binds_a_key_until_its_window_is_over() {
+fn binds_a_key_until_its_window_ends() {
     let mut store = IdempotencyStore::default();
     store.record(Duration::ZERO, &key(1), KeyLocation::Remote(SiteId(0)), WINDOW, 10);
     assert_eq!(store.location(Duration::from_secs(39), &key(1)), Some(KeyLocation::Remote(SiteId(0))));
@@ -24,24 +24,24 @@
     assert_eq!(store.location(Duration::from_secs(60), &key(1)), Some(KeyLocation::Local));
 }
 
-/// A repeat that was given back must not free what the first try bound, nor the other way round.
+/// When one of two requests with the same key is returned unstarted, the key must stay bound for the other.
 #[test]
-fn clears_a_key_only_when_it_has_one_record() {
-    let (mut store, there) = (IdempotencyStore::default(), KeyLocation::Remote(SiteId(0)));
+fn clears_a_key_only_if_it_has_a_single_record() {
+    let (mut store, remote) = (IdempotencyStore::default(), KeyLocation::Remote(SiteId(0)));
     let record =
-        |store: &mut IdempotencyStore, n| store.record(Duration::ZERO, &key(n), there, WINDOW, 10).unwrap();
+        |store: &mut IdempotencyStore, n| store.record(Duration::ZERO, &key(n), remote, WINDOW, 10).unwrap();
     let (first, second) = (record(&mut store, 1), record(&mut store, 1));
     store.clear(&key(1), first);
     store.clear(&key(1), second);
-    assert_eq!(store.location(Duration::ZERO, &key(1)), Some(there));
-    let only = record(&mut store, 2);
-    store.clear(&key(2), only);
+    assert_eq!(store.location(Duration::ZERO, &key(1)), Some(remote));
+    let single = record(&mut store, 2);
+    store.clear(&key(2), single);
     assert_eq!(store.location(Duration::ZERO, &key(2)), None);
 }
 
-/// A flood of keys must not open a way to run one of them twice.
+/// A full store must not allow an unrecorded key to run at two sites.
 #[test]
-fn treats_unknown_keys_as_run_while_the_full_store_has_missed_some() {
+fn treats_unknown_keys_as_run_after_a_full_store_dropped_a_key() {
     let mut store = IdempotencyStore::default();
     for n in 0..4 {
         store.record(Duration::ZERO, &key(n), KeyLocation::Local, WINDOW, 3);
--- a/crates/gateway/src/ledger/tests.rs
+++ b/crates/gateway/src/ledger/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const KEEP: Duration = Duration::from_secs(40);
+const RETENTION: Duration = Duration::from_secs(40);
 
 fn origin(n: u64) -> Origin {
     Origin { site: SiteId(0), incarnation: Incarnation(1), forwarded: ForwardedRequestId(n) }
@@ -13,19 +13,19 @@
 }
 
 #[test]
-fn keeps_an_outcome_for_its_window_then_knows_it_forgotten() {
+fn stores_an_outcome_for_its_retention_time_then_reports_it_forgotten() {
     let mut ledger = Ledger::default();
-    assert!(ledger.accept(origin(1), KEEP));
-    assert!(!ledger.accept(origin(1), KEEP), "twice");
+    assert!(ledger.accept(origin(1), RETENTION));
+    assert!(!ledger.accept(origin(1), RETENTION), "duplicate request");
     assert_eq!(ledger.lookup(origin(1)), LedgerStatus { status: RemoteStatus::Received, outcome: None });
     assert!(ledger.end(Duration::ZERO, origin(1), served(3)));
     assert_eq!(
         ledger.lookup(origin(1)),
         LedgerStatus { status: RemoteStatus::Received, outcome: Some(served(3)) }
     );
-    ledger.forget(KEEP - Duration::from_millis(1), 10, 100);
+    ledger.forget(RETENTION - Duration::from_millis(1), 10, 100);
     assert_eq!(ledger.lookup(origin(1)).status, RemoteStatus::Received);
-    ledger.forget(KEEP, 10, 100);
+    ledger.forget(RETENTION, 10, 100);
     assert_eq!(
         ledger.lookup(origin(1)),
         LedgerStatus { status: RemoteStatus::OutcomeForgotten, outcome: None }
@@ -36,17 +36,17 @@
 #[test]
 fn accepts_a_returned_request_again() {
     let mut ledger = Ledger::default();
-    ledger.accept(origin(1), KEEP);
+    ledger.accept(origin(1), RETENTION);
     ledger.end(Duration::ZERO, origin(1), Outcome::Unstarted);
     assert_eq!(ledger.lookup(origin(1)).status, RemoteStatus::NeverReceived);
     assert_eq!(ledger.running(), 0);
 }
 
 #[test]
-fn forgets_the_oldest_outcomes_beyond_either_bound() {
+fn forgets_the_oldest_outcomes_beyond_either_limit() {
     let mut ledger = Ledger::default();
     for n in 1..=5 {
-        ledger.accept(origin(n), KEEP);
+        ledger.accept(origin(n), RETENTION);
         ledger.end(Duration::from_secs(n), origin(n), served(10));
     }
     ledger.forget(Duration::from_secs(5), 3, 1000);
@@ -60,8 +60,8 @@
 #[test]
 fn cancellation_and_acknowledgement_remove_the_entry() {
     let mut ledger = Ledger::default();
-    ledger.accept(origin(1), KEEP);
-    ledger.accept(origin(2), KEEP);
+    ledger.accept(origin(1), RETENTION);
+    ledger.accept(origin(2), RETENTION);
     assert!(ledger.cancel(origin(1)));
     assert!(!ledger.cancel(origin(1)));
     ledger.end(Duration::ZERO, origin(2), served(5));
--- a/crates/gateway/src/load_state/tests.rs
+++ b/crates/gateway/src/load_state/tests.rs
@@ -10,9 +10,10 @@
     SiteLoad { slots: 20.0, free, waiting, backlog: Time::ZERO }
 }
 
-/// A lull of less than `settle` opens nothing, and between `close_at` and `open_at` all stays as it is.
+/// A lull shorter than `settle_time` does not open the site, and between `close_at` and `open_at` the state
+/// does not change.
 #[test]
-fn opens_after_settling_and_closes_at_a_lower_mark() {
+fn opens_after_the_settle_time_and_closes_at_a_lower_threshold() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
     let steps = [
         (0, 10.0, LoadState::Neutral),
@@ -26,12 +27,12 @@
     ];
     for (ms, free, state) in steps {
         monitor.record_load(at(ms), load(free, 0), &config);
-        assert_eq!(monitor.state(), state, "at {ms} ms with {free} free");
+        assert_eq!(monitor.state(), state, "at {ms} ms with {free} free slots");
     }
 }
 
 #[test]
-fn grants_nothing_for_the_hold_time_after_forwarding() {
+fn grants_nothing_during_the_hold_after_forwarding() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
     monitor.record_load(at(0), load(20.0, 0), &config);
     monitor.record_load(at(300), load(20.0, 0), &config);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn forwards_only_after_starving_without_a_break() {
+fn forwards_only_after_uninterrupted_starvation() {
     let (config, mut monitor) = (Config::default(), LoadMonitor::default());
     monitor.record_load(at(0), load(0.0, 3), &config);
     assert!(!monitor.may_forward(at(19), &config));
--- a/crates/gateway/tests/two_sites/granting.rs
+++ b/crates/gateway/tests/two_sites/granting.rs
@@ -1,17 +1,18 @@
-//! Granted capacity: its term, its incarnation, and two sites that are loaded at once.
+//! Tests the expiry and incarnation of grants, and two sites that are overloaded at the same time.
 
 use chutesaddle_gateway::*;
 
 use super::harness::*;
 
-/// Each has granted the other capacity, and both run out of it in the same moment.
+/// Site 1 has granted capacity to site 0 and vice versa, and both become overloaded at the same moment.
+/// Without a rule for this they would pass requests back and forth.
 #[test]
-fn two_sites_that_forward_at_once_settle_within_a_round_trip() {
+fn sites_that_forward_to_each_other_at_once_return_the_requests_within_a_round_trip() {
     let mut pair = TwoSites::with_capacity();
     pair.sites[0].free = 10.0;
     pair.run(ms(400));
     for n in 0..2 {
-        // The withdrawal of the grant is under way while the other side draws on it.
+        // The withdrawal of the grant is in flight while the other site uses the grant.
         pair.sites[n].free = 0.0;
         pair.handle_event(
             n,
@@ -21,15 +22,15 @@
     pair.now += Config::default().starvation_time;
     for n in 0..2 {
         pair.offer_candidate(n, 1, Idempotency::Idempotent);
-        assert_eq!(pair.fate(n, 1).forwarded_count, 1, "{:?}", pair.sites[n].kept_local);
+        assert_eq!(pair.history(n, 1).forwarded_count, 1, "{:?}", pair.sites[n].kept_local);
     }
-    pair.run(2 * ONE_WAY + STEP);
+    pair.run(2 * ONE_WAY + TIME_STEP);
     for n in 0..2 {
-        assert!(pair.fate(n, 1).returned && pair.fate(n, 1).runs == [0, 0]);
+        assert!(pair.history(n, 1).returned && pair.history(n, 1).runs == [0, 0]);
         assert_eq!(pair.sites[n].return_reasons, [ReturnReason::Shedding]);
         assert!(pair.sites[n].gateway.is_idle());
     }
-    // What has come back is not forwarded again, and neither side grants for a while.
+    // A returned request is not forwarded again, and neither site grants capacity for a while.
     let again = Candidate { forwarded_before: true, ..pair.candidate(0, 1, Idempotency::Idempotent) };
     pair.handle_event(0, Event::Candidates(vec![again]));
     assert_eq!(pair.sites[0].kept_local.last(), Some(&NotForwarded::ForwardedBefore));
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn ignores_a_grant_of_another_incarnation() {
+fn ignores_a_grant_from_another_incarnation() {
     let mut pair = TwoSites::with_capacity();
     let link = pair.test_links.iter().find(|test_link| test_link.from == 0).unwrap().link;
     pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(99), limit: 1000, term: ms(400) });
@@ -50,7 +51,7 @@
     pair.handle_event(0, Event::CreditGranted { link, epoch: Incarnation(2), limit: 1000, term: ms(400) });
     pair.offer_candidate(0, 1, Idempotency::Idempotent);
     assert_eq!(pair.sites[0].kept_local.last(), Some(&NotForwarded::NoPeerCapacity));
-    // A sender that uses it all the same gets its request returned.
+    // If a sender uses the stale grant anyway, its request is returned.
     pair.handle_event(
         1,
         Event::RequestOffered {
@@ -66,10 +67,10 @@
 }
 
 #[test]
-fn forwards_nothing_to_a_silent_peer_after_the_term() {
+fn forwards_nothing_to_a_silent_peer_after_the_grant_expires() {
     let mut pair = TwoSites::with_capacity();
-    pair.test_links.iter_mut().for_each(|test_link| test_link.homeward.clear());
-    pair.sites[1].gateway = Gateway::new(Config::default(), Incarnation(77)); // silent: it has no links
+    pair.test_links.iter_mut().for_each(|test_link| test_link.to_dialer.clear());
+    pair.sites[1].gateway = Gateway::new(Config::default(), Incarnation(77)); // silent because it has no links
     pair.run(ms(500));
     pair.offer_candidate(0, 1, Idempotency::Idempotent);
     assert_eq!(pair.sites[0].kept_local, [NotForwarded::NoPeerCapacity]);
--- a/crates/gateway/tests/two_sites/link_failures.rs
+++ b/crates/gateway/tests/two_sites/link_failures.rs
@@ -1,4 +1,4 @@
-//! What becomes of a forwarded request when a link, a peer, the time or the client gives out.
+//! Tests forwarded requests whose link or peer fails, whose deadline approaches, or whose client disconnects.
 
 use bytes::Bytes;
 use chutesaddle_gateway::*;
@@ -7,89 +7,89 @@
 
 #[rustfmt::skip]
 #[test]
-fn a_link_cut_at_any_moment_neither_loses_nor_duplicates() {
-    // Milliseconds until the cut, milliseconds until the peer is done, and the answer to the client.
+fn link_failure_at_any_moment_neither_loses_nor_duplicates_a_request() {
+    // Milliseconds until the link fails, milliseconds until the peer finishes, and the answer to the client.
     let cases: [(u64, u64, Option<ForwardedAnswer>); 4] = [
-        (4, 200, None),                 // the offer is under way and lost: it never ran, and is returned
-        (12, 200, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))), // accepted, the message of it lost
-        (40, 60, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // accepted; done during the cut
-        (40, 38, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // done; the answer lost on the way
+        (4, 200, None),                 // the offer is lost in flight, so the request never ran and is returned
+        (12, 200, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))), // accepted, but the acceptance is lost
+        (40, 60, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // accepted, finished while the link is down
+        (40, 38, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // finished, but the outcome is lost in flight
     ];
-    for (cut, done, answer) in cases {
+    for (disconnect_at, finish_at, answer) in cases {
         let mut pair = TwoSites::with_capacity();
-        pair.offer_candidate(0, 1, keyed("k"));
+        pair.offer_candidate(0, 1, with_key("k"));
         let start = pair.now;
-        let (mut is_cut, mut is_done) = (false, false);
+        let (mut disconnected, mut finished) = (false, false);
         while pair.now < start + ms(400) {
-            pair.run(STEP);
+            pair.run(TIME_STEP);
             let at = pair.now - start;
-            if at >= ms(done) && !std::mem::replace(&mut is_done, true) {
+            if at >= ms(finish_at) && !std::mem::replace(&mut finished, true) {
                 pair.finish(1, &served());
             }
-            if at >= ms(cut) && !std::mem::replace(&mut is_cut, true) {
-                pair.cut(0);
+            if at >= ms(disconnect_at) && !std::mem::replace(&mut disconnected, true) {
+                pair.disconnect(0);
             }
             if at == ms(300) {
                 pair.dial(0);
             }
         }
-        let fate = pair.fate(0, 1);
-        assert_eq!(fate.returned, answer.is_none(), "cut after {cut} ms");
-        assert_eq!(fate.answers, Vec::from_iter(answer), "cut after {cut} ms");
-        assert!(fate.runs[1] <= 1 && pair.sites[0].gateway.is_idle());
+        let history = pair.history(0, 1);
+        assert_eq!(history.returned, answer.is_none(), "disconnected after {disconnect_at} ms");
+        assert_eq!(history.answers, Vec::from_iter(answer), "disconnected after {disconnect_at} ms");
+        assert!(history.runs[1] <= 1 && pair.sites[0].gateway.is_idle());
     }
 }
 
 #[test]
 fn returns_to_scheduler_when_the_link_breaks_before_the_last_byte() {
     let mut pair = TwoSites::with_capacity();
-    pair.stuck = true;
-    pair.offer_candidate(0, 1, keyed("k"));
+    pair.writes_blocked = true;
+    pair.offer_candidate(0, 1, with_key("k"));
     pair.run(ms(50));
-    assert!(!pair.fate(0, 1).returned);
-    pair.cut(0);
-    assert!(pair.fate(0, 1).returned && pair.fate(0, 1).answers.is_empty());
+    assert!(!pair.history(0, 1).returned);
+    pair.disconnect(0);
+    assert!(pair.history(0, 1).returned && pair.history(0, 1).answers.is_empty());
     assert!(!pair.sites[0].gateway.bound_elsewhere(pair.now, &Bytes::from_static(b"k")));
 }
 
 #[test]
-fn answers_by_idempotency_after_the_peer_restarted() {
-    for (effect, answer) in
-        [(Idempotency::Idempotent, ForwardedAnswer::Rejected), (keyed("k"), ForwardedAnswer::Failed)]
+fn answers_by_idempotency_after_a_peer_restart() {
+    for (idempotency, answer) in
+        [(Idempotency::Idempotent, ForwardedAnswer::Rejected), (with_key("k"), ForwardedAnswer::Failed)]
     {
         let mut pair = TwoSites::with_capacity();
-        pair.offer_candidate(0, 1, effect);
+        pair.offer_candidate(0, 1, idempotency);
         pair.run(ms(20));
         pair.restart(1);
         pair.dial(0);
-        assert_eq!(pair.fate(0, 1).answers, [answer]);
+        assert_eq!(pair.history(0, 1).answers, [answer]);
     }
 }
 
 #[test]
 fn cancels_at_the_peer_when_the_deadline_is_near() {
     let mut pair = TwoSites::with_capacity();
-    pair.offer_candidate(0, 1, keyed("k"));
+    pair.offer_candidate(0, 1, with_key("k"));
     pair.run(TIME_LEFT + ms(30));
-    assert_eq!(pair.fate(0, 1).answers, [ForwardedAnswer::Failed]);
-    assert!(pair.sites[1].inbound.is_empty(), "cancelled");
+    assert_eq!(pair.history(0, 1).answers, [ForwardedAnswer::Failed]);
+    assert!(pair.sites[1].inbound.is_empty(), "the peer still runs the request");
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_at_the_peer_also_after_a_cut() {
-    for cut in [false, true] {
+fn client_disconnect_cancels_at_the_peer_even_after_a_link_failure() {
+    for link_fails in [false, true] {
         let mut pair = TwoSites::with_capacity();
         pair.offer_candidate(0, 1, Idempotency::Idempotent);
         pair.run(ms(20));
-        if cut {
-            pair.cut(0);
+        if link_fails {
+            pair.disconnect(0);
         }
         pair.handle_event(0, Event::ClientDisconnected(LocalRequestId(1)));
-        if cut {
+        if link_fails {
             pair.dial(0);
         }
         pair.run(ms(20));
-        assert!(pair.sites[1].inbound.is_empty() && pair.fate(0, 1).answers.is_empty());
+        assert!(pair.sites[1].inbound.is_empty() && pair.history(0, 1).answers.is_empty());
         assert_eq!(pair.sites[1].gateway.statistics().inbound_open, 0);
     }
 }
--- a/crates/gateway/tests/two_sites/main.rs
+++ b/crates/gateway/tests/two_sites/main.rs
@@ -1,5 +1,5 @@
-//! The decisions of two gateways on a virtual clock: each behaviour by a forced order of events, and a property test
-//! that draws the order at random.
+//! Tests two gateways on a virtual clock. Each behaviour has a test with a fixed order of events, and a
+//! property test draws the order at random.
 
 mod drain_and_settings;
 mod granting;
