--- a/crates/gateway/src/gateway/granting.rs
+++ b/crates/gateway/src/gateway/granting.rs
@@ -6,12 +6,12 @@
 
 /// Number of renewals of a grant within its term, so that one missed wake-up does not let it expire.
 const RENEWALS_PER_TERM: u32 = 2;
-/// Number of terms for which a grant covers arriving requests: one may have been sent at the end of the
-/// first.
+/// A grant covers requests that arrive within this many terms: one may have been sent at the end of the first
+/// term.
 const GRACE_TERMS: u32 = 3;
 
 impl Gateway {
-    /// Grants capacity on every inbound link where it changed or the grant is about to expire.
+    /// Sends a new grant on every inbound link whose grant is due for renewal, used up or withdrawn.
     ///
     /// An increase waits for the next renewal. A used-up grant is renewed early, and a withdrawal is sent at
     /// once.
--- a/crates/gateway/src/gateway/links.rs
+++ b/crates/gateway/src/gateway/links.rs
@@ -135,7 +135,7 @@
 
     pub(super) fn credit_granted(&mut self, link: LinkId, epoch: Incarnation, limit: u64, expires_at: Time) {
         let Some(outbound) = self.outbound_links.get_mut(&link) else { return };
-        // The totals in a grant of another incarnation include slots that this link has not used.
+        // The limit of another incarnation counts slots that were not used on this link.
         if outbound.incarnation == epoch {
             outbound.credit.set_limit(limit, expires_at);
         }
--- a/crates/gateway/tests/two_sites/harness.rs
+++ b/crates/gateway/tests/two_sites/harness.rs
@@ -1,5 +1,5 @@
 //! Two sites on a virtual clock, each with a gateway and a simple model of the site behind it. Links deliver
-//! messages in order after a delay, and can break. A test takes a few lines on this pair.
+//! messages in order after a delay, and can break.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/gateway/tests/two_sites/link_failures.rs
+++ b/crates/gateway/tests/two_sites/link_failures.rs
@@ -10,10 +10,10 @@
 fn link_failure_at_any_moment_neither_loses_nor_duplicates_a_request() {
     // Milliseconds until the link fails, milliseconds until the peer finishes, and the answer to the client.
     let cases: [(u64, u64, Option<ForwardedAnswer>); 4] = [
-        (4, 200, None),                 // the offer is lost in flight, so the request never ran and is returned
-        (12, 200, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))), // accepted, but the acceptance is lost
-        (40, 60, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // accepted, finished while the link is down
-        (40, 38, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // finished, but the outcome is lost in flight
+        (4, 200, None),                 // the offer is lost, so the request never ran and is returned
+        (12, 200, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))), // accepted; the acceptance is lost
+        (40, 60, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // accepted; finishes during the outage
+        (40, 38, Some(ForwardedAnswer::Served(Bytes::from_static(b"map")))),  // finished; the outcome is lost
     ];
     for (disconnect_at, finish_at, answer) in cases {
         let mut pair = TwoSites::with_capacity();
--- a/crates/gateway/tests/two_sites/property.rs
+++ b/crates/gateway/tests/two_sites/property.rs
@@ -11,7 +11,7 @@
 
 use super::harness::*;
 
-/// A random event.
+/// One step of a random case.
 #[derive(Clone, Debug)]
 enum Step {
     /// A site has this many free slots.
@@ -62,7 +62,7 @@
         3 => n().prop_map(Step::Overload),
         2 => n().prop_map(Step::Disconnect),
         4 => n().prop_map(Step::Dial),
-        4 => (n(), 0..4u8).prop_map(|(n, how)| Step::Finish(n, how)),
+        4 => (n(), 0..4u8).prop_map(|(n, outcome_index)| Step::Finish(n, outcome_index)),
         1 => n().prop_map(Step::DisconnectClient),
         1 => n().prop_map(Step::Restart),
         1 => (n(), any::<bool>()).prop_map(|(n, drain)| Step::Drain(n, drain)),
@@ -138,7 +138,7 @@
             pair.disconnect(n);
             pair.dial(n);
         }
-        Step::Finish(n, how) => finish(pair, n, how),
+        Step::Finish(n, outcome_index) => finish(pair, n, outcome_index),
         Step::DisconnectClient(n) => {
             if let Some((&id, _)) = pair.sites[n].histories.iter().next_back() {
                 pair.sites[n].histories.get_mut(&id).unwrap().client_disconnected = true;
@@ -150,9 +150,9 @@
     }
 }
 
-fn finish(pair: &mut TwoSites, n: usize, how: u8) {
+fn finish(pair: &mut TwoSites, n: usize, outcome_index: u8) {
     let outcomes = [served(), Outcome::Unstarted, Outcome::Rejected, Outcome::Failed];
-    let outcome = &outcomes[usize::from(how)];
+    let outcome = &outcomes[usize::from(outcome_index)];
     if *outcome == Outcome::Unstarted {
         // An unstarted request did not run at the peer, so the run counted on acceptance is removed.
         for (origin, id) in pair.sites[n].inbound.clone() {
