--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,73 +1,77 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use std::io;
 
 use crate::config::settings::SettingsError;
 
-/// Why a frame cannot be read. Offsets count from the first byte after the frame's length.
+/// An error that ends the session with the simulator. Offsets count from the first byte after the frame's length.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// Reading or writing failed.
-    #[error("input or output: {0}")]
+    #[error("I/O error: {0}")]
     Io(#[from] io::Error),
-    /// The input ends inside a frame.
-    #[error("frame {frame}: input ends inside the frame")]
+    /// The input ends in the middle of a frame.
+    #[error("frame {frame}: input ends in the middle of the frame")]
     Truncated {
-        /// Number of the frame, from 0.
+        /// Number of the frame, counted from 0.
         frame: u64,
     },
     /// A record, or the frame's header, is malformed.
     #[error("frame {frame}, offset {offset}, {record}: {source}")]
     Malformed {
-        /// Number of the frame, from 0.
+        /// Number of the frame, counted from 0.
         frame: u64,
-        /// Where the record starts.
+        /// Offset of the record in the frame.
         offset: usize,
-        /// The record's name on the wire page, or the part of the frame.
+        /// The record's protocol name, or the malformed part of the frame.
         record: &'static str,
-        /// What is wrong.
+        /// The error in the record.
         source: RecordError,
     },
 }
 
-/// What is wrong with one record.
+/// An error in one record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// Its length says less than its fields need.
-    #[error("the record is shorter than its fields")]
-    TooShort(#[from] bytes::TryGetError),
-    /// Bytes follow its last field.
-    #[error("{0} bytes are left over")]
+    /// Fewer bytes are left than the next field, record or header needs.
+    #[error("{} bytes expected, {} left", .source.requested, .source.available)]
+    TooShort {
+        /// The number of bytes expected and left.
+        #[from]
+        source: bytes::TryGetError,
+    },
+    /// Bytes remain after the last field, or after the last record of a frame.
+    #[error("{0} unexpected bytes at the end")]
     TooLong(usize),
-    /// A field has a value that the wire page does not list.
-    #[error("{field} has no value {value}")]
+    /// A field has a value that the protocol does not define.
+    #[error("unknown value {value} of {field}")]
     UnknownValue {
-        /// The field's name on the wire page.
+        /// The field's protocol name.
         field: &'static str,
-        /// What it holds.
+        /// The value received.
         value: u64,
     },
-    /// A `VIEW` refers to a list that no `DEFINE_LIST` has defined.
-    #[error("list {0} is not defined")]
+    /// A `VIEW` refers to a worker list that no `DEFINE_LIST` has defined.
+    #[error("worker list {0} is not defined")]
     UndefinedList(u8),
-    /// A list's number is out of range.
-    #[error("list number {0} is over 15")]
-    ListNumber(u8),
-    /// No `ON` has said which instance the record is for.
-    #[error("no instance is set")]
-    NoInstance,
+    /// The number of a worker list is out of range.
+    #[error("worker list number {0} exceeds the maximum of 15")]
+    ListNumberTooLarge(u8),
+    /// No `ON` record earlier in the frame has selected an instance.
+    #[error("no instance selected by an earlier ON record")]
+    NoInstanceSelected,
     /// The instance was never started, or has been stopped.
-    #[error("instance {0} is not enlisted")]
-    NotEnlisted(u16),
-    /// The settings are not text.
-    #[error("the options are not UTF-8")]
+    #[error("instance {0} is not running")]
+    InstanceNotRunning(u16),
+    /// The settings of a new instance are not UTF-8.
+    #[error("settings are not valid UTF-8: {0}")]
     SettingsNotUtf8(#[source] std::str::Utf8Error),
-    /// A setting cannot be used.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The record, or the frame, needs `requested` bytes where `available` are left.
+/// The error for a record or frame that needs `requested` bytes when only `available` are left.
 pub(super) fn too_short(requested: usize, available: usize) -> RecordError {
-    RecordError::TooShort(bytes::TryGetError { requested, available })
+    RecordError::TooShort { source: bytes::TryGetError { requested, available } }
 }
--- a/src/simulator/frame.rs
+++ b/src/simulator/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length, a header, then records. One frame holds a batch of events that happen at one time.
+//! Frames: a length, a header, then records. A frame is a batch of events that happen at the same time.
 
 use std::io::{self, Read};
 
@@ -7,28 +7,28 @@
 use super::error::{too_short, RecordError, WireError};
 use super::records::record_name;
 
-/// Bytes of the number of records and the clock.
+/// Length of the frame header: the number of records (4) and the time (8).
 const FRAME_HEADER_BYTES: usize = 12;
-/// Bytes of a record's code and its length.
+/// Length of the record header: the code (1) and the length of the fields (4).
 const RECORD_HEADER_BYTES: usize = 5;
 
-/// A fault in a frame whose number is not known here.
-pub(super) struct FrameFault {
-    /// Where the faulty part starts.
+/// An error in a frame, without the number of the frame.
+pub(super) struct FrameError {
+    /// Offset of the malformed part.
     pub(super) offset: usize,
-    /// The record's name, or the part of the frame.
+    /// The record's name, or the malformed part of the frame.
     pub(super) record: &'static str,
     pub(super) source: RecordError,
 }
 
-impl FrameFault {
-    /// The same fault in the frame of this number.
+impl FrameError {
+    /// Adds the number of the frame.
     pub(super) fn in_frame(self, frame: u64) -> WireError {
         WireError::Malformed { frame, offset: self.offset, record: self.record, source: self.source }
     }
 }
 
-/// A record whose fields have not been read yet.
+/// A record whose fields have not been decoded.
 pub(super) struct RawRecord<'a> {
     pub(super) code: u8,
     pub(super) fields: &'a [u8],
@@ -36,9 +36,9 @@
 }
 
 impl RawRecord<'_> {
-    /// This fault, at this record.
-    pub(super) fn fault(&self, source: RecordError) -> FrameFault {
-        FrameFault { offset: self.offset, record: record_name(self.code), source }
+    /// Adds the offset and the name of this record to an error.
+    pub(super) fn error(&self, source: RecordError) -> FrameError {
+        FrameError { offset: self.offset, record: record_name(self.code), source }
     }
 }
 
@@ -47,25 +47,25 @@
     rest: &'a [u8],
     length: usize,
     records_left: u32,
-    /// The time of all events in the frame, in seconds on the simulator's clock.
+    /// Time of all events in the frame, in seconds on the simulator's clock.
     pub(super) now_s: f64,
 }
 
 impl<'a> FrameReader<'a> {
-    /// Reads the header of `frame`, which is without its length.
-    pub(super) fn new(frame: &'a [u8]) -> Result<Self, FrameFault> {
+    /// Reads the header of `frame`. The length prefix must already be removed.
+    pub(super) fn new(frame: &'a [u8]) -> Result<Self, FrameError> {
         let mut rest = frame;
         if rest.len() < FRAME_HEADER_BYTES {
             let source = too_short(FRAME_HEADER_BYTES, rest.len());
-            return Err(FrameFault { offset: 0, record: "header", source });
+            return Err(FrameError { offset: 0, record: "header", source });
         }
         let records_left = rest.get_u32_le();
         let now_s = rest.get_f64_le();
         Ok(FrameReader { rest, length: frame.len(), records_left, now_s })
     }
 
-    /// The next record; `None` after the last one, which must also be the end of the frame.
-    pub(super) fn next_record(&mut self) -> Result<Option<RawRecord<'a>>, FrameFault> {
+    /// Returns the next record, or `None` after the last one. Bytes after the last record are an error.
+    pub(super) fn next_record(&mut self) -> Result<Option<RawRecord<'a>>, FrameError> {
         let offset = self.length - self.rest.len();
         if self.records_left == 0 {
             return self.check_end(offset).map(|()| None);
@@ -73,28 +73,28 @@
         self.records_left -= 1;
         if self.rest.len() < RECORD_HEADER_BYTES {
             let source = too_short(RECORD_HEADER_BYTES, self.rest.len());
-            return Err(FrameFault { offset, record: "record header", source });
+            return Err(FrameError { offset, record: "record header", source });
         }
         let code = self.rest.get_u8();
         let length = self.rest.get_u32_le() as usize;
         if length > self.rest.len() {
             let source = too_short(length, self.rest.len());
-            return Err(FrameFault { offset, record: record_name(code), source });
+            return Err(FrameError { offset, record: record_name(code), source });
         }
         let (fields, rest) = self.rest.split_at(length);
         self.rest = rest;
         Ok(Some(RawRecord { code, fields, offset }))
     }
 
-    fn check_end(&self, offset: usize) -> Result<(), FrameFault> {
+    fn check_end(&self, offset: usize) -> Result<(), FrameError> {
         if self.rest.is_empty() {
             return Ok(());
         }
-        Err(FrameFault { offset, record: "end of the frame", source: RecordError::TooLong(self.rest.len()) })
+        Err(FrameError { offset, record: "end of the frame", source: RecordError::TooLong(self.rest.len()) })
     }
 }
 
-/// Reads the next frame, without its length, into `frame`; false where the input ends before its first byte.
+/// Reads the next frame into `frame`, without its length prefix. Returns false if the input has ended.
 pub(super) fn read_frame(
     input: &mut impl Read,
     frame: &mut Vec<u8>,
@@ -106,7 +106,7 @@
         match input.read(&mut length[received..]) {
             Ok(0) if received == 0 => return Ok(false),
             Ok(0) => return Err(WireError::Truncated { frame: frame_number }),
-            Ok(read) => received += read,
+            Ok(count) => received += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error.into()),
         }
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,11 +1,11 @@
-//! Holds the schedulers of one process: hands each the events that are for it, and collects its actions.
+//! Runs the schedulers of one process: passes each record to its scheduler and collects the resulting actions.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 
 use super::error::{RecordError, WireError};
-use super::frame::{read_frame, FrameFault, FrameReader};
-use super::records::incoming::{self, ListNotice};
+use super::frame::{read_frame, FrameError, FrameReader};
+use super::records::incoming::{self, EndpointListUpdate};
 use super::records::{outgoing, IncomingRecord};
 use crate::scheduling::Dispatcher;
 use crate::scheduling::{Action, Event, LoadReportField, Settings, WorkerInfo};
@@ -13,13 +13,14 @@
 /// One scheduler.
 struct Instance {
     dispatcher: Dispatcher,
-    /// What the values of a load report mean, in their order.
+    /// The meaning of each value of a load report, by position.
     report_fields: Vec<LoadReportField>,
-    /// What it has decided in this frame.
+    /// Actions emitted in the current frame.
     actions: Vec<Action>,
 }
 
-/// The instances of one process and the worker lists that they share on the wire. The instances share nothing else.
+/// All instances of the process, and the worker lists that the simulator defines once for all of them. The instances
+/// share nothing else.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -27,14 +28,14 @@
     frames_answered: u64,
 }
 
-/// What one frame has done so far.
+/// State of the frame being handled.
 #[derive(Default)]
 struct Batch {
-    /// The time of its events, in seconds.
+    /// Time of all events in the frame, in seconds.
     now_s: f64,
-    /// The instance that the next records are for.
-    current: Option<u16>,
-    /// The instances that may have actions, in the order of their first event.
+    /// The instance to which the following records apply.
+    selected: Option<u16>,
+    /// Instances that may have emitted actions, in the order of their first event.
     touched: Vec<u16>,
 }
 
@@ -47,14 +48,14 @@
 }
 
 impl Host {
-    /// Answers frames from `input` on `output` until the input ends.
+    /// Reads frames from `input` and writes a reply to each to `output`, until the input ends.
     ///
     /// # Errors
-    /// Stops at the first frame that cannot be read, before any part of its reply is written.
+    /// Stops at the first malformed frame, without writing any part of its reply.
     pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
         let (mut frame, mut reply) = (Vec::new(), Vec::new());
         while read_frame(&mut input, &mut frame, self.frames_answered)? {
-            let actions = self.handle_frame(&frame).map_err(|fault| fault.in_frame(self.frames_answered))?;
+            let actions = self.handle_frame(&frame).map_err(|error| error.in_frame(self.frames_answered))?;
             reply.clear();
             outgoing::put_with_length(&mut reply, |reply| reply.extend_from_slice(&actions));
             output.write_all(&reply)?;
@@ -64,22 +65,22 @@
         Ok(())
     }
 
-    /// Hands the records of one frame (without its length) to the instances; returns their actions as records.
-    fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameFault> {
+    /// Handles the records of one frame (without its length prefix). Returns the resulting actions as records.
+    fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameError> {
         let mut records = FrameReader::new(frame)?;
         let mut batch = Batch { now_s: records.now_s, ..Batch::default() };
         while let Some(record) = records.next_record()? {
             let mut fields = record.fields;
             let handled = self.handle_record(record.code, &mut fields, &mut batch);
-            handled.map_err(|error| record.fault(error))?;
+            handled.map_err(|error| record.error(error))?;
             if !fields.is_empty() {
-                return Err(record.fault(RecordError::TooLong(fields.len())));
+                return Err(record.error(RecordError::TooLong(fields.len())));
             }
         }
         Ok(self.take_actions(&batch.touched))
     }
 
-    /// The actions of these instances as records.
+    /// Removes the actions of these instances and encodes them as records.
     fn take_actions(&mut self, touched: &[u16]) -> Vec<u8> {
         let mut reply = Vec::new();
         for index in touched {
@@ -95,12 +96,12 @@
         reply
     }
 
-    /// Handles one record: those for the whole process, then those that start an instance, then those that are for
-    /// one that runs.
+    /// Handles one record. Records for the whole process come first, then those that start an instance, then those
+    /// that need a running one.
     fn handle_record(&mut self, code: u8, fields: &mut &[u8], batch: &mut Batch) -> Result<(), RecordError> {
-        let record = IncomingRecord::of_code(code);
+        let record = IncomingRecord::from_code(code);
         if record == Some(IncomingRecord::SelectInstance) {
-            batch.current = Some(incoming::instance_number(fields)?);
+            batch.selected = Some(incoming::instance_number(fields)?);
             return Ok(());
         }
         if record == Some(IncomingRecord::DefineList) {
@@ -108,14 +109,14 @@
             self.worker_lists.insert(number, entries);
             return Ok(());
         }
-        let index = batch.current.ok_or(RecordError::NoInstance)?;
+        let index = batch.selected.ok_or(RecordError::NoInstanceSelected)?;
         if record == Some(IncomingRecord::StartInstance) {
             self.start_instance(index, fields)?;
             batch.touch(index);
             return Ok(());
         }
         if !self.instances.contains_key(&index) {
-            return Err(RecordError::NotEnlisted(index));
+            return Err(RecordError::InstanceNotRunning(index));
         }
         let Some(record) = record else {
             return Err(RecordError::UnknownValue { field: "the record code", value: code.into() });
@@ -132,7 +133,7 @@
         Ok(())
     }
 
-    /// Starts an instance; one of the same number is replaced.
+    /// Starts an instance, replacing any instance with the same number.
     fn start_instance(&mut self, index: u16, fields: &mut &[u8]) -> Result<(), RecordError> {
         let start = incoming::instance_start(fields)?;
         let settings: Settings = start.settings.parse()?;
@@ -142,7 +143,7 @@
         Ok(())
     }
 
-    /// The event of a record for a running instance; `None` where it asks for no decision.
+    /// Converts a record for a running instance to an event, or `None` if scheduling does not need it.
     fn event(
         &self,
         record: IncomingRecord,
@@ -150,9 +151,9 @@
         fields: &mut &[u8],
     ) -> Result<Option<Event>, RecordError> {
         if record == IncomingRecord::EndpointList {
-            return match incoming::list_notice(fields)? {
-                ListNotice::DiscoveryFailed => Ok(Some(Event::DiscoveryFailed)),
-                ListNotice::Update { list, complete, cached } => {
+            return match incoming::endpoint_list_update(fields)? {
+                EndpointListUpdate::DiscoveryFailed => Ok(Some(Event::DiscoveryFailed)),
+                EndpointListUpdate::Changed { list, complete, cached } => {
                     let entries = self.worker_lists.get(&list).ok_or(RecordError::UndefinedList(list))?;
                     Ok(Some(Event::WorkersListed {
                         complete_snapshot: complete,
@@ -162,7 +163,7 @@
                 }
             };
         }
-        let instance = self.instances.get(&index).ok_or(RecordError::NotEnlisted(index))?;
+        let instance = self.instances.get(&index).ok_or(RecordError::InstanceNotRunning(index))?;
         incoming::event(record, fields, &instance.report_fields)
     }
 }
--- a/src/simulator/records.rs
+++ b/src/simulator/records.rs
@@ -1,13 +1,13 @@
-//! The records of the simulator's wire: their codes and names, and the one place where each field of the page
-//! becomes a field of ours.
+//! The records of the simulator's protocol: their codes and names, and the only mapping between their fields and this
+//! crate's types.
 //!
-//! Numbers are little-endian and stand without padding in the order of the page; a field that the decisions do not
-//! use is read and dropped. [`incoming`] reads events, [`outgoing`] writes actions.
+//! Numbers are little-endian, without padding, in the order of the protocol specification. Fields that scheduling does
+//! not use are read and discarded. [`incoming`] reads events, [`outgoing`] writes actions.
 
 pub(super) mod incoming;
 pub(super) mod outgoing;
 
-/// The records that the simulator sends. The page has a second set of codes for the records sent to it.
+/// Records sent by the simulator. Records sent to it have their own set of codes, [`OutgoingRecord`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IncomingRecord {
     AttemptNotice,
@@ -25,7 +25,7 @@
     ProbeEnded,
 }
 
-/// Each incoming record: its code and its name on the wire page.
+/// The code and the protocol name of each incoming record.
 const INCOMING: [(u8, &str, IncomingRecord); 13] = [
     (1, "HEARTBEAT", IncomingRecord::AttemptNotice),
     (2, "LEFT", IncomingRecord::ClientDisconnected),
@@ -43,13 +43,13 @@
 ];
 
 impl IncomingRecord {
-    /// The record of this code, if the page has one.
-    pub(super) fn of_code(code: u8) -> Option<Self> {
+    /// The record with this code, if the protocol defines one.
+    pub(super) fn from_code(code: u8) -> Option<Self> {
         INCOMING.iter().find(|row| row.0 == code).map(|row| row.2)
     }
 }
 
-/// The name that errors give to a record of this code.
+/// The name of an incoming record in error messages.
 pub(super) fn record_name(code: u8) -> &'static str {
     if code == 0 {
         return "record 0";
@@ -57,7 +57,7 @@
     INCOMING.iter().find(|row| row.0 == code).map_or("unknown record", |row| row.1)
 }
 
-/// The records that this program sends, with their codes; the comment gives the name on the wire page.
+/// Records sent to the simulator, with their codes. The comment on each gives its protocol name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum OutgoingRecord {
--- a/src/simulator/records/incoming.rs
+++ b/src/simulator/records/incoming.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of incoming records into the decisions' types.
+//! Decodes incoming records into the types of [`crate::scheduling`].
 
 use bytes::Buf;
 
@@ -9,47 +9,47 @@
 };
 use crate::simulator::error::{too_short, RecordError};
 
-/// Bytes of one entry of a worker list.
+/// Length of one entry of a worker list.
 const LIST_ENTRY_BYTES: usize = 24;
-/// The highest number that a worker list may have.
+/// Maximum number of a worker list.
 const MAX_LIST_NUMBER: u8 = 15;
-/// The bit of a request's options that says that its estimate of work is valid.
+/// Option bit of a request: its estimated work is valid.
 const OPTION_HAS_ESTIMATE: u16 = 1;
 
-/// What a `VIEW` says.
-pub(in crate::simulator) enum ListNotice {
-    /// The list changed; the entries are those of the list of this number.
-    Update { list: u8, complete: bool, cached: bool },
-    /// A call to discovery failed, or the watch broke.
+/// A `VIEW` record.
+pub(in crate::simulator) enum EndpointListUpdate {
+    /// The endpoint list changed. `list` is the number of the worker list with the entries.
+    Changed { list: u8, complete: bool, cached: bool },
+    /// A request to discovery failed, or the watch was interrupted.
     DiscoveryFailed,
 }
 
-/// What an `ENLIST` says.
+/// An `ENLIST` record.
 pub(in crate::simulator) struct InstanceStart<'a> {
     pub(in crate::simulator) seed: u64,
-    /// Lines of `path=value`.
+    /// Settings, one `path=value` per line.
     pub(in crate::simulator) settings: &'a str,
 }
 
-/// The number of the instance that the next records are for: `ON`.
+/// Decodes `ON`: the number of the instance to which the following records apply.
 pub(in crate::simulator) fn instance_number(fields: &mut &[u8]) -> Result<u16, RecordError> {
     Ok(fields.try_get_u16_le()?)
 }
 
-/// A worker list and its number: `DEFINE_LIST`.
+/// Decodes `DEFINE_LIST`: a worker list and its number.
 pub(in crate::simulator) fn worker_list(fields: &mut &[u8]) -> Result<(u8, Vec<WorkerInfo>), RecordError> {
     let number = list_number(fields)?;
     let count = fields.try_get_u32_le()?;
-    // The count is checked by reading; it alone must not make this side allocate.
-    let most_entries = fields.remaining() / LIST_ENTRY_BYTES;
-    let mut entries = Vec::with_capacity(most_entries.min(count as usize));
+    // `count` is not validated yet, so the allocation is bounded by the bytes received.
+    let max_entries = fields.remaining() / LIST_ENTRY_BYTES;
+    let mut entries = Vec::with_capacity(max_entries.min(count as usize));
     for _ in 0..count {
         entries.push(worker_info(fields)?);
     }
     Ok((number, entries))
 }
 
-/// A new instance: `ENLIST`.
+/// Decodes `ENLIST`: a new instance.
 pub(in crate::simulator) fn instance_start<'a>(
     fields: &mut &'a [u8],
 ) -> Result<InstanceStart<'a>, RecordError> {
@@ -64,23 +64,25 @@
     Ok(InstanceStart { seed, settings })
 }
 
-/// What discovery says: `VIEW`.
-pub(in crate::simulator) fn list_notice(fields: &mut &[u8]) -> Result<ListNotice, RecordError> {
+/// Decodes `VIEW`: an endpoint list from discovery, or a failure of discovery.
+pub(in crate::simulator) fn endpoint_list_update(
+    fields: &mut &[u8],
+) -> Result<EndpointListUpdate, RecordError> {
     let form = fields.try_get_u8()?;
     let _version = fields.try_get_u64_le()?;
     let list = list_number(fields)?;
     match form {
-        0 => Ok(ListNotice::Update { list, complete: false, cached: false }),
-        1 => Ok(ListNotice::Update { list, complete: true, cached: false }),
-        2 => Ok(ListNotice::Update { list, complete: true, cached: true }),
-        3 => Ok(ListNotice::DiscoveryFailed),
+        0 => Ok(EndpointListUpdate::Changed { list, complete: false, cached: false }),
+        1 => Ok(EndpointListUpdate::Changed { list, complete: true, cached: false }),
+        2 => Ok(EndpointListUpdate::Changed { list, complete: true, cached: true }),
+        3 => Ok(EndpointListUpdate::DiscoveryFailed),
         other => Err(RecordError::UnknownValue { field: "form", value: other.into() }),
     }
 }
 
-/// The event of a record that is for the decisions alone; `None` where it asks for no decision.
+/// Converts a record to a scheduling event, or `None` if scheduling does not need it.
 ///
-/// `report_fields` says what the values of a load report mean, in their order.
+/// `report_fields` gives the meaning of each value of a load report, by position.
 pub(in crate::simulator) fn event(
     record: IncomingRecord,
     fields: &mut &[u8],
@@ -99,11 +101,11 @@
         | IncomingRecord::StopInstance
         | IncomingRecord::StartInstance
         | IncomingRecord::EndpointList
-        | IncomingRecord::DefineList => Ok(None), // the host's own
+        | IncomingRecord::DefineList => Ok(None), // handled by the host
     }
 }
 
-/// `HEARTBEAT`: an attempt has begun to run, or how far it is.
+/// `HEARTBEAT`: an attempt has started or made progress.
 fn attempt_notice(fields: &mut &[u8]) -> Result<Option<Event>, RecordError> {
     let request = request_id(fields)?;
     let attempt = attempt_number(fields)?;
@@ -116,28 +118,28 @@
     }
 }
 
-/// `HEAD_RECEIVED`: the response to an attempt has begun.
+/// `HEAD_RECEIVED`: the response to an attempt has started.
 fn response_started(fields: &mut &[u8]) -> Result<Event, RecordError> {
     let request = request_id(fields)?;
-    let _since_sent_s = fields.try_get_f64_le()?;
+    let _elapsed_s = fields.try_get_f64_le()?;
     let _worker = worker_id(fields)?;
     Ok(Event::ResponseStarted { request, attempt: attempt_number(fields)? })
 }
 
-/// `COMPLETED`: how an attempt ended.
+/// `COMPLETED`: an attempt has ended.
 fn attempt_ended(fields: &mut &[u8], report_fields: &[LoadReportField]) -> Result<Event, RecordError> {
     let request = request_id(fields)?;
     let attempt = attempt_number(fields)?;
     let _worker = worker_id(fields)?;
     let outcome = outcome(fields)?;
-    let _since_sent_s = fields.try_get_f64_le()?;
+    let _elapsed_s = fields.try_get_f64_le()?;
     let client_answered = fields.try_get_u8()? != 0;
     let _note = fields.try_get_u32_le()?;
     let load = load_report(fields, report_fields)?;
     Ok(Event::AttemptEnded(AttemptEnded { request, attempt, outcome, client_answered, load }))
 }
 
-/// `NOTE_FROM`: a gossip message of another scheduler.
+/// `NOTE_FROM`: a gossip message from another scheduler.
 fn gossip_received(fields: &mut &[u8]) -> Result<Event, RecordError> {
     let from = fields.try_get_u32_le()? as usize;
     let mut bytes = vec![0; usize::from(fields.try_get_u16_le()?)];
@@ -145,15 +147,15 @@
     Ok(Event::GossipReceived { from, bytes })
 }
 
-/// `CHECK_RESULT`: the answer to a probe.
+/// `CHECK_RESULT`: the result of a health check.
 fn probe_ended(fields: &mut &[u8], report_fields: &[LoadReportField]) -> Result<Event, RecordError> {
     let worker = worker_id(fields)?;
     let outcome = outcome(fields)?;
-    let _since_sent_s = fields.try_get_f64_le()?;
+    let _elapsed_s = fields.try_get_f64_le()?;
     Ok(Event::ProbeEnded { worker, outcome, load: load_report(fields, report_fields)? })
 }
 
-/// `ACCEPT`: a client's request.
+/// `ACCEPT`: a request from a client.
 fn request(fields: &mut &[u8]) -> Result<Request, RecordError> {
     let id = request_id(fields)?;
     let slots = f64::from(fields.try_get_f32_le()?);
@@ -193,7 +195,7 @@
     Ok(usize::from(fields.try_get_u8()?))
 }
 
-/// A worker is its address, first byte first, and its port.
+/// Decodes a worker ID: the IPv4 address in network byte order, then the port.
 fn worker_id(fields: &mut &[u8]) -> Result<WorkerId, RecordError> {
     let address = fields.try_get_u32()?;
     let port = fields.try_get_u16_le()?;
@@ -203,7 +205,7 @@
 fn list_number(fields: &mut &[u8]) -> Result<u8, RecordError> {
     let number = fields.try_get_u8()?;
     if number > MAX_LIST_NUMBER {
-        return Err(RecordError::ListNumber(number));
+        return Err(RecordError::ListNumberTooLarge(number));
     }
     Ok(number)
 }
--- a/src/simulator/records/outgoing.rs
+++ b/src/simulator/records/outgoing.rs
@@ -1,34 +1,32 @@
-//! Writes the decisions' actions as records.
+//! Encodes scheduling actions as records.
 
 use bytes::BufMut;
 
 use super::OutgoingRecord;
 use crate::scheduling::{Action, WorkerId};
 
-/// Bytes of a length field.
+/// Size of a length field.
 const LENGTH_BYTES: usize = 4;
-/// The receiver that stands for every other scheduler.
+/// Recipient value that addresses all other schedulers.
 const ALL_SCHEDULERS: u32 = u32::MAX;
 
-/// Says that the records after this one are actions of this instance.
+/// Appends the record that assigns the following actions to this instance.
 pub(in crate::simulator) fn put_instance(reply: &mut Vec<u8>, instance: u16) {
     put_record(reply, OutgoingRecord::SelectInstance, |fields| fields.put_u16_le(instance));
 }
 
-/// Appends one action.
+/// Appends an action.
 pub(in crate::simulator) fn put_action(reply: &mut Vec<u8>, action: &Action) {
     match *action {
         Action::Dispatch { request, worker } => put_record(reply, OutgoingRecord::Dispatch, |fields| {
             fields.put_u32_le(request.0);
             put_worker(fields, worker);
-            fields.put_f64_le(0.0); // no time-out of its own: the request's deadline holds
+            fields.put_f64_le(0.0); // no separate timeout: the request's deadline applies
+        }),
+        Action::Reject { request, retry_after_s } => put_record(reply, OutgoingRecord::Reject, |fields| {
+            fields.put_u32_le(request.0);
+            fields.put_f64_le(retry_after_s);
         }),
-        Action::Reject { request, retry_after_s: hold_off_s } => {
-            put_record(reply, OutgoingRecord::Reject, |fields| {
-                fields.put_u32_le(request.0);
-                fields.put_f64_le(hold_off_s);
-            })
-        }
         Action::Fail(request) => {
             put_record(reply, OutgoingRecord::Fail, |fields| fields.put_u32_le(request.0));
         }
@@ -54,13 +52,13 @@
     }
 }
 
-/// Appends a record: its code, the length of its fields, its fields.
+/// Appends a record: the code, the length of the fields, the fields.
 fn put_record(reply: &mut Vec<u8>, record: OutgoingRecord, put_fields: impl FnOnce(&mut Vec<u8>)) {
     reply.put_u8(record as u8);
     put_with_length(reply, put_fields);
 }
 
-/// Appends what `put` writes, with its length before it.
+/// Appends the bytes that `put` writes, prefixed with their length.
 pub(in crate::simulator) fn put_with_length(reply: &mut Vec<u8>, put: impl FnOnce(&mut Vec<u8>)) {
     let start = reply.len();
     reply.put_u32_le(0);
@@ -69,7 +67,7 @@
     reply[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
 }
 
-/// A worker is its address, first byte first, and its port.
+/// Encodes a worker ID: the IPv4 address in network byte order, then the port.
 fn put_worker(fields: &mut Vec<u8>, worker: WorkerId) {
     fields.put_u32((worker.0 >> 16) as u32);
     fields.put_u16_le(worker.0 as u16);
--- a/src/simulator/records/tests.rs
+++ b/src/simulator/records/tests.rs
@@ -1,6 +1,6 @@
-//! Each record of the wire page, with the page's own bytes where it gives some.
+//! Encoding and decoding of each record, with the example bytes of the protocol specification where it has some.
 
-use super::incoming::{self, ListNotice};
+use super::incoming::{self, EndpointListUpdate};
 use super::{outgoing, record_name, IncomingRecord};
 use crate::scheduling::*;
 use crate::simulator::error::RecordError;
@@ -24,12 +24,12 @@
     let fields = bytes(hex);
     let mut rest = fields.as_slice();
     let event = incoming::event(record, &mut rest, &REPORT_FIELDS).unwrap();
-    assert!(rest.is_empty(), "{record:?}: {} bytes are left over", rest.len());
+    assert!(rest.is_empty(), "{record:?}: {} bytes not decoded", rest.len());
     event
 }
 
 #[test]
-fn each_event_code_of_the_page_has_its_record() {
+fn maps_codes_to_incoming_records() {
     for (code, name, record) in [
         (1, "HEARTBEAT", IncomingRecord::AttemptNotice),
         (2, "LEFT", IncomingRecord::ClientDisconnected),
@@ -45,13 +45,13 @@
         (12, "TICK_DUE", IncomingRecord::TimerExpired),
         (13, "CHECK_RESULT", IncomingRecord::ProbeEnded),
     ] {
-        assert_eq!((IncomingRecord::of_code(code), record_name(code)), (Some(record), name));
+        assert_eq!((IncomingRecord::from_code(code), record_name(code)), (Some(record), name));
     }
-    assert_eq!((IncomingRecord::of_code(14), record_name(14)), (None, "unknown record"));
+    assert_eq!((IncomingRecord::from_code(14), record_name(14)), (None, "unknown record"));
 }
 
 #[test]
-fn each_field_of_an_event_lands_in_the_field_it_should() {
+fn decodes_every_field_of_an_event() {
     let request = Request {
         id: REQUEST,
         class: 0,
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn each_outcome_code_has_its_outcome() {
+fn decodes_every_outcome() {
     for (code, outcome) in [
         (0, AttemptOutcome::Succeeded),
         (1, AttemptOutcome::Failed),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn each_field_of_a_worker_list_lands_in_the_field_it_should() {
+fn decodes_every_field_of_a_worker_list() {
     let fields = bytes(
         "07 03000000
          01 0000 0000 0000000000000000 0000803f 00 0a124a07 431f
@@ -153,25 +153,25 @@
 }
 
 #[test]
-fn each_form_of_a_list_notice_is_told_apart() {
-    let notice = |form: u8| {
+fn decodes_every_form_of_an_endpoint_list_update() {
+    let decode = |form: u8| {
         let fields = bytes(&format!("{form:02x} 2900000000000000 04"));
-        match incoming::list_notice(&mut fields.as_slice()) {
-            Ok(ListNotice::Update { list, complete, cached }) => Ok((list, complete, cached)),
-            Ok(ListNotice::DiscoveryFailed) => Err(None),
+        match incoming::endpoint_list_update(&mut fields.as_slice()) {
+            Ok(EndpointListUpdate::Changed { list, complete, cached }) => Ok((list, complete, cached)),
+            Ok(EndpointListUpdate::DiscoveryFailed) => Err(None),
             Err(RecordError::UnknownValue { field, value }) => Err(Some((field, value))),
             Err(other) => panic!("{other}"),
         }
     };
-    assert_eq!(notice(0), Ok((4, false, false)), "a change");
-    assert_eq!(notice(1), Ok((4, true, false)), "a complete snapshot");
-    assert_eq!(notice(2), Ok((4, true, true)), "a complete snapshot of an earlier life");
-    assert_eq!(notice(3), Err(None), "discovery failed");
-    assert_eq!(notice(4), Err(Some(("form", 4))));
+    assert_eq!(decode(0), Ok((4, false, false)), "a change");
+    assert_eq!(decode(1), Ok((4, true, false)), "a complete snapshot");
+    assert_eq!(decode(2), Ok((4, true, true)), "a cached complete snapshot");
+    assert_eq!(decode(3), Err(None), "discovery failed");
+    assert_eq!(decode(4), Err(Some(("form", 4))));
 }
 
 #[test]
-fn the_seed_and_the_settings_of_a_new_instance_are_told_apart() {
+fn decodes_the_seed_and_settings_of_a_new_instance() {
     let fields = bytes("0900000000000000 03000000 613d62");
     let mut rest = fields.as_slice();
     let start = incoming::instance_start(&mut rest).unwrap();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn each_action_is_written_as_the_page_writes_it() {
+fn encodes_every_action() {
     let actions = [
         (
             Action::Dispatch { request: REQUEST, worker: WORKER },
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire through its host: byte-exact replies, and errors for malformed frames.
+//! The simulator's protocol, tested through `Host`: byte-exact replies, and errors for malformed frames.
 
 use std::fmt::Write as _;
 
@@ -27,23 +27,33 @@
 
 const WORKER: [u8; 6] = [10, 0, 0, 1, 0x40, 0x1f];
 
-fn worker_list(page: u8) -> Vec<u8> {
-    let since = 0f64.to_le_bytes();
-    let size = 1f32.to_le_bytes();
-    let entry: [&[u8]; 7] = [&[1], &[0, 0], &[0, 0], &since, &size, &[0], &WORKER];
-    record(11, &[&[page], &1u32.to_le_bytes(), &entry.concat()])
+fn worker_list(number: u8) -> Vec<u8> {
+    let started_at_s = 0f64.to_le_bytes();
+    let weight = 1f32.to_le_bytes();
+    let entry: [&[u8]; 7] = [&[1], &[0, 0], &[0, 0], &started_at_s, &weight, &[0], &WORKER];
+    record(11, &[&[number], &1u32.to_le_bytes(), &entry.concat()])
 }
 
-fn list_notice(form: u8, page: u8) -> Vec<u8> {
-    record(10, &[&[form], &1u64.to_le_bytes(), &[page]])
+fn endpoint_list_update(form: u8, list: u8) -> Vec<u8> {
+    record(10, &[&[form], &1u64.to_le_bytes(), &[list]])
 }
 
 fn request_received(id: u32, deadline: f64) -> Vec<u8> {
-    let (slots, memory, hint) = (1f32.to_le_bytes(), 0f32.to_le_bytes(), 0.2f64.to_le_bytes());
-    let (key, account) = ([0; 8], [0; 4]);
+    let (slots, memory, estimated_work_s) = (1f32.to_le_bytes(), 0f32.to_le_bytes(), 0.2f64.to_le_bytes());
+    let (affinity_key, tenant) = ([0; 8], [0; 4]);
     record(
         9,
-        &[&id.to_le_bytes(), &slots, &[1, 0], &account, &key, &deadline.to_le_bytes(), &[0], &hint, &memory],
+        &[
+            &id.to_le_bytes(),
+            &slots,
+            &[1, 0],
+            &tenant,
+            &affinity_key,
+            &deadline.to_le_bytes(),
+            &[0],
+            &estimated_work_s,
+            &memory,
+        ],
     )
 }
 
@@ -54,7 +64,10 @@
 fn valid_frames() -> Vec<Vec<u8>> {
     vec![
         frame(1.0, &[]),
-        frame(1.0, &[select_instance(3), start_instance(OPTIONS), worker_list(2), list_notice(2, 2)]),
+        frame(
+            1.0,
+            &[select_instance(3), start_instance(OPTIONS), worker_list(2), endpoint_list_update(2, 2)],
+        ),
         frame(2.0, &[select_instance(3), request_received(77, 7.0)]),
         frame(2.1, &[select_instance(3), timer_expired(0)]),
     ]
@@ -74,7 +87,7 @@
 }
 
 #[test]
-fn a_request_becomes_a_route_byte_for_byte() {
+fn routes_a_request_with_byte_exact_replies() {
     let (out, error) = run(&valid_frames());
     assert_eq!(error, None);
     let at = "0d02000000".to_owned() + "0300";
@@ -88,65 +101,65 @@
 }
 
 #[test]
-fn all_other_records_are_read() {
+fn accepts_all_other_records() {
     let none = [0u8; 8];
     let note = record(1, &[&77u32.to_le_bytes(), &[0], &0.5f32.to_le_bytes(), &WORKER, &[2]]);
     let head = record(4, &[&77u32.to_le_bytes(), &none, &WORKER, &[0]]);
     let ended =
         record(5, &[&77u32.to_le_bytes(), &[0], &WORKER, &[0, 0], &none, &[1], &[0; 4], &[1, 0, 0, 0, 0]]);
-    let peer = record(6, &[&[0; 4], &[2, 0], b"hi"]);
+    let gossip = record(6, &[&[0; 4], &[2, 0], b"hi"]);
     let probed = record(13, &[&WORKER, &[0, 0], &none, &[0]]);
     let left = record(2, &[&77u32.to_le_bytes()]);
     let gone = record(7, &[]);
     let mut frames = valid_frames();
     frames.push(frame(
         3.0,
-        &[select_instance(3), note, head, ended, peer, probed, left, list_notice(3, 0), gone],
+        &[select_instance(3), note, head, ended, gossip, probed, left, endpoint_list_update(3, 0), gone],
     ));
     assert_eq!(run(&frames).1, None);
 }
 
 #[test]
-fn malformed_frames_name_what_and_where() {
-    let mut long = timer_expired(5);
-    long[1] += 1;
-    long.push(0);
+fn reports_frame_offset_and_record_of_malformed_input() {
+    let mut overlong = timer_expired(5);
+    overlong[1] += 1;
+    overlong.push(0);
     let cases = [
-        (frame(1.0, &[timer_expired(0)]), "TICK_DUE: no instance is set"),
-        (frame(1.0, &[select_instance(4), timer_expired(0)]), "TICK_DUE: instance 4 is not enlisted"),
-        (frame(1.0, &[select_instance(3), list_notice(1, 9)]), "VIEW: list 9 is not defined"),
-        (frame(1.0, &[select_instance(3), worker_list(16)]), "DEFINE_LIST: list number 16 is over 15"),
-        (frame(1.0, &[select_instance(3), list_notice(8, 2)]), "VIEW: form has no value 8"),
+        (frame(1.0, &[timer_expired(0)]), "TICK_DUE: no instance selected by an earlier ON record"),
+        (frame(1.0, &[select_instance(4), timer_expired(0)]), "TICK_DUE: instance 4 is not running"),
+        (frame(1.0, &[select_instance(3), endpoint_list_update(1, 9)]), "VIEW: worker list 9 is not defined"),
         (
-            frame(1.0, &[select_instance(3), record(99, &[])]),
-            "offset 19, unknown record: the record code has no value 99",
+            frame(1.0, &[select_instance(3), worker_list(16)]),
+            "DEFINE_LIST: worker list number 16 exceeds the maximum of 15",
         ),
-        (frame(1.0, &[select_instance(3), long]), "TICK_DUE: 1 bytes are left over"),
+        (frame(1.0, &[select_instance(3), endpoint_list_update(8, 2)]), "VIEW: unknown value 8 of form"),
         (
-            frame(1.0, &[select_instance(3), record(12, &[&[1, 2]])]),
-            "TICK_DUE: the record is shorter than its fields",
+            frame(1.0, &[select_instance(3), record(99, &[])]),
+            "offset 19, unknown record: unknown value 99 of the record code",
         ),
+        (frame(1.0, &[select_instance(3), overlong]), "TICK_DUE: 1 unexpected bytes at the end"),
+        (frame(1.0, &[select_instance(3), record(12, &[&[1, 2]])]), "TICK_DUE: 8 bytes expected, 2 left"),
         (
             frame(1.0, &[select_instance(5), start_instance("tick_s=soon")]),
             "ENLIST: option tick_s: cannot read value \"soon\"",
         ),
-        (vec![3, 0, 0, 0, 1, 2, 3], "offset 0, header: the record is shorter"),
-        (frame(1.0, &[select_instance(3)])[..15].to_vec(), "frame 4: input ends inside the frame"),
-        (vec![9, 0], "frame 4: input ends inside the frame"),
+        (vec![3, 0, 0, 0, 1, 2, 3], "offset 0, header: 12 bytes expected, 3 left"),
+        (frame(1.0, &[select_instance(3)])[..15].to_vec(), "frame 4: input ends in the middle of the frame"),
+        (vec![9, 0], "frame 4: input ends in the middle of the frame"),
     ];
-    let whole = run(&valid_frames()).0;
-    for (bad, expected) in cases {
+    let valid_replies = run(&valid_frames()).0;
+    for (malformed, expected) in cases {
         let mut frames = valid_frames();
-        frames.push(bad);
+        frames.push(malformed);
         let (out, error) = run(&frames);
         let error = error.expect(expected);
         assert!(error.contains(expected), "{error} does not contain {expected}");
-        assert_eq!(out, whole, "no part of a reply to the bad frame");
+        assert_eq!(out, valid_replies, "part of a reply to the malformed frame was written");
     }
 }
 
 #[test]
-fn mutated_frames_give_a_reply_or_a_plain_error() {
+fn replies_or_reports_an_error_for_mutated_frames() {
     let mut rng = fastrand::Rng::with_seed(42);
     let (mut replies, mut errors) = (0, 0);
     for _ in 0..20_000 {
