--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -158,8 +158,8 @@
     set_duration(&nodes, "greeting", &mut config.handshake_timeout, reader);
     set_duration(&nodes, "reconnect-first", &mut config.reconnect.first, reader);
     set_duration(&nodes, "reconnect-most", &mut config.reconnect.longest, reader);
-    set_bytes(&nodes, "frame", &mut config.most_frame_bytes, reader);
-    set_bytes(&nodes, "queue", &mut config.most_queued_bytes, reader);
+    set_bytes(&nodes, "frame", &mut config.max_frame_bytes, reader);
+    set_bytes(&nodes, "queue", &mut config.max_queued_bytes, reader);
     if reader.errors.len() > errors_before {
         return; // the checks below would report the same values again
     }
@@ -170,7 +170,7 @@
     if config.reconnect.first < LEAST_PAUSE || config.reconnect.longest < config.reconnect.first {
         reader.error(node.span(), "a first wait of 1ms or more, and a longest one no shorter", "others");
     }
-    if config.most_queued_bytes < config.most_frame_bytes || config.most_frame_bytes < LEAST_FRAME_BYTES {
+    if config.max_queued_bytes < config.max_frame_bytes || config.max_frame_bytes < LEAST_FRAME_BYTES {
         reader.error(node.span(), "a queue that holds a frame, of 1KiB or more", "a smaller one");
     }
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -34,7 +34,7 @@
     assert_eq!((config.open_at, config.close_at, config.reserve), (0.3, 0.05, 0.0));
     assert_eq!(config.shed_hold, Duration::from_secs(2));
     assert_eq!(
-        (gateway.link.silence_timeout, gateway.link.most_frame_bytes),
+        (gateway.link.silence_timeout, gateway.link.max_frame_bytes),
         (Duration::from_millis(200), 65_536)
     );
 }
--- a/crates/site-link/src/config.rs
+++ b/crates/site-link/src/config.rs
@@ -1,31 +1,31 @@
-//! The settings of a link. The operator's names for them are mapped in `crates/operator-config`.
+//! Settings of a link. `crates/operator-config` maps the keys of the operator's file to them.
 
 use std::time::Duration;
 
-/// What an operator can set.
+/// Settings of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Gap between two heartbeats of this end. Default 200 ms: short against the least latency objective of a
-    /// class, and still cheap on an idle link.
+    /// Interval between heartbeats. Default 200 ms: short compared to the lowest latency objective of a request class,
+    /// and still cheap on an idle link.
     pub heartbeat: Duration,
-    /// A link on which nothing came for this long is over. Default 700 ms: three heartbeats lost and a pause.
+    /// A link ends if no frame is received for this time. Default 700 ms: three lost heartbeats and a pause.
     pub silence_timeout: Duration,
-    /// The handshake must be over within this time. Default 2 s.
+    /// Maximum duration of the handshake. Default 2 s.
     pub handshake_timeout: Duration,
-    /// Pause before a link is dialled again.
+    /// Delay before a lost link is redialled.
     pub reconnect: ReconnectBackoff,
-    /// The largest frame, in bytes. Default 256 KiB: a body or result of 64 KiB with its head, four times.
-    pub most_frame_bytes: usize,
-    /// What may wait to be written, in bytes. Default 1 MiB; nothing is forwarded while it is full.
-    pub most_queued_bytes: usize,
+    /// Maximum frame size in bytes. Default 256 KiB: four times the size of a 64 KiB body or result with its headers.
+    pub max_frame_bytes: usize,
+    /// Maximum number of bytes queued for writing. Default 1 MiB. Exceeding it ends the link.
+    pub max_queued_bytes: usize,
 }
 
-/// The bounds of the pause before a link is dialled again. It grows from one to the other.
+/// Bounds of the exponential backoff before a lost link is redialled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReconnectBackoff {
-    /// The first pause. Default 50 ms.
+    /// Initial delay. Default 50 ms.
     pub first: Duration,
-    /// The longest pause. Default 2 s.
+    /// Maximum delay. Default 2 s.
     pub longest: Duration,
 }
 
@@ -36,8 +36,8 @@
             silence_timeout: Duration::from_millis(700),
             handshake_timeout: Duration::from_secs(2),
             reconnect: ReconnectBackoff { first: Duration::from_millis(50), longest: Duration::from_secs(2) },
-            most_frame_bytes: 256 * 1024,
-            most_queued_bytes: 1024 * 1024,
+            max_frame_bytes: 256 * 1024,
+            max_queued_bytes: 1024 * 1024,
         }
     }
 }
--- a/crates/site-link/src/error.rs
+++ b/crates/site-link/src/error.rs
@@ -1,38 +1,48 @@
-//! Why a link ends. The text of an error is also sent to the other end, in a [`Frame::Bye`](crate::Frame::Bye).
+//! Errors that end a link. The error text is also sent to the peer, in a [`Frame::Bye`](crate::Frame::Bye).
+
+use std::time::Duration;
 
 use crate::VERSION;
 
-/// Why a link ends. Nothing but the link is affected.
+/// An error that ends a link. Only the link is affected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// The other end speaks another protocol.
-    #[error("the other end is no gateway")]
+    /// The peer speaks another protocol.
+    #[error("the peer does not speak the site link protocol")]
     OtherProtocol,
-    /// It speaks another version.
-    #[error("the other end speaks version {0} of the link, this one {VERSION}")]
+    /// The peer speaks another version of the protocol.
+    #[error("the peer speaks version {0} of the site link protocol, this site version {VERSION}")]
     UnsupportedVersion(u16),
-    /// It does not know the secret.
-    #[error("the other end does not know the secret")]
+    /// The peer's proof does not match the shared secret.
+    #[error("authentication failed: the peer's secret differs from this site's")]
     WrongSecret,
-    /// It names a site that the operator's file does not list.
-    #[error("the other end calls itself {0:?}, which is no peer of this site")]
+    /// The peer's site is not the one dialled, or is not listed in the operator's file.
+    #[error("the peer identifies itself as {0:?}, which is not an expected site")]
     UnknownPeer(String),
-    /// A frame has more bytes than allowed.
-    #[error("a frame of {0} bytes is longer than allowed")]
-    FrameTooLong(usize),
-    /// A frame cannot be read.
-    #[error("a frame cannot be read")]
+    /// A frame exceeds the maximum size.
+    #[error("frame of {length} bytes exceeds the maximum of {max} bytes")]
+    FrameTooLong {
+        /// Length of the frame in bytes.
+        length: usize,
+        /// Maximum length in bytes.
+        max: usize,
+    },
+    /// A frame cannot be encoded or decoded.
+    #[error("malformed frame")]
     MalformedFrame,
-    /// Nothing came for too long.
-    #[error("the other end fell silent")]
-    SilenceTimeout,
-    /// The handshake took too long.
-    #[error("the greeting took too long")]
-    HandshakeTimeout,
-    /// More bytes wait to be written than allowed.
-    #[error("the other end takes nothing off, and the queue is full")]
-    QueueFull,
-    /// The other end closed the link and said why.
-    #[error("the other end closed it: {0}")]
+    /// No frame was received within [`Config::silence_timeout`](crate::Config::silence_timeout).
+    #[error("no frame received from the peer for {0:?}")]
+    SilenceTimeout(Duration),
+    /// The handshake took longer than [`Config::handshake_timeout`](crate::Config::handshake_timeout).
+    #[error("handshake not completed within {0:?}")]
+    HandshakeTimeout(Duration),
+    /// The queue of bytes to write is full, because the peer reads too slowly.
+    #[error("send queue of {max} bytes is full: the peer is not reading")]
+    QueueFull {
+        /// Maximum length of the queue in bytes.
+        max: usize,
+    },
+    /// The peer closed the link and gave this reason.
+    #[error("closed by the peer: {0}")]
     ClosedByPeer(String),
 }
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -1,7 +1,7 @@
-//! The frames of a link, and how one is written and read.
+//! The frames of a link, and their encoding.
 //!
-//! Frames are encoded by the position of their variants and fields. Adding, dropping or reordering one needs a new
-//! [`VERSION`](crate::VERSION); `tests/wire_bytes.rs` compares each kind with its bytes.
+//! Variants and fields are encoded by position. Adding, removing or reordering one requires a new
+//! [`VERSION`](crate::VERSION). `tests/wire_bytes.rs` checks the bytes of each frame type.
 
 use bytes::{Buf, Bytes, BytesMut};
 use chutesaddle_gateway::{Outcome, RemoteStatus, ReturnReason};
@@ -9,116 +9,117 @@
 
 use crate::LinkError;
 
-/// Bytes of the length before each frame.
+/// Size of the length prefix of a frame.
 const PREFIX_BYTES: usize = 4;
 
-/// What a request needs at the other site. Classes and tenants go by name, as their numbers differ between sites.
+/// A request offered to another site. Classes and tenants are identified by name, because their numbers differ between
+/// sites.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OfferedRequest {
-    /// The class.
+    /// Name of the request class.
     pub class: String,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its estimated work in seconds, if its client gave a hint.
+    /// Estimated work in seconds, if the client sent an estimate.
     pub estimated_work_s: Option<f64>,
-    /// Slots that it needs.
+    /// Slots that the request needs.
     pub slots: f64,
-    /// Memory that it needs.
+    /// Memory that the request needs.
     pub memory: f64,
-    /// `X-Request-Id`.
+    /// The `X-Request-Id` header.
     pub request_id: Bytes,
-    /// The target of the request line.
+    /// The request target from the request line.
     pub target: Bytes,
-    /// `Idempotency-Key`.
+    /// The `Idempotency-Key` header.
     pub key: Option<Bytes>,
-    /// `Content-Type`.
+    /// The `Content-Type` header.
     pub content_type: Option<Bytes>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// What the two ends send. A forwarded request goes by the number that the dialling end gave it.
+/// A message on an established link. Forwarded requests are identified by a number that the dialling site assigns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Heartbeat, with the sender's own time in microseconds.
+    /// A heartbeat, with the sender's time in microseconds.
     Ping(u64),
-    /// The answer to a heartbeat; the time is given back unchanged.
+    /// The reply to a heartbeat, with the time from the heartbeat.
     Pong(u64),
-    /// The end of the link, and why.
+    /// The sender closes the link for this reason.
     Bye(String),
-    /// To the dialling end: capacity that it may use.
+    /// To the dialling site: capacity that it may use.
     Grant {
-        /// The incarnation of the granting process.
+        /// Incarnation of the granting process.
         epoch: u64,
-        /// Slots that may have been used on this link, counted since it came up.
+        /// Cumulative number of slots that may be used on this link, counted from its establishment.
         limit: u64,
-        /// How long the grant holds, in microseconds.
+        /// Validity of the grant, in microseconds.
         term_us: u64,
     },
-    /// To the dialling end: the request is accepted.
+    /// To the dialling site: the request is accepted.
     Accepted(u64),
-    /// To the dialling end: the request is returned unstarted.
+    /// To the dialling site: the request is returned without having been started.
     Returned(u64, ReturnReason),
-    /// To the dialling end: how the request ended.
+    /// To the dialling site: the outcome of the request.
     Ended(u64, Outcome),
-    /// To the dialling end: what is known of the request.
+    /// To the dialling site: the status of the request, in reply to [`Frame::StatusQuery`].
     Status(u64, RemoteStatus),
-    /// From the dialling end: a request.
+    /// From the dialling site: a request.
     Offer {
-        /// Its number.
+        /// Number of the request.
         forwarded: u64,
-        /// The incarnation that granted the capacity it uses.
+        /// Incarnation of the process that granted the capacity for the request.
         epoch: u64,
-        /// Time until its client gives up, in microseconds, less the round trip and a margin.
+        /// Time until the client's deadline in microseconds, minus the round trip and a margin.
         time_left_us: u64,
-        /// How long its outcome may be asked for, in microseconds.
+        /// How long the outcome must be retained for status queries, in microseconds.
         keep_outcome_us: u64,
         /// The request.
         request: Box<OfferedRequest>,
     },
-    /// From the dialling end: the client of the request has disconnected.
+    /// From the dialling site: the client of the request has disconnected.
     Cancel(u64),
-    /// From the dialling end: what is known of these?
+    /// From the dialling site: asks for the status of these requests.
     StatusQuery(Vec<u64>),
-    /// From the dialling end: the outcome has arrived.
+    /// From the dialling site: the outcome of the request has been received.
     Acknowledge(u64),
 }
 
-/// Writes one frame.
+/// Encodes a frame with its length prefix.
 ///
 /// # Errors
-/// [`LinkError::FrameTooLong`] if it has more than `most_bytes`: the other end would close the link over it.
-pub(crate) fn encode(frame: &impl Serialize, most_bytes: usize) -> Result<Bytes, LinkError> {
+/// [`LinkError::FrameTooLong`] if the frame exceeds `max_bytes`, because the peer would close the link.
+pub(crate) fn encode(frame: &impl Serialize, max_bytes: usize) -> Result<Bytes, LinkError> {
     let mut bytes =
         postcard::to_extend(frame, vec![0; PREFIX_BYTES]).map_err(|_| LinkError::MalformedFrame)?;
     let length = bytes.len() - PREFIX_BYTES;
-    if length > most_bytes {
-        return Err(LinkError::FrameTooLong(length));
+    if length > max_bytes {
+        return Err(LinkError::FrameTooLong { length, max: max_bytes });
     }
-    // At most `most_bytes`, which is far below 4 GiB.
+    // Does not truncate: `length` is at most `max_bytes`, which is far below 4 GiB.
     bytes[..PREFIX_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(bytes.into())
 }
 
-/// Takes one frame off the front of what was read; `None` while it is not there whole.
+/// Removes the first frame from the received bytes and decodes it. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// [`LinkError::FrameTooLong`] if it has more than `most_bytes`, [`LinkError::MalformedFrame`] if it cannot be
-/// decoded or something follows within it.
+/// [`LinkError::FrameTooLong`] if the frame exceeds `max_bytes`, [`LinkError::MalformedFrame`] if it cannot be decoded
+/// or has trailing bytes.
 pub(crate) fn decode<T: for<'a> Deserialize<'a>>(
-    read: &mut BytesMut,
-    most_bytes: usize,
+    received: &mut BytesMut,
+    max_bytes: usize,
 ) -> Result<Option<T>, LinkError> {
-    let Some(prefix) = read.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
+    let Some(prefix) = received.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
-    if length > most_bytes {
-        return Err(LinkError::FrameTooLong(length));
+    if length > max_bytes {
+        return Err(LinkError::FrameTooLong { length, max: max_bytes });
     }
-    if read.len() < PREFIX_BYTES + length {
+    if received.len() < PREFIX_BYTES + length {
         return Ok(None);
     }
-    read.advance(PREFIX_BYTES);
-    let body = read.split_to(length);
+    received.advance(PREFIX_BYTES);
+    let body = received.split_to(length);
     match postcard::take_from_bytes(&body) {
         Ok((frame, [])) => Ok(Some(frame)),
         Ok((_, [_, ..])) | Err(_) => Err(LinkError::MalformedFrame),
--- a/crates/site-link/src/handshake.rs
+++ b/crates/site-link/src/handshake.rs
@@ -1,8 +1,8 @@
-//! The handshake: who is at the other end, in which version, and proof that both ends know the secret.
+//! The handshake: exchanges identities and protocol versions, and proves that both sides know the shared secret.
 //!
-//! Each end sends its [`IdentityMessage`] at once. When it has the other's, it sends an HMAC over both, made with
-//! the shared secret. The HMAC also covers the role, so that neither a recording nor an echo of an end's own proof
-//! passes. A [`Link`] can be had in no other way.
+//! Each side sends its [`IdentityMessage`] immediately. On receipt of the peer's identity message it sends an HMAC over
+//! both messages, keyed with the shared secret. The nonces in the messages prevent replay. The HMAC also covers the
+//! role of the sender, so a side's own proof cannot be echoed back to it. A [`Link`] is created only by a handshake.
 
 use bytes::{Bytes, BytesMut};
 use hmac::{Hmac, KeyInit, Mac};
@@ -14,23 +14,23 @@
 use crate::{Config, LinkError, Time, VERSION};
 
 const MAGIC: [u8; 8] = *b"chutelnk";
-/// The longest frame of a handshake. It is short, as the other end has not proved anything yet.
-const MOST_MESSAGE_BYTES: usize = 512;
-/// The longest name of a site.
-const MOST_NAME_BYTES: usize = 128;
+/// Maximum size of a handshake frame. It is small because the peer is not authenticated yet.
+const MAX_MESSAGE_BYTES: usize = 512;
+/// Maximum length of a site name.
+const MAX_SITE_NAME_BYTES: usize = 128;
 
-/// The secret that both ends know.
+/// The secret that both sites share.
 #[derive(Clone)]
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// The least length in bytes.
-    pub const LEAST_BYTES: usize = 16;
+    /// Minimum length in bytes.
+    pub const MIN_BYTES: usize = 16;
 
-    /// A secret; `None` if it is shorter than [`Secret::LEAST_BYTES`].
+    /// Creates a secret. Returns `None` if it is shorter than [`Secret::MIN_BYTES`].
     pub fn new(bytes: impl Into<Vec<u8>>) -> Option<Self> {
         let bytes = bytes.into();
-        (bytes.len() >= Self::LEAST_BYTES).then_some(Secret(bytes))
+        (bytes.len() >= Self::MIN_BYTES).then_some(Secret(bytes))
     }
 }
 
@@ -40,25 +40,25 @@
     }
 }
 
-/// This end.
+/// This side of a link.
 #[derive(Clone, Debug)]
 pub struct LocalIdentity {
-    /// The name of its site.
+    /// Name of the site.
     pub site: String,
-    /// The incarnation of its process.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Random bytes, never used before.
+    /// Random bytes, different for each handshake.
     pub nonce: [u8; 16],
-    /// Whether it has dialled.
+    /// Whether this side dialled the connection.
     pub dialled: bool,
 }
 
-/// The other end, once it has proved that it knows the secret.
+/// The identity of the peer, authenticated by the handshake.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerIdentity {
-    /// The name of its site.
+    /// Name of the site.
     pub site: String,
-    /// The incarnation of its process.
+    /// Incarnation of the process.
     pub incarnation: u64,
 }
 
@@ -79,7 +79,7 @@
         if self.version != VERSION {
             return Err(LinkError::UnsupportedVersion(self.version));
         }
-        if self.site.is_empty() || self.site.len() > MOST_NAME_BYTES {
+        if self.site.is_empty() || self.site.len() > MAX_SITE_NAME_BYTES {
             return Err(LinkError::MalformedFrame);
         }
         Ok(())
@@ -89,24 +89,24 @@
 #[derive(Serialize, Deserialize)]
 struct ProofMessage([u8; 32]);
 
-/// The other end's identity message, as claimed: it is proved when the handshake is over.
+/// The identity that the peer claims. It is not authenticated until the handshake is complete.
 #[derive(Debug)]
 struct PeerClaim {
     identity: PeerIdentity,
-    /// The message as it is covered by the proofs.
+    /// The encoded identity message, which the proofs cover.
     message: Bytes,
 }
 
-/// What follows from what was read.
+/// The result of passing received bytes to a handshake.
 #[derive(Debug)]
 pub enum HandshakeStep {
-    /// The handshake goes on; write this first.
+    /// The handshake is not complete. Write these bytes, then read more.
     Continue(Bytes),
-    /// It is over: write this, then use the link.
+    /// The handshake is complete. Write these bytes, then use the link.
     Established(Bytes, Box<Link>, PeerIdentity),
 }
 
-/// A handshake under way.
+/// A handshake in progress.
 #[derive(Debug)]
 pub struct Handshake {
     config: Config,
@@ -115,14 +115,14 @@
     own_message: Bytes,
     times_out_at: Time,
     peer: Option<PeerClaim>,
-    read: BytesMut,
+    received: BytesMut,
 }
 
 impl Handshake {
-    /// Begins, and gives the first bytes to write.
+    /// Starts a handshake. Returns it with the first bytes to write.
     ///
     /// # Errors
-    /// [`LinkError::FrameTooLong`] if the site's name is too long.
+    /// [`LinkError::FrameTooLong`] if the site name does not fit into a handshake frame.
     pub fn begin(
         now: Time,
         config: Config,
@@ -131,65 +131,66 @@
     ) -> Result<(Self, Bytes), LinkError> {
         let LocalIdentity { site, incarnation, nonce, dialled } = local;
         let message = IdentityMessage { magic: MAGIC, version: VERSION, site, incarnation, nonce };
-        let own_message = encode(&message, MOST_MESSAGE_BYTES)?;
+        let own_message = encode(&message, MAX_MESSAGE_BYTES)?;
         let first_bytes = own_message.clone();
         let times_out_at = now + config.handshake_timeout;
-        let read = BytesMut::new();
-        let handshake = Handshake { config, secret, dialled, own_message, times_out_at, peer: None, read };
+        let received = BytesMut::new();
+        let handshake =
+            Handshake { config, secret, dialled, own_message, times_out_at, peer: None, received };
         Ok((handshake, first_bytes))
     }
 
-    /// When the handshake has taken too long.
+    /// The time at which the handshake fails if it is not complete.
     pub fn times_out_at(&self) -> Time {
         self.times_out_at
     }
 
-    /// Takes what was read.
+    /// Processes received bytes.
     ///
     /// # Errors
-    /// What the other end did wrong; the connection is to be closed.
+    /// Returns the reason why the handshake failed. The caller must close the connection.
     pub fn input(&mut self, now: Time, bytes: &[u8]) -> Result<HandshakeStep, LinkError> {
         if now >= self.times_out_at {
-            return Err(LinkError::HandshakeTimeout);
+            return Err(LinkError::HandshakeTimeout(self.config.handshake_timeout));
         }
-        self.read.extend_from_slice(bytes);
-        let mut write = Bytes::new();
+        self.received.extend_from_slice(bytes);
+        let mut to_write = Bytes::new();
         if self.peer.is_none() {
-            let Some(claim) = self.read_identity()? else { return Ok(HandshakeStep::Continue(write)) };
+            let Some(claim) = self.read_identity()? else { return Ok(HandshakeStep::Continue(to_write)) };
             let proof = ProofMessage(self.hmac(self.dialled, &claim.message).finalize().into_bytes().into());
-            write = encode(&proof, MOST_MESSAGE_BYTES)?;
+            to_write = encode(&proof, MAX_MESSAGE_BYTES)?;
             self.peer = Some(claim);
         }
-        let proof = decode::<ProofMessage>(&mut self.read, MOST_MESSAGE_BYTES)?;
+        let proof = decode::<ProofMessage>(&mut self.received, MAX_MESSAGE_BYTES)?;
         let (Some(proof), Some(claim)) = (proof, &self.peer) else {
-            return Ok(HandshakeStep::Continue(write));
+            return Ok(HandshakeStep::Continue(to_write));
         };
         // `verify_slice` compares in constant time.
         let expected = self.hmac(!self.dialled, &claim.message);
         expected.verify_slice(&proof.0).map_err(|_| LinkError::WrongSecret)?;
         let peer = claim.identity.clone();
-        // What was read beyond the handshake belongs to the link.
-        let link = Link::new(now, self.config.clone(), self.read.split());
-        Ok(HandshakeStep::Established(write, Box::new(link), peer))
+        // Bytes after the handshake belong to the link.
+        let link = Link::new(now, self.config.clone(), self.received.split());
+        Ok(HandshakeStep::Established(to_write, Box::new(link), peer))
     }
 
-    /// Reads the other end's identity message; `None` while it is not there whole.
+    /// Decodes the peer's identity message. Returns `None` while it is incomplete.
     fn read_identity(&mut self) -> Result<Option<PeerClaim>, LinkError> {
-        // Bytes that do not decode come from another protocol rather than from a broken gateway.
-        let message = decode::<IdentityMessage>(&mut self.read, MOST_MESSAGE_BYTES)
+        // Bytes that cannot be decoded are more likely another protocol than a faulty gateway.
+        let message = decode::<IdentityMessage>(&mut self.received, MAX_MESSAGE_BYTES)
             .map_err(|_| LinkError::OtherProtocol)?;
         let Some(message) = message else { return Ok(None) };
         message.check()?;
         let identity = PeerIdentity { site: message.site.clone(), incarnation: message.incarnation };
-        Ok(Some(PeerClaim { identity, message: encode(&message, MOST_MESSAGE_BYTES)? }))
+        Ok(Some(PeerClaim { identity, message: encode(&message, MAX_MESSAGE_BYTES)? }))
     }
 
-    /// What the end in that role must show, over both identity messages.
+    /// The proof required from one side: an HMAC over its role and both identity messages. `dialled` selects the side.
     fn hmac(&self, dialled: bool, peer_message: &Bytes) -> Hmac<Sha256> {
         let (dialler_message, accepter_message) =
             if self.dialled { (&self.own_message, peer_message) } else { (peer_message, &self.own_message) };
         let role: &[u8] = if dialled { b"dialled" } else { b"accepted" };
-        // HMAC takes a key of any length.
+        // HMAC accepts keys of any length.
         let mut hmac = Hmac::<Sha256>::new_from_slice(&self.secret.0).unwrap_or_else(|_| unreachable!());
         for part in [role, dialler_message, accepter_message] {
             hmac.update(&(part.len() as u64).to_be_bytes());
--- a/crates/site-link/src/lib.rs
+++ b/crates/site-link/src/lib.rs
@@ -1,14 +1,14 @@
-//! One link between two sites, as the bytes on it: handshake, authentication, frames, heartbeats.
+//! The wire protocol of a link between two sites: handshake, authentication, frames and heartbeats.
 //!
-//! This crate is sans-I/O: it opens no socket, reads no clock and draws no random number. Both ends begin with a
-//! [`Handshake`], which becomes a [`Link`] only when the other end has proved that it knows the secret. A link is
-//! fed with what was read ([`Link::input`]) and with time ([`Link::tick`]), and says what to write
-//! ([`Link::transmit`]). It does not know what its frames mean; `chutesaddle-gateway` does. The sockets are in
+//! This crate is sans-I/O: it opens no sockets, reads no clock and draws no random numbers. Each side starts with a
+//! [`Handshake`], which yields a [`Link`] only after the peer has proved that it knows the shared secret. The caller
+//! passes received bytes to [`Link::input`], reports the time with [`Link::tick`] and writes the bytes returned by
+//! [`Link::transmit`]. The meaning of the frames is defined in `chutesaddle-gateway`. The sockets are in
 //! `src/server/peers/site_links.rs`.
 //!
 //! ```text
 //! frame     = length (u32, big endian) body        body: postcard of IdentityMessage, ProofMessage or Frame
-//! handshake = both ends: IdentityMessage at once, ProofMessage when the other's IdentityMessage is there
+//! handshake = both sides: IdentityMessage immediately, ProofMessage once the peer's IdentityMessage has arrived
 //! ```
 //!
 //! | state | type | ends with |
@@ -16,9 +16,9 @@
 //! | handshake | [`Handshake`] | [`HandshakeStep::Established`], or a [`LinkError`] |
 //! | up | [`Link`] | a [`LinkError`]; the connection is closed |
 //!
-//! A link carries frames in order and is never up again after it has ended: what was under way then is asked about
-//! on the next one. It authenticates both ends and hides nothing. Encryption goes between it and the socket, which
-//! may be any stream of bytes.
+//! A link delivers frames in order and cannot be reused after it has ended. The gateway queries the status of requests
+//! that were in flight over the next link. The protocol authenticates both sides but does not encrypt. Encryption can
+//! be added between the link and the socket, because a link runs over any byte stream.
 #![warn(missing_docs)]
 
 mod config;
@@ -35,8 +35,8 @@
 pub use handshake::{Handshake, HandshakeStep, LocalIdentity, PeerIdentity, Secret};
 pub use link::{Link, Transmit};
 
-/// Time since a start that the caller chooses; it must not run backwards.
+/// Time since an origin chosen by the caller. It must be monotonic.
 pub type Time = Duration;
 
-/// The version of all that is sent on a link.
+/// Version of the protocol: of the handshake and of all frames.
 pub const VERSION: u16 = 1;
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -1,7 +1,7 @@
-//! A link that is up: frames in, frames out, heartbeats.
+//! An established link: receives and sends frames, and monitors the peer with heartbeats.
 //!
-//! It answers heartbeats itself and ends when nothing has come for [`Config::silence_timeout`]. What the other
-//! frames mean is decided elsewhere.
+//! The link replies to heartbeats itself and ends if no frame is received for [`Config::silence_timeout`]. All other
+//! frames are passed to the caller.
 
 use std::collections::VecDeque;
 
@@ -10,25 +10,25 @@
 use crate::frame::{decode, encode, Frame};
 use crate::{Config, LinkError, Time};
 
-/// Weight of a new measurement in the smoothed round trip.
+/// Weight of a new measurement in the smoothed round-trip time.
 const ROUND_TRIP_WEIGHT: f64 = 0.2;
-/// The part of the other end's reason for closing that is kept, in characters.
-const MOST_REASON_CHARS: usize = 200;
+/// Characters kept of the peer's reason for closing.
+const MAX_REASON_CHARS: usize = 200;
 
-/// Something to write.
+/// A frame to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// The bytes of one frame.
+    /// The encoded frame.
     pub bytes: Bytes,
-    /// The request that they offer, if any: it may run as soon as the last byte is written.
+    /// Number of the request that the frame offers, if any. The request may run as soon as the last byte is written.
     pub offered: Option<u64>,
 }
 
-/// One end of a link.
+/// One side of an established link.
 #[derive(Debug)]
 pub struct Link {
     config: Config,
-    read: BytesMut,
+    received: BytesMut,
     last_received_at: Time,
     next_ping_at: Time,
     round_trip: Option<Time>,
@@ -37,11 +37,11 @@
 }
 
 impl Link {
-    /// Only a handshake makes one; `read` is what came behind it.
-    pub(crate) fn new(now: Time, config: Config, read: BytesMut) -> Self {
+    /// Called only by the handshake. `received` are the bytes received after it.
+    pub(crate) fn new(now: Time, config: Config, received: BytesMut) -> Self {
         Link {
             config,
-            read,
+            received,
             last_received_at: now,
             next_ping_at: now,
             round_trip: None,
@@ -50,20 +50,20 @@
         }
     }
 
-    /// Takes what was read, and appends the frames that the gateway is to see. Those after a bad one are not
-    /// decoded.
+    /// Decodes received bytes and appends the frames for the gateway to `frames`. Decoding stops at the first malformed
+    /// frame.
     ///
     /// # Errors
-    /// What the other end did wrong, or its reason for closing; the link is over.
+    /// Returns the reason why the link ends: an error of the peer, or its reason for closing.
     pub fn input(&mut self, now: Time, bytes: &[u8], frames: &mut Vec<Frame>) -> Result<(), LinkError> {
-        self.read.extend_from_slice(bytes);
-        while let Some(frame) = decode::<Frame>(&mut self.read, self.config.most_frame_bytes)? {
+        self.received.extend_from_slice(bytes);
+        while let Some(frame) = decode::<Frame>(&mut self.received, self.config.max_frame_bytes)? {
             self.last_received_at = now;
             match frame {
                 Frame::Ping(sent_at_us) => self.send(&Frame::Pong(sent_at_us))?,
                 Frame::Pong(sent_at_us) => self.measure_round_trip(now, sent_at_us),
                 Frame::Bye(reason) => {
-                    let reason = reason.chars().take(MOST_REASON_CHARS).collect();
+                    let reason = reason.chars().take(MAX_REASON_CHARS).collect();
                     return Err(LinkError::ClosedByPeer(reason));
                 }
                 frame => frames.push(frame),
@@ -73,7 +73,7 @@
     }
 
     fn measure_round_trip(&mut self, now: Time, sent_at_us: u64) {
-        // A time in the future was never sent by this end.
+        // This side never sends a time in the future, so such a reply is ignored.
         let Some(measured) = now.checked_sub(Time::from_micros(sent_at_us)) else { return };
         self.round_trip = Some(match self.round_trip {
             None => measured,
@@ -81,19 +81,19 @@
         });
     }
 
-    /// The smoothed round trip, once it has been measured.
+    /// The smoothed round-trip time, or `None` before the first measurement.
     pub fn round_trip(&self) -> Option<Time> {
         self.round_trip
     }
 
-    /// Queues a frame.
+    /// Queues a frame for writing.
     ///
     /// # Errors
-    /// [`LinkError::FrameTooLong`] or [`LinkError::QueueFull`]. A frame cannot be left out, so the link is over.
+    /// [`LinkError::FrameTooLong`] or [`LinkError::QueueFull`]. Frames must not be dropped, so the link must be closed.
     pub fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
-        let bytes = encode(frame, self.config.most_frame_bytes)?;
-        if self.queued_bytes + bytes.len() > self.config.most_queued_bytes {
-            return Err(LinkError::QueueFull);
+        let bytes = encode(frame, self.config.max_frame_bytes)?;
+        if self.queued_bytes + bytes.len() > self.config.max_queued_bytes {
+            return Err(LinkError::QueueFull { max: self.config.max_queued_bytes });
         }
         let offered = match frame {
             Frame::Offer { forwarded, .. } => Some(*forwarded),
@@ -104,25 +104,25 @@
         Ok(())
     }
 
-    /// Takes what to write next off the queue.
+    /// Removes the next frame to write from the queue.
     pub fn transmit(&mut self) -> Option<Transmit> {
         let transmit = self.queue.pop_front()?;
         self.queued_bytes -= transmit.bytes.len();
         Some(transmit)
     }
 
-    /// When [`Link::tick`] is due.
+    /// The time at which [`Link::tick`] must be called next.
     pub fn due(&self) -> Time {
         self.next_ping_at.min(self.last_received_at + self.config.silence_timeout)
     }
 
-    /// Lets time pass: queues a heartbeat when one is due.
+    /// Checks the silence timeout and queues a heartbeat if one is due.
     ///
     /// # Errors
-    /// [`LinkError::SilenceTimeout`] if nothing has come for too long, or as [`Link::send`].
+    /// [`LinkError::SilenceTimeout`] if no frame was received for too long, or an error of [`Link::send`].
     pub fn tick(&mut self, now: Time) -> Result<(), LinkError> {
         if now >= self.last_received_at + self.config.silence_timeout {
-            return Err(LinkError::SilenceTimeout);
+            return Err(LinkError::SilenceTimeout(self.config.silence_timeout));
         }
         if now >= self.next_ping_at {
             self.next_ping_at = now + self.config.heartbeat;
--- a/crates/site-link/tests/wire_bytes.rs
+++ b/crates/site-link/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of a link as revision 84881d9 wrote them. Both ends of a link may run different revisions of one
-//! protocol version, so a renamed type must still read and write exactly these.
+//! The bytes of the protocol as written by revision 84881d9. The two sides of a link may run different revisions that
+//! share a protocol version, so types must keep this encoding when they are renamed.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-/// One frame of each kind, with each variant of what it carries, and its bytes in hexadecimal.
+/// Each frame type, with each variant of its payload, and the encoded bytes in hexadecimal.
 fn frames() -> Vec<(Frame, &'static str)> {
     let result = Outcome::Served(Bytes::from_static(b"map"));
     vec![
@@ -33,15 +33,15 @@
         (Frame::Status(4, RemoteStatus::NeverReceived), "00000003070400"),
         (Frame::Status(4, RemoteStatus::Received), "00000003070401"),
         (Frame::Status(4, RemoteStatus::OutcomeForgotten), "00000003070402"),
-        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(full()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
-        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(bare()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
+        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(request_with_optional_fields()) }, "0000004b0805ac028407c0b8020672656e6465720461636d6501000000000000e03f0000000000000040000000000000f83f03722d31042f6d617001016b010a746578742f706c61696e04626f6479"),
+        (Frame::Offer { forwarded: 5, epoch: 300, time_left_us: 900, keep_outcome_us: 40_000, request: Box::new(request_without_optional_fields()) }, "000000360805ac028407c0b8020672656e6465720461636d65000000000000000040000000000000f83f03722d31042f6d6170000004626f6479"),
         (Frame::Cancel(6), "000000020906"),
         (Frame::StatusQuery(vec![7, 8, 300]), "000000060a030708ac02"),
         (Frame::Acknowledge(9), "000000020b09"),
     ]
 }
 
-fn full() -> OfferedRequest {
+fn request_with_optional_fields() -> OfferedRequest {
     OfferedRequest {
         class: "render".into(),
         tenant: "acme".into(),
@@ -56,8 +56,8 @@
     }
 }
 
-fn bare() -> OfferedRequest {
-    OfferedRequest { estimated_work_s: None, key: None, content_type: None, ..full() }
+fn request_without_optional_fields() -> OfferedRequest {
+    OfferedRequest { estimated_work_s: None, key: None, content_type: None, ..request_with_optional_fields() }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -68,27 +68,27 @@
 }
 
 fn begin(site: &str, dialled: bool) -> (Handshake, Bytes) {
-    let me = LocalIdentity { site: site.into(), incarnation: 5, nonce: [u8::from(dialled); 16], dialled };
-    Handshake::begin(NOW, Config::default(), Secret::new("a secret of enough bytes").unwrap(), me).unwrap()
+    let local = LocalIdentity { site: site.into(), incarnation: 5, nonce: [u8::from(dialled); 16], dialled };
+    Handshake::begin(NOW, Config::default(), Secret::new("a secret of enough bytes").unwrap(), local).unwrap()
 }
 
-/// An end that dialled and has completed its handshake, and the proof that each end wrote.
+/// An established link on the dialling side, and the proofs that the dialling and the accepting side sent.
 fn link() -> (Link, Bytes, Bytes) {
     let ((mut dialler, hello), (mut accepter, answer)) = (begin("a", true), begin("b", false));
     let HandshakeStep::Continue(dialler_proof) = dialler.input(NOW, &answer).unwrap() else {
-        panic!("no proof yet")
+        panic!("no proof was sent")
     };
     let HandshakeStep::Continue(accepter_proof) = accepter.input(NOW, &hello).unwrap() else {
-        panic!("no proof yet")
+        panic!("no proof was sent")
     };
     let HandshakeStep::Established(_, link, _) = dialler.input(NOW, &accepter_proof).unwrap() else {
-        panic!("not up")
+        panic!("the handshake is not complete")
     };
     (*link, dialler_proof, accepter_proof)
 }
 
 #[test]
-fn frames_are_written_as_before() {
+fn encodes_frames_as_before() {
     let (mut link, ..) = link();
     for (frame, expected) in frames() {
         link.send(&frame).unwrap();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn frames_written_before_are_read() {
+fn decodes_frames_as_before() {
     for (frame, bytes) in frames() {
         let written: Vec<u8> = (0..bytes.len())
             .step_by(2)
@@ -108,9 +108,9 @@
         let mut read = Vec::new();
         let result = link.input(NOW, &written, &mut read);
         match frame {
-            Frame::Ping(_) => assert!(result.is_ok() && link.transmit().is_some(), "answered with a pong"),
+            Frame::Ping(_) => assert!(result.is_ok() && link.transmit().is_some(), "no pong was queued"),
             Frame::Pong(_) => {
-                assert!(result.is_ok() && link.round_trip().is_some(), "taken as a measurement")
+                assert!(result.is_ok() && link.round_trip().is_some(), "no round trip was measured")
             }
             Frame::Bye(reason) => assert_eq!(result, Err(LinkError::ClosedByPeer(reason))),
             frame => assert_eq!((result, read), (Ok(()), vec![frame])),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn handshakes_are_written_as_before() {
+fn encodes_handshakes_as_before() {
     let (_, dialler_proof, accepter_proof) = link();
     assert_eq!(hex(&begin("a", true).1), "0000001c63687574656c6e6b0101610501010101010101010101010101010101");
     assert_eq!(
--- a/src/server/peers/site_links/dialer.rs
+++ b/src/server/peers/site_links/dialer.rs
@@ -147,7 +147,7 @@
     ) -> Result<EstablishedLink<TcpStream>, LinkEnd> {
         let limit = settings.file.link.handshake_timeout;
         let Ok(connected) = timeout(limit, TcpStream::connect(address)).await else {
-            return Err(LinkEnd::Link(LinkError::HandshakeTimeout));
+            return Err(LinkEnd::Link(LinkError::HandshakeTimeout(limit)));
         };
         let stream = connected?;
         let _ = stream.set_nodelay(true); // without it the link works, only slower
--- a/src/server/peers/site_links/handshake.rs
+++ b/src/server/peers/site_links/handshake.rs
@@ -35,12 +35,13 @@
             dialled: direction == Direction::Dialled,
         };
         let config = settings.file.link.clone();
+        let timeout = config.handshake_timeout;
         let (mut handshake, first_bytes) =
             Handshake::begin(self.now(), config, settings.secret.clone(), local)?;
         let times_out_at = self.origin + handshake.times_out_at();
         let exchange = self.exchange(&mut stream, &mut handshake, &first_bytes);
         let Ok(established) = timeout_at(times_out_at, exchange).await else {
-            return Err(LinkEnd::Link(LinkError::HandshakeTimeout));
+            return Err(LinkEnd::Link(LinkError::HandshakeTimeout(timeout)));
         };
         let (link, peer) = established?;
         Ok(EstablishedLink { stream, link, peer, direction })
--- a/src/server/peers/site_links/settings.rs
+++ b/src/server/peers/site_links/settings.rs
@@ -20,7 +20,7 @@
         source: io::Error,
     },
     /// It is too short.
-    #[error("the gateway's secret {path:?} has under {least} bytes", least = Secret::LEAST_BYTES)]
+    #[error("the gateway's secret {path:?} has under {least} bytes", least = Secret::MIN_BYTES)]
     TooShort {
         /// The file.
         path: PathBuf,
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -243,8 +243,11 @@
 }
 
 #[rstest]
-#[case::another_protocol("g1 send raw GET / HTTP/1.1\\r\\n\\r\\n", "the other end is no gateway")]
-#[case::a_long_frame("g1 send raw zzzzzzzzzzzz", "the other end is no gateway")]
+#[case::another_protocol(
+    "g1 send raw GET / HTTP/1.1\\r\\n\\r\\n",
+    "the peer does not speak the site link protocol"
+)]
+#[case::a_long_frame("g1 send raw zzzzzzzzzzzz", "the peer does not speak the site link protocol")]
 fn caller_that_is_no_peer_is_rejected_and_nothing_else_is_affected(#[case] call: &str, #[case] why: &str) {
     play(
         &SITES,
