--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a file, and where.
+//! Errors in a settings file, with their positions.
 
 use std::fmt;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// One error in a file: what was expected at a place, and what was found there.
+/// An error in a settings file: the expected and the actual content at a position.
 #[derive(Clone, Debug, thiserror::Error, Diagnostic)]
 #[error("expected {expected}, found {found}")]
 pub struct ConfigError {
@@ -15,13 +15,13 @@
 }
 
 impl ConfigError {
-    /// At this place, something else than expected was found.
+    /// Creates an error at `span`.
     pub fn new(span: SourceSpan, expected: impl Into<String>, found: impl Into<String>) -> Self {
         ConfigError { expected: expected.into(), found: found.into(), span }
     }
 }
 
-/// All errors of one file. It is a [`Diagnostic`], which shows them in their lines; as text it is one line for each,
+/// All errors in a file. As a [`Diagnostic`] it shows them within the source. Its `Display` output has one line per error:
 /// `FILE:LINE:COLUMN: expected .., found ..`.
 #[derive(Debug, Diagnostic)]
 pub struct ConfigErrors {
@@ -34,24 +34,24 @@
 impl std::error::Error for ConfigErrors {}
 
 impl ConfigErrors {
-    /// The errors of a file of this name and text, in any order.
+    /// Collects the errors in a file and sorts them by position.
     pub fn new(name: &str, text: &str, mut errors: Vec<ConfigError>) -> Self {
         errors.sort_by_key(|error| error.span.offset());
         ConfigErrors { source: NamedSource::new(name, text.to_owned()), errors }
     }
 
-    /// How many there are.
+    /// Number of errors.
     pub fn count(&self) -> usize {
         self.errors.len()
     }
 
-    /// The file with its errors marked, for a terminal.
+    /// Renders the errors with the affected source lines, for a terminal.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let handler = miette::GraphicalReportHandler::new_themed(miette::GraphicalTheme::unicode_nocolor());
         match handler.render_report(&mut text, self) {
             Ok(()) => text,
-            // The plain lines say the same.
+            // The `Display` output contains the same errors.
             Err(fmt::Error) => self.to_string(),
         }
     }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,12 +1,11 @@
-//! The operator's own settings file: KDL in, typed settings or a report of every error out.
+//! Parses the operator's settings file (KDL) into typed settings, or reports every error in it.
 //!
-//! The platform's JSON says where a scheduler is and what its deployment is like; this file says what the operators
-//! have switched on beyond that. Begin with [`read`]. A node or property that is not known is an error, as a
-//! misspelt name would otherwise switch something off without a word. Units are written out (`"5ms"`, `"64KiB"`,
-//! `"25%"`).
+//! The platform's JSON configuration describes the scheduler and its deployment. This file enables optional features on
+//! top of it. Start with [`read`]. Unknown nodes and properties are errors, because a misspelt name would otherwise
+//! silently disable a feature. Values are written with their units (`"5ms"`, `"64KiB"`, `"25%"`).
 //!
-//! The operators' names for the settings of `chutesaddle-gateway` and `chutesaddle-site-link` are mapped in
-//! `gateway.rs`, and only there.
+//! `gateway.rs` is the only place that maps node names to the settings of `chutesaddle-gateway` and
+//! `chutesaddle-site-link`.
 #![warn(missing_docs)]
 
 mod error;
@@ -21,23 +20,23 @@
 use reader::Reader;
 pub use units::{duration, percentage};
 
-/// All that the file says.
+/// The settings from the file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The gateway to other sites, if there is to be one.
+    /// Settings of the gateway to other sites, or `None` if the gateway is disabled.
     pub gateway: Option<GatewaySettings>,
 }
 
-/// Reads the text of a file; `name` is what its errors call it.
+/// Parses the text of a file. `name` is the file name in error messages.
 ///
 /// # Errors
-/// All errors of the file, in its order.
+/// Returns all errors, sorted by their position in the file.
 pub fn read(name: &str, text: &str) -> Result<OperatorConfig, ConfigErrors> {
     let document =
         KdlDocument::parse_v2(text).map_err(|error| ConfigErrors::new(name, text, syntax_errors(&error)))?;
     let mut reader = Reader::default();
-    let nodes = reader.nodes(&document, &["gateway"]);
-    let gateway = nodes.one("gateway", &mut reader).map(|node| gateway::read(node, &mut reader));
+    let nodes = reader.known_nodes(&document, &["gateway"]);
+    let gateway = nodes.unique("gateway", &mut reader).map(|node| gateway::read(node, &mut reader));
     if !reader.errors.is_empty() {
         return Err(ConfigErrors::new(name, text, reader.errors));
     }
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -1,21 +1,21 @@
-//! Reads nodes strictly: a node that is not asked for is an error, and so is one that is there twice.
+//! Strict reading of KDL nodes: unknown and repeated nodes are errors.
 //!
-//! A reader collects errors and goes on, so that one run reports them all. What it cannot read it gives back as
-//! `None`, after it has recorded the error.
+//! A [`Reader`] records errors and continues, so that all errors are reported at once. For a value that
+//! is missing or invalid, its methods record an error and return `None`.
 
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use miette::SourceSpan;
 
 use crate::error::ConfigError;
 
-/// Collects the errors of a file.
+/// Reads nodes and records the errors in them.
 #[derive(Default)]
 pub struct Reader {
-    /// Those found so far.
+    /// Errors recorded so far.
     pub errors: Vec<ConfigError>,
 }
 
-/// The nodes of one block, all of which have a known name.
+/// The nodes of one block whose names are known.
 pub struct Nodes<'a>(Vec<&'a KdlNode>);
 
 impl Reader {
@@ -24,8 +24,8 @@
         self.errors.push(ConfigError::new(span, expected, found));
     }
 
-    /// The nodes of a document; those with another name than these are errors.
-    pub fn nodes<'a>(&mut self, document: &'a KdlDocument, names: &[&str]) -> Nodes<'a> {
+    /// Returns the nodes of a document whose names are in `names`, and records an error for every other node.
+    pub fn known_nodes<'a>(&mut self, document: &'a KdlDocument, names: &[&str]) -> Nodes<'a> {
         let mut known = Vec::new();
         for node in document.nodes() {
             let name = node.name().value();
@@ -39,72 +39,72 @@
         Nodes(known)
     }
 
-    /// The nodes inside one.
-    pub fn children<'a>(&mut self, node: &'a KdlNode, names: &[&str]) -> Nodes<'a> {
+    /// Returns the child nodes of a node whose names are in `names`, and records an error for every other child node.
+    pub fn known_children<'a>(&mut self, node: &'a KdlNode, names: &[&str]) -> Nodes<'a> {
         match node.children() {
-            Some(children) => self.nodes(children, names),
+            Some(children) => self.known_nodes(children, names),
             None => Nodes(Vec::new()),
         }
     }
 
-    /// The one argument of a node, which has no other and no children.
-    fn only_argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
+    /// Returns the only argument of a node that must not have child nodes.
+    fn leaf_argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
         if let Some(children) = node.children() {
-            self.error(children.span(), "no block here", "one");
+            self.error(children.span(), "no child nodes", "a block");
         }
         self.argument(node, expected)
     }
 
-    /// The one argument of a node that may have children.
+    /// Returns the only argument of a node that may have child nodes.
     pub fn argument<'a>(&mut self, node: &'a KdlNode, expected: &str) -> Option<&'a KdlValue> {
         for property in node.entries().iter().filter(|entry| entry.name().is_some()) {
-            self.error(property.span(), format!("{expected}, without a name"), property.to_string().trim());
+            self.error(property.span(), format!("{expected}, not a property"), property.to_string().trim());
         }
         let mut arguments = node.entries().iter().filter(|entry| entry.name().is_none());
         let first = arguments.next();
-        for more in arguments {
-            self.error(more.span(), "one value", "another");
+        for extra in arguments {
+            self.error(extra.span(), "one value", format!("another: {}", extra.value()));
         }
         if first.is_none() {
-            self.error(node.name().span(), format!("{expected} behind it"), "nothing");
+            self.error(node.name().span(), format!("{expected} after {:?}", node.name().value()), "nothing");
         }
         first.map(|entry| entry.value())
     }
 
-    /// Checks that a node has no argument of its own.
-    pub fn no_argument(&mut self, node: &KdlNode) {
+    /// Records an error for each argument and property of a node that may have none.
+    pub fn reject_arguments(&mut self, node: &KdlNode) {
         for entry in node.entries() {
-            self.error(entry.span(), "no value here", entry.to_string().trim());
+            self.error(entry.span(), "no value", entry.to_string().trim());
         }
     }
 
-    /// The node's argument as text that `parse` accepts.
+    /// Returns the node's string argument, converted by `parse`.
     pub fn text<T>(
         &mut self,
         node: &KdlNode,
         expected: &str,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        let value = self.only_argument(node, expected)?;
+        let value = self.leaf_argument(node, expected)?;
         self.require(node, value, expected, value.as_string().and_then(parse))
     }
 
-    /// The node's argument as a whole number within bounds.
-    pub fn integer(&mut self, node: &KdlNode, from: i128, to: i128) -> Option<usize> {
-        let expected = format!("a whole number from {from} to {to}");
-        let value = self.only_argument(node, &expected)?;
-        let number = value.as_integer().filter(|number| (from..=to).contains(number));
+    /// Returns the node's argument as an integer from `min` to `max`.
+    pub fn integer(&mut self, node: &KdlNode, min: i128, max: i128) -> Option<usize> {
+        let expected = format!("a whole number from {min} to {max}");
+        let value = self.leaf_argument(node, &expected)?;
+        let number = value.as_integer().filter(|number| (min..=max).contains(number));
         self.require(node, value, &expected, number.and_then(|number| number.try_into().ok()))
     }
 
-    /// The node's argument as `#true` or `#false`.
+    /// Returns the node's boolean argument, `#true` or `#false`.
     pub fn boolean(&mut self, node: &KdlNode) -> Option<bool> {
         let expected = "#true or #false";
-        let value = self.only_argument(node, expected)?;
+        let value = self.leaf_argument(node, expected)?;
         self.require(node, value, expected, value.as_bool())
     }
 
-    /// Gives back what was parsed of a node's value, and records an error if that is nothing.
+    /// Returns the parsed value, and records an error at `value` if parsing returned `None`.
     pub fn require<T>(
         &mut self,
         node: &KdlNode,
@@ -122,18 +122,18 @@
 }
 
 impl<'a> Nodes<'a> {
-    /// The node of that name; a second one is an error.
-    pub fn one(&self, name: &str, reader: &mut Reader) -> Option<&'a KdlNode> {
-        let mut found = self.all(name);
-        let first = found.next();
-        for more in found {
-            reader.error(more.name().span(), format!("{name:?} once"), "it again");
+    /// Returns the node with this name, and records an error for every further one.
+    pub fn unique(&self, name: &str, reader: &mut Reader) -> Option<&'a KdlNode> {
+        let mut matching = self.named(name);
+        let first = matching.next();
+        for repeated in matching {
+            reader.error(repeated.name().span(), format!("{name:?} once"), "another");
         }
         first
     }
 
-    /// All nodes of that name.
-    pub fn all(&self, name: &str) -> impl Iterator<Item = &'a KdlNode> + use<'a, '_> {
+    /// Returns all nodes with this name.
+    pub fn named(&self, name: &str) -> impl Iterator<Item = &'a KdlNode> + use<'a, '_> {
         let name = name.to_owned();
         self.0.iter().copied().filter(move |node| node.name().value() == name)
     }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,10 +1,10 @@
-//! Files as operators write them, right and wrong.
+//! Valid and invalid settings files.
 
 use std::time::Duration;
 
 use chutesaddle_operator_config::{read, OperatorConfig};
 
-const WHOLE: &str = r#"
+const VALID_FILE: &str = r#"
 gateway {
     site "khi-1"
     listen "127.0.0.1:7400"
@@ -23,7 +23,7 @@
 
 #[test]
 fn reads_every_setting() {
-    let gateway = read("a.kdl", WHOLE).unwrap().gateway.unwrap();
+    let gateway = read("a.kdl", VALID_FILE).unwrap().gateway.unwrap();
     assert_eq!(gateway.site, "khi-1");
     assert_eq!(gateway.listen, Some("127.0.0.1:7400".parse().unwrap()));
     assert_eq!(gateway.peers[0].connect, Some("127.0.0.1:7401".parse().unwrap()));
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn reads_an_empty_file_as_nothing_switched_on() {
+fn an_empty_file_enables_nothing() {
     assert_eq!(read("a.kdl", "// nothing\n").unwrap(), OperatorConfig::default());
 }
 
 #[test]
-fn reports_each_error_with_its_place_and_what_was_expected() {
+fn reports_each_error_with_its_position_and_the_expected_value() {
     let cases = [
         ("site \"khi-1\"", "site \"\"", "4:10: expected a site's name"),
         ("listen \"127.0.0.1:7400\"", "listen 7400", "5:12: expected an address such as"),
@@ -55,26 +55,26 @@
         ("over-share #true", "over-share \"yes\"", "expected #true or #false"),
         ("most-open 12", "most-open -1", "expected a whole number from 0 to 4096, found -1"),
         ("hold", "holds", "expected one of starve, hold, margin"),
-        ("close-at \"5%\"", "close-at \"30%\"", "expected a close-at below open-at"),
-        ("silence \"200ms\"", "silence \"60ms\"", "expected a silence of two heartbeats"),
-        ("peer \"isb-1\"", "peer \"lhe-1\"", "expected each peer once"),
-        ("peer \"isb-1\"", "peer \"khi-1\"", "expected the name of another site"),
-        ("secret-file \"/run/secrets/gateway\"", "", "3:1: expected \"secret-file\" in it"),
-        ("site \"khi-1\"", "site \"khi-1\" \"khi-2\"", "expected one value"),
-        ("site \"khi-1\"", "site \"khi-1\"\n    site \"khi-2\"", "expected \"site\" once"),
+        ("close-at \"5%\"", "close-at \"30%\"", "expected a close-at below open-at, found close-at 0.3, open-at 0.3"),
+        ("silence \"200ms\"", "silence \"60ms\"", "expected a silence of two heartbeats or more, and a heartbeat of 1ms or more, found silence 60ms, heartbeat 50ms"),
+        ("peer \"isb-1\"", "peer \"lhe-1\"", "expected each peer once, at most 64 peers, found \"lhe-1\""),
+        ("peer \"isb-1\"", "peer \"khi-1\"", "expected the name of another site, found this site's own name \"khi-1\""),
+        ("secret-file \"/run/secrets/gateway\"", "", "3:1: expected a \"secret-file\" node with the path of a file, found none"),
+        ("site \"khi-1\"", "site \"khi-1\" \"khi-2\"", "expected one value, found another: khi-2"),
+        ("site \"khi-1\"", "site \"khi-1\"\n    site \"khi-2\"", "expected \"site\" once, found another"),
     ];
-    for (right, wrong, report) in cases {
-        let text = format!("\n{}", WHOLE.replacen(right, wrong, 1));
-        let errors = read("a.kdl", &text).expect_err(wrong);
+    for (valid, invalid, expected) in cases {
+        let text = format!("\n{}", VALID_FILE.replacen(valid, invalid, 1));
+        let errors = read("a.kdl", &text).expect_err(invalid);
         let lines = errors.to_string();
-        assert!(lines.contains(report) && lines.starts_with("a.kdl:"), "{wrong}: {lines}");
-        assert_eq!(errors.count(), 1, "{wrong}: {lines}");
+        assert!(lines.contains(expected) && lines.starts_with("a.kdl:"), "{invalid}: {lines}");
+        assert_eq!(errors.count(), 1, "{invalid}: {lines}");
     }
 }
 
 #[test]
-fn reports_all_errors_at_once_in_their_order() {
-    let text = WHOLE.replace("\"5ms\"", "5").replace("peer \"lhe-1\"", "peers \"lhe-1\"");
+fn reports_all_errors_sorted_by_position() {
+    let text = VALID_FILE.replace("\"5ms\"", "5").replace("peer \"lhe-1\"", "peers \"lhe-1\"");
     let errors = read("a.kdl", &text).unwrap_err();
     let lines: Vec<String> = errors.to_string().lines().map(str::to_owned).collect();
     assert!(lines[0].starts_with("a.kdl:6:5: expected one of site, listen"), "{lines:?}");
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn reports_the_place_of_malformed_kdl() {
+fn reports_the_position_of_malformed_kdl() {
     let errors = read("a.kdl", "gateway {\n    site \"khi-1\n}\n").unwrap_err().to_string();
     assert!(errors.starts_with("a.kdl:2:") && errors.contains("well-formed KDL"), "{errors}");
 }
 
-/// What the example in `deploy/` says is what holds without it: its comments are true.
+/// The example in `deploy/` must contain the defaults, as its comments claim.
 #[test]
-fn the_example_shows_the_defaults() {
+fn the_example_file_contains_the_defaults() {
     let text = include_str!("../../../deploy/gateway.kdl");
     let gateway = read("gateway.kdl", text).unwrap().gateway.unwrap();
     let peers = gateway.decisions.peers.clone();
