--- a/src/scheduling/gossip_broadcast.rs
+++ b/src/scheduling/gossip_broadcast.rs
@@ -24,7 +24,7 @@
         let workers = self.fleet.workers.values().filter(|worker| worker.slots.reserved_here >= 1.0);
         let reservations = workers.map(reservation).collect();
         if let Some(message) = self.gossip.next_message(self.now, reservations) {
-            self.act(Action::BroadcastGossip(message));
+            self.emit(Action::BroadcastGossip(message));
         }
         self.set_timer(gossip::INTERVAL_S, Timer::Gossip);
     }
