--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -21,7 +21,7 @@
 const ADDRESS: &str = "an address such as \"10.0.0.4:7400\"";
 const SITE_NAME: &str = "a site's name of 1 to 128 characters";
 const DURATION: &str = "a duration such as \"5ms\" or \"1.5s\"";
-const PERCENTAGE: &str = "a share such as \"25%\"";
+const PERCENTAGE: &str = "a percentage such as \"25%\"";
 const SIZE: &str = "a size such as \"64KiB\"";
 
 /// Maximum length of a site name, as in the handshake of the link.
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -50,7 +50,7 @@
         ("site \"khi-1\"", "site \"\"", "4:10: expected a site's name"),
         ("listen \"127.0.0.1:7400\"", "listen 7400", "5:12: expected an address such as"),
         ("term \"500ms\"", "term 500", "expected a duration such as"),
-        ("open-at \"30%\"", "open-at \"30\"", "expected a share such as"),
+        ("open-at \"30%\"", "open-at \"30\"", "expected a percentage such as"),
         ("frame \"64KiB\"", "frame \"64KB\"", "expected a size such as"),
         ("over-share #true", "over-share \"yes\"", "expected #true or #false"),
         ("most-open 12", "most-open -1", "expected a whole number from 0 to 4096, found -1"),
--- a/crates/site-link/src/error.rs
+++ b/crates/site-link/src/error.rs
@@ -16,8 +16,8 @@
     /// The peer's proof does not match the shared secret.
     #[error("authentication failed: the peer's secret differs from this site's")]
     WrongSecret,
-    /// The peer's site is not the one dialled, or is not listed in the operator's file.
-    #[error("the peer identifies itself as {0:?}, which is not an expected site")]
+    /// The peer belongs to another site than the one dialled, or to a site that the operator's file does not list.
+    #[error("the peer identifies itself as site {0:?}, which is not configured for this link")]
     UnknownPeer(String),
     /// A frame exceeds the maximum size.
     #[error("frame of {length} bytes exceeds the maximum of {max} bytes")]
--- a/crates/site-link/src/lib.rs
+++ b/crates/site-link/src/lib.rs
@@ -16,8 +16,8 @@
 //! | handshake | [`Handshake`] | [`HandshakeStep::Established`], or a [`LinkError`] |
 //! | up | [`Link`] | a [`LinkError`]; the connection is closed |
 //!
-//! A link delivers frames in order and cannot be reused after it has ended. The gateway queries the status of requests
-//! that were in flight over the next link. The protocol authenticates both sides but does not encrypt. Encryption can
+//! A link delivers frames in order and cannot be reused after it has ended. The status of requests that were in flight
+//! at its end is queried over the next link. The protocol authenticates both sides but does not encrypt. Encryption can
 //! be added between the link and the socket, because a link runs over any byte stream.
 #![warn(missing_docs)]
 
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -36,12 +36,12 @@
     /// Fewer bytes are left than the next field, record or header needs.
     #[error("{} bytes expected, {} left", .source.requested, .source.available)]
     TooShort {
-        /// The number of bytes expected and left.
+        /// The numbers of bytes expected and left.
         #[from]
         source: bytes::TryGetError,
     },
     /// Bytes remain after the last field, or after the last record of a frame.
-    #[error("{0} unexpected bytes at the end")]
+    #[error("{0} unexpected trailing bytes")]
     TooLong(usize),
     /// A field has a value that the protocol does not define.
     #[error("unknown value {value} of {field}")]
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -96,8 +96,8 @@
         reply
     }
 
-    /// Handles one record. Records for the whole process come first, then those that start an instance, then those
-    /// that need a running one.
+    /// Handles one record. Checks first for records that apply to the whole process, then for those that start an
+    /// instance. All others need a running instance.
     fn handle_record(&mut self, code: u8, fields: &mut &[u8], batch: &mut Batch) -> Result<(), RecordError> {
         let record = IncomingRecord::from_code(code);
         if record == Some(IncomingRecord::SelectInstance) {
--- a/src/simulator/records/incoming.rs
+++ b/src/simulator/records/incoming.rs
@@ -11,7 +11,7 @@
 
 /// Length of one entry of a worker list.
 const LIST_ENTRY_BYTES: usize = 24;
-/// Maximum number of a worker list.
+/// Highest valid worker list number.
 const MAX_LIST_NUMBER: u8 = 15;
 /// Option bit of a request: its estimated work is valid.
 const OPTION_HAS_ESTIMATE: u16 = 1;
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -4,7 +4,7 @@
 
 use chutesaddle::simulator::Host;
 
-const OPTIONS: &str = "balancers=1\ntick_s=0.004\ngrades.count=1\ngrades.0.effect=repeatable\n\
+const SETTINGS: &str = "balancers=1\ntick_s=0.004\ngrades.count=1\ngrades.0.effect=repeatable\n\
     grades.0.slo_s=0.5\ngrades.0.deadline_s=5.0\nspecifics.tells_start=true\nallowed.send_cap=2\nkinds=a\n";
 
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
@@ -21,8 +21,8 @@
     record(3, &[&instance.to_le_bytes()])
 }
 
-fn start_instance(options: &str) -> Vec<u8> {
-    record(8, &[&9u64.to_le_bytes(), &(options.len() as u32).to_le_bytes(), options.as_bytes()])
+fn start_instance(settings: &str) -> Vec<u8> {
+    record(8, &[&9u64.to_le_bytes(), &(settings.len() as u32).to_le_bytes(), settings.as_bytes()])
 }
 
 const WORKER: [u8; 6] = [10, 0, 0, 1, 0x40, 0x1f];
@@ -66,7 +66,7 @@
         frame(1.0, &[]),
         frame(
             1.0,
-            &[select_instance(3), start_instance(OPTIONS), worker_list(2), endpoint_list_update(2, 2)],
+            &[select_instance(3), start_instance(SETTINGS), worker_list(2), endpoint_list_update(2, 2)],
         ),
         frame(2.0, &[select_instance(3), request_received(77, 7.0)]),
         frame(2.1, &[select_instance(3), timer_expired(0)]),
@@ -90,31 +90,42 @@
 fn routes_a_request_with_byte_exact_replies() {
     let (out, error) = run(&valid_frames());
     assert_eq!(error, None);
-    let at = "0d02000000".to_owned() + "0300";
+    let select = "0d02000000".to_owned() + "0300";
     let timer =
         |wait: f64, tag: u64| format!("0510000000{}{}", hex(&wait.to_le_bytes()), hex(&tag.to_le_bytes()));
-    let accepted = [at.clone(), timer(4.992, (1 << 32) + 77), timer(0.06 * 0.5, 0), timer(0.1, 1)].concat();
+    let accepted =
+        [select.clone(), timer(4.992, (1 << 32) + 77), timer(0.06 * 0.5, 0), timer(0.1, 1)].concat();
     let route =
-        [at, "0112000000".into(), "4d000000".into(), hex(&WORKER), "0000000000000000".into()].concat();
+        [select, "0112000000".into(), "4d000000".into(), hex(&WORKER), "0000000000000000".into()].concat();
     let framed = |body: &str| format!("{}{body}", hex(&(body.len() as u32 / 2).to_le_bytes()));
     assert_eq!(hex(&out), ["00000000", "00000000", &framed(&accepted), &framed(&route)].concat());
 }
 
 #[test]
 fn accepts_all_other_records() {
-    let none = [0u8; 8];
-    let note = record(1, &[&77u32.to_le_bytes(), &[0], &0.5f32.to_le_bytes(), &WORKER, &[2]]);
-    let head = record(4, &[&77u32.to_le_bytes(), &none, &WORKER, &[0]]);
+    let zero = [0u8; 8];
+    let progress = record(1, &[&77u32.to_le_bytes(), &[0], &0.5f32.to_le_bytes(), &WORKER, &[2]]);
+    let response_started = record(4, &[&77u32.to_le_bytes(), &zero, &WORKER, &[0]]);
     let ended =
-        record(5, &[&77u32.to_le_bytes(), &[0], &WORKER, &[0, 0], &none, &[1], &[0; 4], &[1, 0, 0, 0, 0]]);
+        record(5, &[&77u32.to_le_bytes(), &[0], &WORKER, &[0, 0], &zero, &[1], &[0; 4], &[1, 0, 0, 0, 0]]);
     let gossip = record(6, &[&[0; 4], &[2, 0], b"hi"]);
-    let probed = record(13, &[&WORKER, &[0, 0], &none, &[0]]);
-    let left = record(2, &[&77u32.to_le_bytes()]);
-    let gone = record(7, &[]);
+    let probed = record(13, &[&WORKER, &[0, 0], &zero, &[0]]);
+    let disconnected = record(2, &[&77u32.to_le_bytes()]);
+    let stop = record(7, &[]);
     let mut frames = valid_frames();
     frames.push(frame(
         3.0,
-        &[select_instance(3), note, head, ended, gossip, probed, left, endpoint_list_update(3, 0), gone],
+        &[
+            select_instance(3),
+            progress,
+            response_started,
+            ended,
+            gossip,
+            probed,
+            disconnected,
+            endpoint_list_update(3, 0),
+            stop,
+        ],
     ));
     assert_eq!(run(&frames).1, None);
 }
@@ -137,7 +148,7 @@
             frame(1.0, &[select_instance(3), record(99, &[])]),
             "offset 19, unknown record: unknown value 99 of the record code",
         ),
-        (frame(1.0, &[select_instance(3), overlong]), "TICK_DUE: 1 unexpected bytes at the end"),
+        (frame(1.0, &[select_instance(3), overlong]), "TICK_DUE: 1 unexpected trailing bytes"),
         (frame(1.0, &[select_instance(3), record(12, &[&[1, 2]])]), "TICK_DUE: 8 bytes expected, 2 left"),
         (
             frame(1.0, &[select_instance(5), start_instance("tick_s=soon")]),
