--- a/src/server/peers/site_links/dialer.rs
+++ b/src/server/peers/site_links/dialer.rs
@@ -152,7 +152,7 @@
     ) -> Result<EstablishedLink<TcpStream>, CloseReason> {
         let connect_timeout = settings.file.link.handshake_timeout;
         let Ok(connected) = timeout(connect_timeout, TcpStream::connect(address)).await else {
-            return Err(CloseReason::Link(LinkError::HandshakeTimeout));
+            return Err(CloseReason::Link(LinkError::HandshakeTimeout(connect_timeout)));
         };
         let stream = connected?;
         let _ = stream.set_nodelay(true); // best effort: without it the link is only slower
