--- a/crates/trace/src/block_builder.rs
+++ b/crates/trace/src/block_builder.rs
@@ -1,8 +1,8 @@
-//! A block that is being filled with records.
+//! Encodes records into blocks.
 
 use std::io;
 
-use crate::block::{BlockHead, BlockKind, Codec, EncodedBlock, FULL_BYTES, MOST_RECORD_BYTES};
+use crate::block::{BlockHeader, BlockKind, Codec, EncodedBlock, MAX_RECORD_BYTES, TARGET_BLOCK_BYTES};
 use crate::record::{decode, encode, DecodedRecord};
 use crate::{Record, TraceError};
 
@@ -12,12 +12,14 @@
     source: u16,
     raw: Vec<u8>,
     count: u32,
-    /// The time of the first record that was added, and of the last.
+    /// Time of the record that was added first.
     first_added_at: u64,
+    /// Time of the record that was added last.
     last_added_at: u64,
-    /// The least and the largest time.
-    first: u64,
-    last: u64,
+    /// Earliest time in the block. Records can be added out of order.
+    min_time: u64,
+    /// Latest time in the block.
+    max_time: u64,
 }
 
 impl BlockBuilder {
@@ -30,66 +32,70 @@
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.raw.len() >= FULL_BYTES - MOST_RECORD_BYTES
+        self.raw.len() >= TARGET_BLOCK_BYTES - MAX_RECORD_BYTES
     }
 
     /// Adds a record.
     ///
     /// # Errors
-    /// If it is longer than [`MOST_RECORD_BYTES`], which no record of this program is.
+    /// If the encoded record is larger than [`MAX_RECORD_BYTES`]. Records written by a scheduler never are.
     pub(crate) fn push(&mut self, at: u64, record: &Record) -> Result<(), TraceError> {
         if self.count == 0 {
             self.first_added_at = at;
             self.last_added_at = at;
-            self.first = at;
-            self.last = at;
+            self.min_time = at;
+            self.max_time = at;
         }
         let length_before = self.raw.len();
-        let since_previous = at.wrapping_sub(self.last_added_at) as i64;
-        encode(&mut self.raw, since_previous, record).map_err(|e| io::Error::other(e.to_string()))?;
-        if self.raw.len() - length_before > MOST_RECORD_BYTES {
+        let time_delta_us = at.wrapping_sub(self.last_added_at) as i64;
+        encode(&mut self.raw, time_delta_us, record).map_err(|e| io::Error::other(e.to_string()))?;
+        let record_bytes = self.raw.len() - length_before;
+        if record_bytes > MAX_RECORD_BYTES {
             self.raw.truncate(length_before);
-            return Err(io::Error::other("a record is too long").into());
+            let message =
+                format!("record of {record_bytes} bytes is too long: at most {MAX_RECORD_BYTES} allowed");
+            return Err(io::Error::other(message).into());
         }
         self.last_added_at = at;
-        self.first = self.first.min(at);
-        self.last = self.last.max(at);
+        self.min_time = self.min_time.min(at);
+        self.max_time = self.max_time.max(at);
         self.count += 1;
         Ok(())
     }
 
-    /// Ends the block; the builder is empty from then on.
+    /// Finishes the block and leaves the builder empty.
     pub(crate) fn finish(&mut self) -> EncodedBlock {
         let raw = self.take_raw();
         let compressed = lz4_flex::block::compress(&raw);
         let (codec, stored) =
             if compressed.len() < raw.len() { (Codec::Lz4, &compressed) } else { (Codec::Plain, &raw) };
-        let head = BlockHead {
+        let header = BlockHeader {
             stored_bytes: stored.len() as u32,
             raw_bytes: raw.len() as u32,
             count: std::mem::take(&mut self.count),
-            first: self.first,
-            last: self.last,
+            min_time: self.min_time,
+            max_time: self.max_time,
             source: self.source,
             codec,
             kind: BlockKind::Records,
             crc: 0,
         };
-        EncodedBlock { head, bytes: head.to_bytes(stored) }
+        EncodedBlock { header, bytes: header.to_bytes(stored) }
     }
 
-    /// Takes the records. The first one's time is counted from `first`, which a later record may have lowered.
+    /// Takes the encoded records. Re-encodes the first one if its time is not `min_time`: readers count the first time
+    /// difference from `min_time`, but a later record can be earlier than the first.
     fn take_raw(&mut self) -> Vec<u8> {
-        let recorded = std::mem::take(&mut self.raw);
-        let shift = self.first_added_at.wrapping_sub(self.first);
+        let encoded = std::mem::take(&mut self.raw);
+        let shift = self.first_added_at.wrapping_sub(self.min_time);
         if shift == 0 {
-            return recorded;
+            return encoded;
         }
-        let mut raw = Vec::with_capacity(recorded.len() + 9);
-        let mut rest = recorded.as_slice();
-        if let Some(DecodedRecord { since_previous, record: Some(record) }) = decode(&mut rest) {
-            // It was encoded before, so it can be encoded again.
-            let _ = encode(&mut raw, since_previous.wrapping_add(shift as i64), &record);
+        let mut raw = Vec::with_capacity(encoded.len() + 9);
+        let mut rest = encoded.as_slice();
+        if let Some(DecodedRecord { time_delta_us, record: Some(record) }) = decode(&mut rest) {
+            // Encoding cannot fail: the same record has been encoded before.
+            let _ = encode(&mut raw, time_delta_us.wrapping_add(shift as i64), &record);
         }
         raw.extend_from_slice(rest);
         raw
--- a/crates/trace/src/checker.rs
+++ b/crates/trace/src/checker.rs
@@ -1,60 +1,60 @@
-//! Checks that each arrival has one answer and at most one attempt at a time.
+//! Checks that each request gets exactly one answer and has at most one attempt at a time.
 //!
-//! The lifetime of a request, as a sound scheduler records it:
+//! The expected states of a request:
 //!
-//! | state | record | next |
+//! | state | record | next state |
 //! | --- | --- | --- |
 //! | not open | arrival | open |
-//! | open | attempt sent | open, attempt out |
-//! | open, attempt out | attempt ended | open |
+//! | open | attempt sent | open, attempt in flight |
+//! | open, attempt in flight | attempt ended | open |
 //! | open | answered | not open |
-//! | open, attempt out | answered | not open, the attempt's end still to come |
+//! | open, attempt in flight | answered | not open, awaiting the attempt end |
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-use crate::{AnswerKind, Item, Record, RecordCounts, TimedRecord};
+use crate::{AnswerKind, Record, RecordCounts, TimedRecord, TraceItem};
 
-/// Something that a sound scheduler does not do.
+/// An inconsistency in the records of a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Whose records show it.
+    /// Source of the records.
     pub source: u16,
-    /// What is wrong.
+    /// Kind of violation.
     pub kind: ViolationKind,
-    /// The number of the request; for [`ViolationKind::TimeWentBackwards`] the time of the record.
+    /// Number of the request, or the time of the record for [`ViolationKind::TimeWentBackwards`].
     pub subject: u64,
 }
 
-/// What is wrong.
+/// Kind of violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationKind {
-    /// A request arrived while one of its number was open.
-    ArrivedTwice,
-    /// An answer, decision or end of a request that is not open.
+    /// A request arrived while another with the same number was open.
+    DuplicateArrival,
+    /// An answer, rejection, or attempt sent or ended without a matching open request or attempt.
     NotOpen,
-    /// No answer until the end of the file.
+    /// The file ends without an answer.
     Unanswered,
-    /// Two attempts were out at once.
-    TwoAttempts,
-    /// A time before the one of the record before it.
+    /// A second attempt was sent while one was in flight.
+    ConcurrentAttempts,
+    /// The record is earlier than a preceding one of the same source.
     TimeWentBackwards,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self.kind {
-            ViolationKind::ArrivedTwice => "arrived while open",
+            ViolationKind::DuplicateArrival => "arrived while open",
             ViolationKind::NotOpen => "is told of while not open",
             ViolationKind::Unanswered => "has no answer",
-            ViolationKind::TwoAttempts => "has two attempts out at once",
+            ViolationKind::ConcurrentAttempts => "has two attempts out at once",
             ViolationKind::TimeWentBackwards => "is the time of a record before another",
         };
         write!(f, "source {}: {} {text}", self.source, self.subject)
     }
 }
 
-/// A request, as named across the sources of a file.
+/// Identifies a request among all sources of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct RequestKey {
     source: u16,
@@ -69,30 +69,29 @@
 
 #[derive(Default)]
 struct OpenRequest {
-    attempt_out: Option<u8>,
+    attempt_in_flight: Option<u8>,
 }
 
-/// Checks records in their order. It remembers the requests that are open, and those whose last attempt still has its
-/// end to come.
+/// Checks records in file order. Memory use grows with the requests that are open or awaiting an attempt end.
 #[derive(Default)]
 pub struct Checker {
     open: HashMap<RequestKey, OpenRequest>,
-    /// Answered, with an attempt out.
+    /// Requests that were answered while an attempt was in flight.
     awaiting_attempt_end: HashSet<RequestKey>,
-    last_time: HashMap<u16, u64>,
+    latest_time: HashMap<u16, u64>,
     sources_with_gaps: HashSet<u16>,
     counts: RecordCounts,
 }
 
 impl Checker {
-    /// Checks one item and appends what is wrong with it.
-    pub fn check(&mut self, item: &Item, violations: &mut Vec<Violation>) {
+    /// Checks one item and appends the violations found.
+    pub fn check(&mut self, item: &TraceItem, violations: &mut Vec<Violation>) {
         match item {
-            Item::Record(timed) => {
+            TraceItem::Record(timed) => {
                 self.counts.records += 1;
                 self.check_record(timed, violations);
             }
-            Item::Gap(entry) | Item::Damaged(entry) => {
+            TraceItem::Gap(entry) | TraceItem::Damaged(entry) => {
                 self.counts.missing += u64::from(entry.count);
                 self.sources_with_gaps.insert(entry.source);
             }
@@ -101,12 +100,12 @@
 
     fn check_record(&mut self, timed: &TimedRecord, violations: &mut Vec<Violation>) {
         let source = timed.source;
-        let last_time = self.last_time.entry(source).or_default();
-        if timed.at < *last_time {
+        let latest_time = self.latest_time.entry(source).or_default();
+        if timed.at < *latest_time {
             let kind = ViolationKind::TimeWentBackwards;
             violations.push(Violation { source, kind, subject: timed.at });
         }
-        *last_time = timed.at.max(*last_time);
+        *latest_time = timed.at.max(*latest_time);
         let Some(id) = timed.record.request_id() else { return };
         let key = RequestKey { source, id };
         if let Some(kind) = self.apply(key, &timed.record) {
@@ -114,28 +113,28 @@
         }
     }
 
-    /// Changes the state of a request as its record says, and gives what is wrong with that.
+    /// Applies a record to the state of its request. Returns the violation, if there is one.
     fn apply(&mut self, key: RequestKey, record: &Record) -> Option<ViolationKind> {
         match record {
             Record::Arrival { .. } => {
-                let open_before = self.open.insert(key, OpenRequest::default());
-                open_before.map(|_| ViolationKind::ArrivedTwice)
+                let previous = self.open.insert(key, OpenRequest::default());
+                previous.map(|_| ViolationKind::DuplicateArrival)
             }
             Record::Answered { kind, .. } => {
                 let Some(request) = self.open.remove(&key) else { return Some(ViolationKind::NotOpen) };
-                // The process that takes over a request also records the end of its attempt.
-                if request.attempt_out.is_some() && *kind != AnswerKind::Migrated {
+                // After a migration the successor process records the attempt end.
+                if request.attempt_in_flight.is_some() && *kind != AnswerKind::Migrated {
                     self.awaiting_attempt_end.insert(key);
                 }
                 None
             }
             Record::AttemptSent { attempt, .. } => {
                 let Some(request) = self.open.get_mut(&key) else { return Some(ViolationKind::NotOpen) };
-                request.attempt_out.replace(*attempt).map(|_| ViolationKind::TwoAttempts)
+                request.attempt_in_flight.replace(*attempt).map(|_| ViolationKind::ConcurrentAttempts)
             }
             Record::AttemptEnded { attempt, .. } => self.end_attempt(key, *attempt),
             Record::Rejected { .. } => (!self.open.contains_key(&key)).then_some(ViolationKind::NotOpen),
-            // Neither needs the request to be open.
+            // Both are valid without an open request.
             Record::AttemptProgressed { .. } | Record::Forwarding { .. } => None,
             Record::Source { .. }
             | Record::Worker { .. }
@@ -149,26 +148,26 @@
             let was_awaited = self.awaiting_attempt_end.remove(&key);
             return (!was_awaited).then_some(ViolationKind::NotOpen);
         };
-        if request.attempt_out != Some(attempt) {
+        if request.attempt_in_flight != Some(attempt) {
             return Some(ViolationKind::NotOpen);
         }
-        request.attempt_out = None;
+        request.attempt_in_flight = None;
         None
     }
 
-    /// At the end of a complete file: every request that is still open has no answer.
+    /// Reports all requests that are still open as unanswered. Call this at the end of a complete file.
     pub fn finish(&mut self, violations: &mut Vec<Violation>) {
         let mut open: Vec<RequestKey> = self.open.drain().map(|(key, _)| key).collect();
         open.sort_unstable();
         violations.extend(open.into_iter().map(|key| key.violation(ViolationKind::Unanswered)));
     }
 
-    /// Records checked, and records that are missing.
+    /// Returns the numbers of checked and missing records.
     pub fn counts(&self) -> RecordCounts {
         self.counts
     }
 
-    /// Whether records of that source are missing, which may be the reason of its violations.
+    /// Whether records of `source` are missing, which can explain its violations.
     pub fn has_gaps(&self, source: u16) -> bool {
         self.sources_with_gaps.contains(&source)
     }
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a trace file cannot be read or written.
+//! Errors of reading, writing and merging trace files.
 
 use std::io;
 
-/// Why a file cannot be read or written.
+/// An error while reading, writing or merging trace files.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// The file system failed.
+    /// Reading or writing the underlying file failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It does not begin like a trace file.
-    #[error("no trace file")]
-    NotATrace,
-    /// It is written in another version.
-    #[error("a trace file of version {0}; this program reads version 1")]
+    /// The file does not start with the magic bytes. The text says what was found instead.
+    #[error("not a trace file: {0}")]
+    NotATrace(String),
+    /// The file has an unsupported format version.
+    #[error("trace format version {0} is not supported; this program reads version 1")]
     UnsupportedVersion(u16),
-    /// The header is damaged: without it no time or name means anything.
-    #[error("the header is damaged")]
+    /// The header is damaged. Records cannot be interpreted without it: it holds the start time and all names.
+    #[error("the file header is damaged: its length, checksum or encoding is invalid")]
     DamagedHeader,
-    /// A block is damaged.
-    #[error("the block at byte {0} is damaged")]
+    /// The block at this byte offset is damaged.
+    #[error("the block at byte offset {0} is damaged")]
     DamagedBlock(u64),
-    /// Files cannot be merged.
-    #[error("the files do not go together: {0}")]
+    /// The input files cannot be merged. The text says why.
+    #[error("cannot merge the trace files: {0}")]
     Merge(String),
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,20 +1,20 @@
-//! Trace files: what a scheduler received, decided, sent and answered, for replay and comparison after the fact.
+//! Trace files: the requests, decisions, attempts and answers of a scheduler, recorded for replay and comparison.
 //!
-//! The format is specified in `docs/trace-format.md`, exactly enough for somebody else to write a reader. Begin with
-//! [`Record`], which lists what can happen, then [`Writer`] and [`Reader`]. Neither knows a socket or a clock: they
-//! work on anything that is `Write`, or `Read` and `Seek`, and times are arguments. The command line tools are in
+//! `docs/trace-format.md` specifies the format in enough detail to write an independent reader. Start with [`Record`],
+//! which lists all recorded events, then read [`Writer`] and [`Reader`]. Neither uses a socket or a clock: a writer
+//! takes any `Write`, a reader any `Read + Seek`, and times are passed as arguments. The command line tools are in
 //! `src/cli/trace.rs`.
 //!
-//! | file | question |
+//! | module | contents |
 //! | --- | --- |
-//! | `record` | what is recorded, and its bytes |
-//! | `block`, `block_builder` | records in checked, compressed blocks: one that is read, one that is filled |
-//! | `header` | who wrote a file, and when its time 0 was |
-//! | `index` | where the blocks of a file are, from its end or by a scan |
-//! | `writer`, `reader` | whole files |
-//! | `merge` | several files into one, in the order of their wall clocks |
-//! | `checker` | has each arrival one answer |
-//! | `summary` | service as the operators count it, in bounded memory |
+//! | `record` | the recorded events and their encoding |
+//! | `block`, `block_builder` | checksummed, compressed blocks of records: decoding and encoding |
+//! | `header` | the file header: the scheduler that wrote the file, and its start time |
+//! | `index` | the positions of the blocks, read from the trailer or rebuilt by a scan |
+//! | `writer`, `reader` | writing and reading a whole file |
+//! | `merge` | merging several files into one, ordered by wall clock |
+//! | `checker` | consistency checks: every request gets exactly one answer |
+//! | `summary` | service per class and tenant, computed in bounded memory |
 #![warn(missing_docs)]
 
 mod block;
@@ -35,16 +35,16 @@
 pub use header::{ClassObjective, Header};
 pub use index::{BlockEntry, Index};
 pub use merge::{merge, MergeInput};
-pub use reader::{Item, Reader};
+pub use reader::{Reader, TraceItem};
 pub use record::{AnswerKind, AttemptStage, ForwardingStep, LifecycleChange, Record, TimedRecord};
-pub use summary::{ServiceRow, Summary, WorstStretch};
+pub use summary::{ServiceRow, Summary, WorstWindow};
 pub use writer::Writer;
 
-/// How many records were taken up.
+/// Number of records processed so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordCounts {
     /// Records read.
     pub records: u64,
-    /// Records dropped by the writer or lost with a damaged block.
+    /// Records dropped by the writer or lost in damaged blocks.
     pub missing: u64,
 }
--- a/crates/trace/src/little_endian.rs
+++ b/crates/trace/src/little_endian.rs
@@ -1,16 +1,16 @@
-//! Fixed-width numbers at known places of a byte array.
+//! Reads little-endian integers at fixed offsets.
 
-/// The `u16` at this place.
-pub(crate) fn u16_at(bytes: &[u8], at: usize) -> u16 {
-    u16::from_le_bytes([bytes[at], bytes[at + 1]])
+/// Reads the `u16` at `offset`.
+pub(crate) fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes([bytes[offset], bytes[offset + 1]])
 }
 
-/// The `u32` at this place.
-pub(crate) fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
+/// Reads the `u32` at `offset`.
+pub(crate) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
 }
 
-/// The `u64` at this place.
-pub(crate) fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    u64::from(u32_at(bytes, at)) | u64::from(u32_at(bytes, at + 4)) << 32
+/// Reads the `u64` at `offset`.
+pub(crate) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from(u32_at(bytes, offset)) | u64::from(u32_at(bytes, offset + 4)) << 32
 }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,104 +1,107 @@
-//! Several files into one.
+//! Merges several trace files into one.
 //!
-//! Times go by the wall clocks that the files' anchors name, plus the caller's correction of each clock. The numbers
-//! of classes, tenants, workers and sources are made to fit.
+//! Records are ordered by wall clock: the anchor of their file plus a correction passed by the caller. Classes,
+//! tenants, workers and sources are renumbered.
 
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
 
 use crate::header::ClassObjective;
-use crate::{Header, Item, Reader, Record, TraceError, Writer};
+use crate::{Header, Reader, Record, TraceError, TraceItem, Writer};
 
-/// A file to merge.
+/// An input file of a merge.
 pub struct MergeInput<R> {
-    /// The file.
+    /// Reader of the file.
     pub reader: Reader<R>,
-    /// What is to be added to its clock, in microseconds.
+    /// Correction added to the file's clock, in microseconds.
     pub clock_correction_us: i64,
 }
 
 impl<R: Read + Seek> MergeInput<R> {
-    /// Time 0 of the file, corrected.
+    /// The corrected anchor of the file.
     fn anchor(&self) -> u64 {
         self.reader.header().anchor.saturating_add_signed(self.clock_correction_us)
     }
 }
 
-/// One file on its way into another.
-struct Part<'a, R> {
+/// The state of one input file during a merge.
+struct Input<'a, R> {
     reader: &'a mut Reader<R>,
-    /// Added to each time.
-    shift: u64,
-    numbers: HeaderNumbers,
+    /// Offset of the file's anchor from the anchor of the merged file.
+    time_shift_us: u64,
+    header_indexes: HeaderIndexes,
+    /// Source numbers in the merged file, by number in this file.
     sources: HashMap<u16, u16>,
+    /// Worker numbers in the merged file, by number in this file.
     workers: HashMap<WorkerKey, u16>,
-    next: Option<Item>,
+    next: Option<TraceItem>,
 }
 
-impl<R> Part<'_, R> {
-    /// When the next item happened, on the clock of the merged file.
+impl<R> Input<'_, R> {
+    /// Time of the next item, relative to the anchor of the merged file.
     fn next_time(&self) -> Option<u64> {
         match self.next.as_ref()? {
-            Item::Record(timed) => Some(timed.at + self.shift),
-            Item::Gap(entry) | Item::Damaged(entry) => Some(entry.first + self.shift),
+            TraceItem::Record(timed) => Some(timed.at + self.time_shift_us),
+            TraceItem::Gap(entry) | TraceItem::Damaged(entry) => Some(entry.min_time + self.time_shift_us),
         }
     }
 }
 
-/// A worker, as numbered in one file.
+/// Identifies a worker within one input file.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct WorkerKey {
     source: u16,
     worker: u16,
 }
 
-/// The numbers in the merged file of the classes and tenants of one file.
-struct HeaderNumbers {
+/// Maps the class and tenant indexes of an input file to those of the merged file.
+struct HeaderIndexes {
     classes: Vec<u16>,
     tenants: Vec<u16>,
 }
 
-/// Merges files into one, in the order of their clocks, and gives how many records it holds.
+/// Merges files by wall clock into `output`, and returns the number of records written.
 ///
 /// # Errors
-/// If the same class has other objectives in two of them, their names were replaced under different secrets, or a
-/// file cannot be read or written.
-pub fn merge<R: Read + Seek, W: Write>(files: &mut [MergeInput<R>], to: W) -> Result<u64, TraceError> {
+/// If the files define a class differently, weight requests over quota differently or were anonymised with different
+/// secrets, or if a file cannot be read or written.
+pub fn merge<R: Read + Seek, W: Write>(files: &mut [MergeInput<R>], output: W) -> Result<u64, TraceError> {
     let anchors: Vec<u64> = files.iter().map(MergeInput::anchor).collect();
     let anchor = anchors.iter().copied().min().unwrap_or_default();
     let headers: Vec<&Header> = files.iter().map(|file| file.reader.header()).collect();
     let mut merged_header = MergedHeader::default();
-    let numbers =
+    let header_indexes =
         headers.iter().map(|header| merged_header.add(header)).collect::<Result<Vec<_>, TraceError>>()?;
-    let secret_mark = common_secret(&headers)?;
-    let mut writer = Writer::new(to, &merged_header.finish(anchor, secret_mark))?;
+    let secret_fingerprint = common_secret(&headers)?;
+    let mut writer = Writer::new(output, &merged_header.finish(anchor, secret_fingerprint))?;
     let mut merger = Merger::default();
-    let mut parts = Vec::new();
-    for ((file, file_anchor), numbers) in files.iter_mut().zip(anchors).zip(numbers) {
-        parts.push(merger.begin(file, file_anchor - anchor, numbers, &mut writer)?);
+    let mut inputs = Vec::new();
+    for ((file, file_anchor), header_indexes) in files.iter_mut().zip(anchors).zip(header_indexes) {
+        inputs.push(merger.add_input(file, file_anchor - anchor, header_indexes, &mut writer)?);
     }
-    while let Some(earliest) = earliest(&parts) {
-        merger.take_next(&mut parts[earliest], &mut writer)?;
+    while let Some(earliest) = earliest_input(&inputs) {
+        merger.write_next_item(&mut inputs[earliest], &mut writer)?;
     }
     writer.finish()?;
-    Ok(merger.written)
+    Ok(merger.records_written)
 }
 
-/// The part whose next item happened first.
-fn earliest<R>(parts: &[Part<'_, R>]) -> Option<usize> {
-    let times = parts.iter().enumerate().filter_map(|(index, part)| Some((part.next_time()?, index)));
+/// Returns the index of the input whose next item is the earliest, or `None` if all inputs are exhausted.
+fn earliest_input<R>(inputs: &[Input<'_, R>]) -> Option<usize> {
+    let times = inputs.iter().enumerate().filter_map(|(index, input)| Some((input.next_time()?, index)));
     times.min().map(|(_, index)| index)
 }
 
+/// Returns the fingerprint of the secret that all files were anonymised with, or `None` if no file was anonymised.
 fn common_secret(headers: &[&Header]) -> Result<Option<u64>, TraceError> {
-    let marks: Vec<Option<u64>> = headers.iter().map(|header| header.secret_mark).collect();
-    if marks.windows(2).any(|pair| pair[0] != pair[1]) {
-        return Err(TraceError::Merge("their names were replaced under different secrets".into()));
+    let fingerprints: Vec<Option<u64>> = headers.iter().map(|header| header.secret_fingerprint).collect();
+    if fingerprints.windows(2).any(|pair| pair[0] != pair[1]) {
+        return Err(TraceError::Merge("they were anonymised with different secrets".into()));
     }
-    Ok(marks.first().copied().flatten())
+    Ok(fingerprints.first().copied().flatten())
 }
 
-/// The header of the merged file, as it is put together.
+/// Builds the header of the merged file.
 #[derive(Default)]
 struct MergedHeader {
     classes: Vec<ClassObjective>,
@@ -107,125 +110,143 @@
 }
 
 impl MergedHeader {
-    /// Adds the classes and tenants of a file, and gives their numbers.
-    fn add(&mut self, header: &Header) -> Result<HeaderNumbers, TraceError> {
-        if *self.over_quota_weight.get_or_insert(header.over_quota_weight) != header.over_quota_weight {
-            return Err(TraceError::Merge("work beyond a share is worth more in one than in another".into()));
+    /// Adds the classes and tenants of an input file, and returns their indexes in the merged file.
+    fn add(&mut self, header: &Header) -> Result<HeaderIndexes, TraceError> {
+        let over_quota_weight = *self.over_quota_weight.get_or_insert(header.over_quota_weight);
+        if over_quota_weight != header.over_quota_weight {
+            let message = format!(
+                "their weight factors for requests over quota differ: {over_quota_weight} and {}",
+                header.over_quota_weight
+            );
+            return Err(TraceError::Merge(message));
         }
         let mut classes = Vec::new();
         for class in &header.classes {
             if self.classes.iter().any(|known| known.name == class.name && known != class) {
-                return Err(TraceError::Merge(format!("the class {:?} has other terms", class.name)));
+                return Err(TraceError::Merge(format!("they define the class {:?} differently", class.name)));
             }
-            classes.push(number(&mut self.classes, class.clone(), "classes")?);
+            classes.push(find_or_insert(&mut self.classes, class.clone(), "classes")?);
         }
         let mut tenants = Vec::new();
         for tenant in &header.tenants {
-            tenants.push(number(&mut self.tenants, tenant.clone(), "tenants")?);
+            tenants.push(find_or_insert(&mut self.tenants, tenant.clone(), "tenants")?);
         }
-        Ok(HeaderNumbers { classes, tenants })
+        Ok(HeaderIndexes { classes, tenants })
     }
 
-    fn finish(self, anchor: u64, secret_mark: Option<u64>) -> Header {
+    fn finish(self, anchor: u64, secret_fingerprint: Option<u64>) -> Header {
         Header {
             scheduler: "merged".into(),
             anchor,
             classes: self.classes,
             tenants: self.tenants,
             over_quota_weight: self.over_quota_weight.unwrap_or_default(),
-            secret_mark,
+            secret_fingerprint,
             ..Header::default()
         }
     }
 }
 
-/// Gives a number to each new thing, up to the most that a file can tell apart.
-fn number<T: PartialEq>(known: &mut Vec<T>, item: T, what: &str) -> Result<u16, TraceError> {
-    let index = known.iter().position(|other| *other == item).unwrap_or_else(|| {
-        known.push(item);
-        known.len() - 1
+/// Returns the index of `value` in `values`, appending it if it is new. `plural` names the values in the error.
+fn find_or_insert<T: PartialEq>(values: &mut Vec<T>, value: T, plural: &str) -> Result<u16, TraceError> {
+    let index = values.iter().position(|known| *known == value).unwrap_or_else(|| {
+        values.push(value);
+        values.len() - 1
     });
-    u16::try_from(index).map_err(|_| TraceError::Merge(format!("more {what} than a file can tell apart")))
+    u16::try_from(index)
+        .map_err(|_| TraceError::Merge(format!("too many {plural}: the largest index is {}", u16::MAX)))
 }
 
-/// The numbers given out so far.
+/// Assigns source and worker numbers in the merged file.
 #[derive(Default)]
 struct Merger {
     last_source: u16,
     last_worker: u16,
-    /// Records written.
-    written: u64,
+    records_written: u64,
 }
 
 impl Merger {
-    fn begin<'a, R: Read + Seek, W: Write>(
+    /// Writes the source record of an input file and reads its first item.
+    fn add_input<'a, R: Read + Seek, W: Write>(
         &mut self,
         file: &'a mut MergeInput<R>,
-        shift: u64,
-        numbers: HeaderNumbers,
+        time_shift_us: u64,
+        header_indexes: HeaderIndexes,
         writer: &mut Writer<W>,
-    ) -> Result<Part<'a, R>, TraceError> {
+    ) -> Result<Input<'a, R>, TraceError> {
         self.last_source += 1;
         let source = self.last_source;
         let Header { scheduler, site, .. } = file.reader.header().clone();
-        writer.push_of(source, 0, &Record::Source { number: source, scheduler, site })?;
+        writer.push_from_source(source, 0, &Record::Source { number: source, scheduler, site })?;
         let next = file.reader.next_item()?;
         let sources = HashMap::from([(0, source)]);
-        Ok(Part { reader: &mut file.reader, shift, numbers, sources, workers: HashMap::new(), next })
+        Ok(Input {
+            reader: &mut file.reader,
+            time_shift_us,
+            header_indexes,
+            sources,
+            workers: HashMap::new(),
+            next,
+        })
     }
 
-    /// Writes the next item of a file.
-    fn take_next<R: Read + Seek, W: Write>(
+    /// Writes the next item of an input file.
+    fn write_next_item<R: Read + Seek, W: Write>(
         &mut self,
-        part: &mut Part<'_, R>,
+        input: &mut Input<'_, R>,
         writer: &mut Writer<W>,
     ) -> Result<(), TraceError> {
-        let item = part.next.take();
-        part.next = part.reader.next_item()?;
+        let item = input.next.take();
+        input.next = input.reader.next_item()?;
         match item {
-            Some(Item::Record(timed)) => {
-                let source = self.source(part, timed.source);
-                let record = self.renumber(part, timed.source, timed.record)?;
-                writer.push_of(source, timed.at + part.shift, &record)?;
-                self.written += 1;
+            Some(TraceItem::Record(timed)) => {
+                let source = self.merged_source(input, timed.source);
+                let record = self.renumber(input, timed.source, timed.record)?;
+                writer.push_from_source(source, timed.at + input.time_shift_us, &record)?;
+                self.records_written += 1;
             }
-            // What cannot be read any more is missing like what was dropped.
-            Some(Item::Gap(entry) | Item::Damaged(entry)) => {
-                let source = self.source(part, entry.source);
-                writer.gap(source, entry.count, entry.first + part.shift, entry.last + part.shift)?;
+            // The records of a damaged block are missing, like dropped ones.
+            Some(TraceItem::Gap(entry) | TraceItem::Damaged(entry)) => {
+                let source = self.merged_source(input, entry.source);
+                writer.push_gap(
+                    source,
+                    entry.count,
+                    entry.min_time + input.time_shift_us,
+                    entry.max_time + input.time_shift_us,
+                )?;
             }
             None => {}
         }
         Ok(())
     }
 
-    /// The number in the merged file of a source of one file.
-    fn source<R>(&mut self, part: &mut Part<'_, R>, source: u16) -> u16 {
-        *part.sources.entry(source).or_insert_with(|| {
+    /// Returns the merged file's number for a source of an input file, assigning one if it is new.
+    fn merged_source<R>(&mut self, input: &mut Input<'_, R>, source: u16) -> u16 {
+        *input.sources.entry(source).or_insert_with(|| {
             self.last_source = self.last_source.saturating_add(1);
             self.last_source
         })
     }
 
-    /// The record with the numbers of the merged file.
+    /// Replaces the source, class, tenant and worker numbers in a record by those of the merged file.
     fn renumber<R>(
         &mut self,
-        part: &mut Part<'_, R>,
+        input: &mut Input<'_, R>,
         source: u16,
         mut record: Record,
     ) -> Result<Record, TraceError> {
         match &mut record {
             Record::Source { number, .. } => {
-                *number = part.sources.get(&source).copied().unwrap_or_default();
+                *number = input.sources.get(&source).copied().unwrap_or_default();
             }
             Record::Arrival { class, tenant, .. } => {
-                *class = known_number(&part.numbers.classes, *class)?;
-                *tenant = known_number(&part.numbers.tenants, *tenant)?;
+                *class = merged_index(&input.header_indexes.classes, *class, "class")?;
+                *tenant = merged_index(&input.header_indexes.tenants, *tenant, "tenant")?;
             }
             Record::Worker { worker, .. }
             | Record::EndpointState { worker, .. }
             | Record::AttemptSent { worker, .. } => {
-                *worker = self.worker(part, WorkerKey { source, worker: *worker })?;
+                *worker = self.merged_worker(input, WorkerKey { source, worker: *worker })?;
             }
             Record::AttemptProgressed { .. }
             | Record::AttemptEnded { .. }
@@ -237,21 +258,27 @@
         Ok(record)
     }
 
-    /// The number in the merged file of a worker of one file.
-    fn worker<R>(&mut self, part: &mut Part<'_, R>, key: WorkerKey) -> Result<u16, TraceError> {
-        if let Some(known) = part.workers.get(&key) {
+    /// Returns the merged file's number for a worker of an input file, assigning one if it is new.
+    fn merged_worker<R>(&mut self, input: &mut Input<'_, R>, key: WorkerKey) -> Result<u16, TraceError> {
+        if let Some(known) = input.workers.get(&key) {
             return Ok(*known);
         }
         let Some(next) = self.last_worker.checked_add(1) else {
-            return Err(TraceError::Merge("more members than a file can tell apart".into()));
+            return Err(TraceError::Merge(format!("too many workers: at most {} are allowed", u16::MAX)));
         };
         self.last_worker = next;
-        part.workers.insert(key, next);
+        input.workers.insert(key, next);
         Ok(next)
     }
 }
 
-fn known_number(numbers: &[u16], number: u16) -> Result<u16, TraceError> {
-    let known = numbers.get(usize::from(number)).copied();
-    known.ok_or_else(|| TraceError::Merge("a record names a class or tenant that its header does not".into()))
+/// Maps a class or tenant index of an input file to the merged file. `kind` names the list in the error.
+fn merged_index(indexes: &[u16], index: u16, kind: &str) -> Result<u16, TraceError> {
+    let merged = indexes.get(usize::from(index)).copied();
+    merged.ok_or_else(|| {
+        let count = indexes.len();
+        TraceError::Merge(format!(
+            "a record has {kind} index {index}, but the header of its file lists {count}"
+        ))
+    })
 }
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -1,23 +1,23 @@
-//! Reads one file, block by block: memory is bounded by a block and the index, however long the file is.
+//! Reads a trace file block by block. Memory use is bounded by the index and one block, whatever the file size.
 
 use std::collections::VecDeque;
 use std::io::{Read, Seek, SeekFrom};
 
-use crate::block::{read_records, BlockHead, HEAD_BYTES};
+use crate::block::{read_records, BlockHeader, BLOCK_HEADER_BYTES};
 use crate::{BlockEntry, Header, Index, TimedRecord, TraceError};
 
-/// What a file holds, in its order.
+/// An element of a trace file, as returned by [`Reader::next_item`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum TraceItem {
     /// A record.
     Record(TimedRecord),
-    /// Records that were dropped.
+    /// Records that the writer dropped.
     Gap(BlockEntry),
-    /// A block that cannot be read any more, though the index knows it.
+    /// A block that is listed in the index but damaged.
     Damaged(BlockEntry),
 }
 
-/// Times from `from` on and before `to`, in microseconds since the anchor.
+/// The half-open time range from `from` to `to`, in microseconds since the anchor.
 #[derive(Clone, Copy, Debug)]
 struct TimeRange {
     from: u64,
@@ -32,78 +32,78 @@
     }
 
     fn overlaps(self, entry: &BlockEntry) -> bool {
-        entry.last >= self.from && entry.first < self.to
+        entry.max_time >= self.from && entry.min_time < self.to
     }
 }
 
-/// A file that is being read.
+/// Reads the records of a trace file.
 #[derive(Debug)]
 pub struct Reader<R> {
     file: R,
     header: Header,
     index: Index,
     next_entry: usize,
-    /// Read and not yet given out.
-    items: VecDeque<Item>,
-    unknown: u64,
+    /// Items decoded but not yet returned.
+    items: VecDeque<TraceItem>,
+    unknown_records: u64,
     blocks_read: usize,
     range: TimeRange,
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Opens a file; where its end is missing, it is scanned once.
+    /// Opens a trace file. If the trailer is missing, scans the whole file to rebuild the index.
     ///
     /// # Errors
-    /// If it is no trace file of this version, its header is damaged, or the file system fails.
+    /// If the file is not a trace file of a supported version, its header is damaged, or an I/O error occurs.
     pub fn open(mut file: R) -> Result<Self, TraceError> {
         file.seek(SeekFrom::Start(0))?;
-        let (header, from) = Header::read(&mut file)?;
-        let index = Index::read(&mut file, from)?;
+        let (header, first_block) = Header::read(&mut file)?;
+        let index = Index::read(&mut file, first_block)?;
         Ok(Reader {
             file,
             header,
             index,
             next_entry: 0,
             items: VecDeque::new(),
-            unknown: 0,
+            unknown_records: 0,
             blocks_read: 0,
             range: TimeRange::ALL,
         })
     }
 
-    /// Who wrote it.
+    /// Returns the file header.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// Where its blocks are.
+    /// Returns the index of the blocks.
     pub fn index(&self) -> &Index {
         &self.index
     }
 
-    /// Records of kinds that are not known here, so far.
-    pub fn unknown(&self) -> u64 {
-        self.unknown
+    /// Number of records skipped so far because this version does not know their kind.
+    pub fn unknown_records(&self) -> u64 {
+        self.unknown_records
     }
 
-    /// Blocks that were read so far.
+    /// Number of blocks read so far.
     pub fn blocks_read(&self) -> usize {
         self.blocks_read
     }
 
-    /// Starts over and reads only what happened from the first time on and before the second. Blocks outside of that
-    /// are not touched.
-    pub fn between(&mut self, from: u64, to: u64) {
+    /// Restarts at the first block and limits reading to times from `from` up to, but not including, `to`. Blocks
+    /// outside the range are not read.
+    pub fn set_time_range(&mut self, from: u64, to: u64) {
         self.range = TimeRange { from, to };
         self.next_entry = 0;
         self.items.clear();
     }
 
-    /// What comes next; `None` at the end.
+    /// Returns the next item, or `None` at the end of the file.
     ///
     /// # Errors
-    /// If the file system fails. A damaged block is an item, not an error.
-    pub fn next_item(&mut self) -> Result<Option<Item>, TraceError> {
+    /// If an I/O error occurs. A damaged block is returned as an item, not as an error.
+    pub fn next_item(&mut self) -> Result<Option<TraceItem>, TraceError> {
         loop {
             if let Some(item) = self.items.pop_front() {
                 return Ok(Some(item));
@@ -114,15 +114,15 @@
                 continue;
             }
             if entry.gap {
-                return Ok(Some(Item::Gap(entry)));
+                return Ok(Some(TraceItem::Gap(entry)));
             }
             match self.read_block(entry) {
                 Ok(records) => {
                     let range = self.range;
-                    let inside = records.into_iter().filter(|record| range.contains(record.at));
-                    self.items.extend(inside.map(Item::Record));
+                    let in_range = records.into_iter().filter(|record| range.contains(record.at));
+                    self.items.extend(in_range.map(TraceItem::Record));
                 }
-                Err(TraceError::DamagedBlock(_)) => return Ok(Some(Item::Damaged(entry))),
+                Err(TraceError::DamagedBlock(_)) => return Ok(Some(TraceItem::Damaged(entry))),
                 Err(error) => return Err(error),
             }
         }
@@ -131,13 +131,13 @@
     fn read_block(&mut self, entry: BlockEntry) -> Result<Vec<TimedRecord>, TraceError> {
         let damaged = || TraceError::DamagedBlock(entry.offset);
         self.file.seek(SeekFrom::Start(entry.offset))?;
-        let mut bytes = [0; HEAD_BYTES];
+        let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.file.read_exact(&mut bytes).map_err(|_| damaged())?;
-        let head = BlockHead::parse(&bytes).ok_or_else(damaged)?;
-        // A damaged count must not make this ask for much memory.
-        let mut records = Vec::with_capacity(head.count.min(65_536) as usize);
-        let unknown = read_records(&mut self.file, entry.offset, &head, &mut records)?;
-        self.unknown += u64::from(unknown);
+        let header = BlockHeader::parse(&bytes).ok_or_else(damaged)?;
+        // Cap the allocation: a damaged count can be arbitrarily large.
+        let mut records = Vec::with_capacity(header.count.min(65_536) as usize);
+        let unknown = read_records(&mut self.file, entry.offset, &header, &mut records)?;
+        self.unknown_records += u64::from(unknown);
         self.blocks_read += 1;
         Ok(records)
     }
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,7 +1,7 @@
-//! The records of a trace, and their bytes inside a block.
+//! The records of a trace and their encoding inside a block.
 //!
-//! Records are encoded by the position of their kinds and fields. A new kind goes at the end of [`Record`], a new
-//! field at the end of its kind; nothing is ever removed or reordered. `tests/stored_data.rs` reads an old file.
+//! Variants and fields are encoded by position. Add new variants at the end of [`Record`] and new fields at the end of
+//! their variant; never remove or reorder any. `tests/stored_data.rs` checks that an old file can still be read.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,29 +10,29 @@
 pub enum AnswerKind {
     /// With a worker's result.
     Served,
-    /// Rejected: the client may try again without harm.
+    /// Rejected without having run, so the client can safely retry.
     Rejected,
-    /// Failed: it may have run.
+    /// Failed, possibly after having run.
     Failed,
-    /// Its client had disconnected before.
+    /// Not answered: the client disconnected first.
     ClientDisconnected,
-    /// It was migrated to the process that has taken over, which answers it.
+    /// Migrated to the successor process, which sends the answer.
     Migrated,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt, as reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptStage {
-    /// It has begun to run.
+    /// The worker has started to run it.
     Started,
-    /// This much of it is done, in thousandths.
+    /// The completed fraction, in thousandths.
     Progress(u16),
 }
 
-/// A change in the lifecycle of the scheduler.
+/// A change of the scheduler's lifecycle state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LifecycleChange {
-    /// It serves.
+    /// It accepts requests.
     Serving,
     /// An operator sent PAUSE.
     Paused,
@@ -40,74 +40,75 @@
     Resumed,
     /// The configuration was reloaded.
     Reloaded,
-    /// Another process has taken over.
+    /// A successor process has taken over.
     Replaced,
-    /// SIGTERM came.
+    /// SIGTERM was received.
     Stopping,
 }
 
-/// A step of a request that is forwarded between sites.
+/// A step in the forwarding of a request between sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardingStep {
     /// It was forwarded to another site.
     Forwarded,
-    /// It was returned unstarted.
+    /// It was returned to the forwarding site without having started.
     Returned,
     /// It was received from another site.
     Received,
 }
 
-/// One thing that happened. Requests, workers, classes and tenants go by numbers, which the records
-/// [`Arrival`](Record::Arrival) and [`Worker`](Record::Worker) and the header explain. Times are in microseconds.
+/// A recorded event. Requests and workers are numbered by [`Arrival`](Record::Arrival) and
+/// [`Worker`](Record::Worker) records; classes and tenants are indexes into the header's lists. Durations are in
+/// microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Whose records those of a source are, in a merged file.
+    /// Identifies a source of a merged file.
     Source {
-        /// The source's number in the heads of its blocks.
+        /// Number of the source in the headers of its blocks.
         number: u16,
-        /// The scheduler.
+        /// Name of the scheduler that wrote the records.
         scheduler: String,
-        /// Its site.
+        /// Site of the scheduler.
         site: String,
     },
     /// A request has arrived.
     Arrival {
-        /// Its number.
+        /// Number of the request in this trace.
         id: u64,
-        /// A keyed hash of its request ID, the same at every site with the same secret.
-        name_hash: u64,
+        /// Keyed hash of the request ID, equal at all sites that share the secret.
+        request_id_hash: u64,
         /// Index into the header's classes.
         class: u16,
         /// Index into the header's tenants.
         tenant: u16,
-        /// Its estimated work, if a hint came with it.
+        /// Estimated work, if the client sent a cost hint.
         hint_us: Option<u64>,
-        /// Time until its client gives up.
+        /// Time until the deadline.
         time_left_us: u64,
-        /// A keyed hash of its idempotency key, if it has one.
+        /// Keyed hash of the idempotency key, if there is one.
         key_hash: Option<u64>,
-        /// It is within its tenant's quota.
+        /// Whether the request was within its tenant's quota.
         within_quota: bool,
     },
-    /// The name of a worker.
+    /// Assigns a number to a worker.
     Worker {
-        /// Its number.
+        /// Number of the worker in this trace.
         worker: u16,
-        /// Its name, or a keyed hash of it in an anonymised file.
+        /// Name of the worker, or a keyed hash of it in an anonymised file.
         name: String,
     },
-    /// The endpoint list has changed the state of a worker.
+    /// The endpoint list changed the state of a worker.
     EndpointState {
         /// The worker.
         worker: u16,
-        /// 1: it takes requests; 2: it drains; 0: it is gone.
+        /// 0: removed; 1: active; 2: draining.
         state: u8,
     },
-    /// An attempt is sent to a worker.
+    /// An attempt was sent to a worker.
     AttemptSent {
         /// The request.
         id: u64,
-        /// The attempt, from 0; above 0 it is a retry.
+        /// Number of the attempt: 0 is the first, higher ones are retries.
         attempt: u8,
         /// The worker.
         worker: u16,
@@ -118,7 +119,7 @@
         id: u64,
         /// The attempt.
         attempt: u8,
-        /// How far it has come.
+        /// The reported progress.
         stage: AttemptStage,
     },
     /// An attempt has ended.
@@ -127,18 +128,18 @@
         id: u64,
         /// The attempt.
         attempt: u8,
-        /// The number of its outcome, in the order of the counters.
+        /// Number of the attempt outcome, in the order of the outcome counters.
         outcome: u8,
-        /// Free slots of the worker, if its load report said so.
+        /// Free slots of the worker, if its load report included them.
         free_slots: Option<u32>,
-        /// Requests that wait at the worker, if its load report said so.
+        /// Requests queued at the worker, if its load report included them.
         queued: Option<u32>,
     },
-    /// The scheduler rejects a request.
+    /// The scheduler rejected a request.
     Rejected {
         /// The request.
         id: u64,
-        /// How long its client should wait before it tries again.
+        /// Time after which the client may retry.
         retry_after_us: u64,
     },
     /// A step of a forwarded request.
@@ -147,26 +148,26 @@
         id: u64,
         /// The step.
         step: ForwardingStep,
-        /// Its number at the site that forwarded it.
-        forwarded: u64,
-        /// The incarnation of the process that forwarded it.
+        /// Number of the request at the forwarding site.
+        origin_id: u64,
+        /// Incarnation of the process that forwarded it.
         incarnation: u64,
     },
-    /// The final answer.
+    /// A request was answered.
     Answered {
         /// The request.
         id: u64,
         /// How it was answered.
         kind: AnswerKind,
-        /// Time since its arrival.
+        /// Time from arrival to answer.
         latency_us: u64,
     },
-    /// A change in the scheduler's lifecycle.
+    /// The lifecycle state of the scheduler changed.
     Lifecycle(LifecycleChange),
 }
 
 impl Record {
-    /// The request that it is about, if any.
+    /// Returns the request that the record refers to, if any.
     pub fn request_id(&self) -> Option<u64> {
         match self {
             Record::Arrival { id, .. }
@@ -184,45 +185,45 @@
     }
 }
 
-/// A record, when it happened, and whose it is.
+/// A record with its time and source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedRecord {
     /// Microseconds since the file's anchor.
     pub at: u64,
-    /// 0: the file's own scheduler; else see [`Record::Source`].
+    /// 0 is the scheduler that wrote the file; in merged files, [`Record::Source`] identifies the others.
     pub source: u16,
     /// The record.
     pub record: Record,
 }
 
-/// The next record of a block, as it is read.
+/// A record decoded from a block.
 pub(crate) struct DecodedRecord {
-    /// Microseconds since the record before it.
-    pub(crate) since_previous: i64,
-    /// `None` if its kind is not known here.
+    /// Microseconds since the previous record.
+    pub(crate) time_delta_us: i64,
+    /// `None` if this version does not know the kind of record.
     pub(crate) record: Option<Record>,
 }
 
-/// Appends a record: its length, then its time since the one before, then itself.
+/// Appends a record to a block, encoded as length, time since the previous record, and body.
 pub(crate) fn encode(
     block: &mut Vec<u8>,
-    since_previous: i64,
+    time_delta_us: i64,
     record: &Record,
 ) -> Result<(), postcard::Error> {
-    let body = postcard::to_extend(record, postcard::to_allocvec(&since_previous)?)?;
+    let body = postcard::to_extend(record, postcard::to_allocvec(&time_delta_us)?)?;
     block.extend(postcard::to_allocvec(&(body.len() as u64))?);
     block.extend(body);
     Ok(())
 }
 
-/// Takes the next record off the front; `None` if what is left is no record.
+/// Decodes the record at the start of `bytes` and advances past it. Returns `None` if there is no valid record.
 pub(crate) fn decode(bytes: &mut &[u8]) -> Option<DecodedRecord> {
     let (length, rest) = postcard::take_from_bytes::<u64>(bytes).ok()?;
     let length = usize::try_from(length).ok().filter(|length| *length <= rest.len())?;
     let (body, rest) = rest.split_at(length);
     *bytes = rest;
-    let (since_previous, body) = postcard::take_from_bytes::<i64>(body).ok()?;
-    // What follows the fields that are known here was added later.
+    let (time_delta_us, body) = postcard::take_from_bytes::<i64>(body).ok()?;
+    // Ignore bytes after the known fields: a later version has added them.
     let record = postcard::take_from_bytes::<Record>(body).ok().map(|(record, _)| record);
-    Some(DecodedRecord { since_previous, record })
+    Some(DecodedRecord { time_delta_us, record })
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,32 +1,34 @@
-//! Service as the operators count it: weight answered in time over weight asked for.
+//! Service per class and tenant: the weight of requests answered in time, divided by the weight of all requests.
 //!
-//! Weight counts by the hinted work, as a file does not know the true one. Sums of parts equal the sum of the whole,
-//! so files can be added.
+//! A request's weight is computed from its hinted work, because the actual work is not recorded. Weights are integers,
+//! so adding the summaries of several files gives exactly the summary of the merged file.
 
 use std::collections::{BTreeMap, HashMap};
 
 use hdrhistogram::Histogram;
 
-use crate::{AnswerKind, ForwardingStep, Header, Item, Record, RecordCounts, TimedRecord};
+use crate::{AnswerKind, ForwardingStep, Header, Record, RecordCounts, TimedRecord, TraceItem};
 
-/// Length of the stretch with the least service that is reported, in seconds.
-const WORST_STRETCH_S: u64 = 10;
-/// Latencies are kept in microseconds up to an hour.
-const MOST_LATENCY_US: u64 = 3_600_000_000;
-const LATENCY_DIGITS: u8 = 3;
-/// A request without a hint counts as this much work.
+/// Length of the reported window with the lowest service, in seconds.
+const WORST_WINDOW_S: u64 = 10;
+/// Upper bound of recorded latencies: one hour.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
+/// Work assumed for a request without a cost hint.
 const DEFAULT_WORK_US: u64 = 1_000_000;
 const US_PER_S: u64 = 1_000_000;
 
-/// Weight asked for and weight answered in time, in millionths.
+/// Total weight of requests, in millionths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Weights {
+    /// Weight of all requests.
     asked: u64,
+    /// Weight of the requests answered in time.
     in_time: u64,
 }
 
 impl Weights {
-    /// In time over asked for; `None` if none was asked for.
+    /// Returns the fraction answered in time, or `None` if there were no requests.
     fn service(self) -> Option<f64> {
         (self.asked > 0).then(|| self.in_time as f64 / self.asked as f64)
     }
@@ -37,35 +39,35 @@
     }
 }
 
-/// What became of the requests of one class and tenant.
+/// Counts and latencies of the requests of one class and tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRow {
-    /// Arrivals.
+    /// Requests that arrived.
     pub asked: u64,
-    /// Answered with a result.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Of these, in time.
+    /// Requests answered with a result within their latency objective.
     pub in_time: u64,
-    /// Rejected.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Their clients disconnected before the answer.
+    /// Requests whose client disconnected before the answer.
     pub client_disconnected: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Forwarded to another site.
+    /// Requests forwarded to another site.
     pub forwarded: u64,
-    /// Microseconds from arrival to answer, of those served.
+    /// Time from arrival to answer of the served requests, in microseconds.
     pub latency: Histogram<u64>,
     weights: Weights,
 }
 
 impl ServiceRow {
     fn new() -> Self {
-        // The bounds and digits are constants that the library accepts.
-        let latency =
-            Histogram::new_with_bounds(1, MOST_LATENCY_US, LATENCY_DIGITS).unwrap_or_else(|_| unreachable!());
+        // Cannot fail: the bounds and digits are valid constants.
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_SIGNIFICANT_DIGITS)
+            .unwrap_or_else(|_| unreachable!());
         ServiceRow {
             asked: 0,
             served: 0,
@@ -80,17 +82,17 @@
         }
     }
 
-    /// Weight asked for, in millionths.
+    /// Weight of all requests, in millionths.
     pub fn weight_asked(&self) -> u64 {
         self.weights.asked
     }
 
-    /// Weight answered in time, in millionths.
+    /// Weight of the requests answered in time, in millionths.
     pub fn weight_in_time(&self) -> u64 {
         self.weights.in_time
     }
 
-    /// Weight answered in time over weight asked for; `None` if none was asked for.
+    /// Returns the fraction of the weight answered in time, or `None` if there were no requests.
     pub fn service(&self) -> Option<f64> {
         self.weights.service()
     }
@@ -105,17 +107,17 @@
         self.attempts += other.attempts;
         self.forwarded += other.forwarded;
         self.weights.add(other.weights);
-        // It fails only for other bounds, and all rows have the same.
+        // Cannot fail: all rows use the same histogram bounds.
         let _ = self.latency.add(&other.latency);
     }
 }
 
-/// A stretch of time and its service.
+/// The window with the lowest service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorstStretch {
-    /// Its first second, as Unix time.
+pub struct WorstWindow {
+    /// Start of the window, as Unix time in seconds.
     pub from: u64,
-    /// Weight answered in time over weight asked for.
+    /// Fraction of the weight answered in time.
     pub service: f64,
 }
 
@@ -145,25 +147,27 @@
     }
 }
 
-/// Adds up what happened.
+/// Summarises the records of one or more files.
 #[derive(Default)]
 pub struct Summary {
     rows: BTreeMap<RowKey, ServiceRow>,
-    /// By second of the wall clock at arrival.
-    seconds: BTreeMap<u64, Weights>,
+    /// Weights by Unix time of arrival, in seconds.
+    weights_per_second: BTreeMap<u64, Weights>,
     open: HashMap<RequestKey, OpenRequest>,
     counts: RecordCounts,
 }
 
 impl Summary {
-    /// Adds one item of a file with this header.
-    pub fn add_item(&mut self, header: &Header, item: &Item) {
+    /// Adds an item of the file with the given header.
+    pub fn add_item(&mut self, header: &Header, item: &TraceItem) {
         match item {
-            Item::Record(timed) => {
+            TraceItem::Record(timed) => {
                 self.counts.records += 1;
                 self.add_record(header, timed);
             }
-            Item::Gap(entry) | Item::Damaged(entry) => self.counts.missing += u64::from(entry.count),
+            TraceItem::Gap(entry) | TraceItem::Damaged(entry) => {
+                self.counts.missing += u64::from(entry.count)
+            }
         }
     }
 
@@ -171,7 +175,7 @@
         let Some(id) = timed.record.request_id() else { return };
         let key = RequestKey { source: timed.source, id };
         match &timed.record {
-            Record::Arrival { .. } => self.arrived(header, key, timed),
+            Record::Arrival { .. } => self.add_arrival(header, key, timed),
             Record::AttemptSent { .. } => {
                 if let Some(row) = self.row_of(key) {
                     row.attempts += 1;
@@ -182,7 +186,7 @@
                     row.forwarded += 1;
                 }
             }
-            Record::Answered { kind, latency_us, .. } => self.answered(key, *kind, *latency_us),
+            Record::Answered { kind, latency_us, .. } => self.add_answer(key, *kind, *latency_us),
             Record::Forwarding { step: ForwardingStep::Returned | ForwardingStep::Received, .. }
             | Record::AttemptProgressed { .. }
             | Record::AttemptEnded { .. }
@@ -194,7 +198,7 @@
         }
     }
 
-    fn arrived(&mut self, header: &Header, key: RequestKey, timed: &TimedRecord) {
+    fn add_arrival(&mut self, header: &Header, key: RequestKey, timed: &TimedRecord) {
         let Record::Arrival { class, tenant, hint_us, within_quota, .. } = &timed.record else { return };
         let Some(class) = header.classes.get(usize::from(*class)) else { return };
         let tenant = header.tenants.get(usize::from(*tenant)).cloned().unwrap_or_default();
@@ -204,66 +208,66 @@
         let objective_us = class.latency_objective_us as f64 + class.stretch * work_us as f64;
         let latency_objective_us = (objective_us as u64).min(class.deadline_us);
         let row = RowKey { class: class.name.clone(), tenant };
-        let sums = self.rows.entry(row.clone()).or_insert_with(ServiceRow::new);
-        sums.asked += 1;
-        sums.weights.asked += weight;
+        let totals = self.rows.entry(row.clone()).or_insert_with(ServiceRow::new);
+        totals.asked += 1;
+        totals.weights.asked += weight;
         let arrived_at = header.anchor + timed.at;
         let request = OpenRequest { row, arrived_at, weight, latency_objective_us };
-        self.seconds.entry(request.arrival_second()).or_default().asked += weight;
+        self.weights_per_second.entry(request.arrival_second()).or_default().asked += weight;
         self.open.insert(key, request);
     }
 
-    fn answered(&mut self, key: RequestKey, kind: AnswerKind, latency_us: u64) {
+    fn add_answer(&mut self, key: RequestKey, kind: AnswerKind, latency_us: u64) {
         let Some(request) = self.open.remove(&key) else { return };
         let Some(row) = self.rows.get_mut(&request.row) else { return };
         let second = request.arrival_second();
         match kind {
             AnswerKind::Served => {
                 row.served += 1;
-                // Within the bounds of the histogram, so it is always counted.
-                let _ = row.latency.record(latency_us.clamp(1, MOST_LATENCY_US));
+                // Cannot fail: the value is clamped to the bounds of the histogram.
+                let _ = row.latency.record(latency_us.clamp(1, MAX_LATENCY_US));
                 if latency_us <= request.latency_objective_us {
                     row.in_time += 1;
                     row.weights.in_time += request.weight;
-                    self.seconds.entry(second).or_default().in_time += request.weight;
+                    self.weights_per_second.entry(second).or_default().in_time += request.weight;
                 }
             }
             AnswerKind::Rejected => row.rejected += 1,
             AnswerKind::Failed => row.failed += 1,
             AnswerKind::ClientDisconnected => row.client_disconnected += 1,
-            // The process that has taken over counts it, arrival and all.
+            // The successor process records the arrival again, so don't count the request twice.
             AnswerKind::Migrated => {
                 row.asked -= 1;
                 row.weights.asked -= request.weight;
-                self.seconds.entry(second).or_default().asked -= request.weight;
+                self.weights_per_second.entry(second).or_default().asked -= request.weight;
             }
         }
     }
 
-    /// The row of an open request.
+    /// Returns the row of an open request.
     fn row_of(&mut self, key: RequestKey) -> Option<&mut ServiceRow> {
         let request = self.open.get(&key)?;
         self.rows.get_mut(&request.row)
     }
 
-    /// Adds another summary to this one. What is open in either stays out of both.
-    pub fn add(&mut self, other: &Summary) {
+    /// Adds the rows, weights and record counts of another summary. Open requests of `other` are not taken over.
+    pub fn merge(&mut self, other: &Summary) {
         for (key, row) in &other.rows {
             self.rows.entry(key.clone()).or_insert_with(ServiceRow::new).add(row);
         }
-        for (second, weights) in &other.seconds {
-            self.seconds.entry(*second).or_default().add(*weights);
+        for (second, weights) in &other.weights_per_second {
+            self.weights_per_second.entry(*second).or_default().add(*weights);
         }
         self.counts.records += other.counts.records;
         self.counts.missing += other.counts.missing;
     }
 
-    /// The rows, each with its class and tenant.
+    /// Iterates over class, tenant and row.
     pub fn rows(&self) -> impl Iterator<Item = (&str, &str, &ServiceRow)> {
         self.rows.iter().map(|(key, row)| (key.class.as_str(), key.tenant.as_str(), row))
     }
 
-    /// All rows together.
+    /// Returns the sum of all rows.
     pub fn total(&self) -> ServiceRow {
         let mut total = ServiceRow::new();
         for row in self.rows.values() {
@@ -272,29 +276,29 @@
         total
     }
 
-    /// The 10 s with the least service; `None` if nothing was asked for.
-    pub fn worst(&self) -> Option<WorstStretch> {
-        let stretches = self.seconds.keys().filter_map(|from| {
-            let service = self.weights_of_stretch(*from).service()?;
-            Some(WorstStretch { from: *from, service })
+    /// Returns the 10 s window with the lowest service, or `None` if there were no requests.
+    pub fn worst_window(&self) -> Option<WorstWindow> {
+        let windows = self.weights_per_second.keys().filter_map(|from| {
+            let service = self.window_weights(*from).service()?;
+            Some(WorstWindow { from: *from, service })
         });
-        stretches.min_by(|a, b| a.service.total_cmp(&b.service))
+        windows.min_by(|a, b| a.service.total_cmp(&b.service))
     }
 
-    fn weights_of_stretch(&self, from: u64) -> Weights {
+    fn window_weights(&self, from: u64) -> Weights {
         let mut sum = Weights::default();
-        for (_, weights) in self.seconds.range(from..from + WORST_STRETCH_S) {
+        for (_, weights) in self.weights_per_second.range(from..from + WORST_WINDOW_S) {
             sum.add(*weights);
         }
         sum
     }
 
-    /// Requests without an answer so far.
-    pub fn open(&self) -> usize {
+    /// Number of requests without an answer so far.
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Records added, and records that are missing.
+    /// Returns the numbers of added and missing records.
     pub fn counts(&self) -> RecordCounts {
         self.counts
     }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chutesaddle_trace::{Item, Reader, TraceError};
+use chutesaddle_trace::{Reader, TraceError, TraceItem};
 use clap::{Subcommand, ValueEnum};
 
 #[derive(Subcommand)]
@@ -158,7 +158,11 @@
     Reader::open(BufReader::new(bytes)).map_err(in_this_file)
 }
 
-fn for_each_item(file: &Path, reader: &mut FileReader, mut take: impl FnMut(&Item)) -> Result<(), ToolError> {
+fn for_each_item(
+    file: &Path,
+    reader: &mut FileReader,
+    mut take: impl FnMut(&TraceItem),
+) -> Result<(), ToolError> {
     while let Some(item) = reader.next_item().map_err(|error| ToolError::File(file.into(), error))? {
         take(&item);
     }
--- a/src/cli/trace/copy.rs
+++ b/src/cli/trace/copy.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutesaddle_trace::{merge, Item, MergeInput, Writer};
+use chutesaddle_trace::{merge, MergeInput, TraceItem, Writer};
 
 use super::{for_each_item, open, ToolError, Verdict};
 
@@ -18,17 +18,19 @@
 ) -> Result<Verdict, ToolError> {
     let mut reader = open(file)?;
     let header = reader.header().clone();
-    let begin = reader.index().entries.iter().map(|entry| entry.first).min().unwrap_or_default();
+    let begin = reader.index().entries.iter().map(|entry| entry.min_time).min().unwrap_or_default();
     let time = |since_begin: Duration| begin.saturating_add(since_begin.as_micros() as u64);
-    reader.between(time(from), to.map_or(u64::MAX, time));
+    reader.set_time_range(time(from), to.map_or(u64::MAX, time));
     let in_output = |error| ToolError::File(output.into(), error);
     let mut writer = Writer::new(create(output, &[file])?, &header).map_err(in_output)?;
     let mut written = Ok(());
     for_each_item(file, &mut reader, |item| {
         if written.is_ok() {
             written = match item {
-                Item::Record(timed) => writer.push_of(timed.source, timed.at, &timed.record),
-                Item::Gap(gap) | Item::Damaged(gap) => writer.gap(gap.source, gap.count, gap.first, gap.last),
+                TraceItem::Record(timed) => writer.push_from_source(timed.source, timed.at, &timed.record),
+                TraceItem::Gap(gap) | TraceItem::Damaged(gap) => {
+                    writer.push_gap(gap.source, gap.count, gap.min_time, gap.max_time)
+                }
             };
         }
     })?;
--- a/src/cli/trace/info.rs
+++ b/src/cli/trace/info.rs
@@ -12,8 +12,8 @@
 pub(super) fn print(file: &Path) -> Result<Verdict, ToolError> {
     let reader = open(file)?;
     let (header, index) = (reader.header(), reader.index());
-    let begin = index.entries.iter().map(|entry| entry.first).min();
-    let end = index.entries.iter().map(|entry| entry.last).max();
+    let begin = index.entries.iter().map(|entry| entry.min_time).min();
+    let end = index.entries.iter().map(|entry| entry.max_time).max();
     let classes: Vec<&str> = header.classes.iter().map(|class| class.name.as_str()).collect();
     let mut out = io::stdout().lock();
     writeln!(out, "{}", file.display())?;
@@ -28,11 +28,11 @@
     let (records, dropped) = (count(index, false), count(index, true));
     writeln!(out, "  {records} records in {} blocks, {dropped} dropped", index.entries.len())?;
     writeln!(out, "  classes {}; tenants {}", classes.join(", "), header.tenants.join(", "))?;
-    if let Some(before) = &header.continues {
+    if let Some(before) = &header.previous_file {
         writeln!(out, "  goes on from {before}")?;
     }
     if !index.complete {
-        let damaged = index.damaged;
+        let damaged = index.damaged_bytes;
         writeln!(out, "  its end is missing: the index was found by a scan, {damaged} bytes are damaged")?;
     }
     Ok(Verdict::from_sound(index.complete))
--- a/src/cli/trace/summary.rs
+++ b/src/cli/trace/summary.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-use chutesaddle_trace::{RecordCounts, ServiceRow, Summary, WorstStretch};
+use chutesaddle_trace::{RecordCounts, ServiceRow, Summary, WorstWindow};
 use simd_json::prelude::Writable;
 
 use super::{for_each_item, open, Form, ToolError, Verdict};
@@ -19,7 +19,7 @@
         let header = reader.header().clone();
         let mut summary = Summary::default();
         for_each_item(file, &mut reader, |item| summary.add_item(&header, item))?;
-        total.add(&summary);
+        total.merge(&summary);
     }
     let mut out = io::stdout().lock();
     write_header(&mut out, form)?;
@@ -59,7 +59,7 @@
 
 /// The ten seconds with the least service.
 fn write_worst_stretch(out: &mut impl Write, total: &Summary) -> io::Result<()> {
-    let Some(WorstStretch { from, service }) = total.worst() else { return Ok(()) };
+    let Some(WorstWindow { from, service }) = total.worst_window() else { return Ok(()) };
     let RecordCounts { records, missing } = total.counts();
     writeln!(
         out,
--- a/src/cli/trace/verify.rs
+++ b/src/cli/trace/verify.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-use chutesaddle_trace::{Checker, Item, RecordCounts, Violation};
+use chutesaddle_trace::{Checker, RecordCounts, TraceItem, Violation};
 
 use super::{for_each_item, open, ToolError, Verdict};
 
@@ -31,7 +31,7 @@
     let mut reader = open(file)?;
     let (mut checker, mut violations, mut damaged) = (Checker::default(), ViolationList::default(), 0);
     for_each_item(file, &mut reader, |item| {
-        damaged += u64::from(matches!(item, Item::Damaged(_)));
+        damaged += u64::from(matches!(item, TraceItem::Damaged(_)));
         checker.check(item, &mut violations.found);
         violations.collect();
     })?;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -109,7 +109,7 @@
         let (class, tenant, hint_us, left_us, key) = (0, 0, Some(100_000), 8_000_000, None);
         let arrival = Record::Arrival {
             id,
-            name_hash: id,
+            request_id_hash: id,
             class,
             tenant,
             hint_us,
@@ -166,5 +166,9 @@
     assert_eq!(std::fs::read(&cut_off).unwrap(), before);
     let output = chutesaddle(&["trace", "info", &file("no.trace", "something else altogether")]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("no trace file"), "{output:?}");
+    assert!(
+        String::from_utf8_lossy(&output.stderr)
+            .contains("not a trace file: it starts with \"somethin\" instead"),
+        "{output:?}"
+    );
 }
