--- a/crates/fault-injection/src/agreement/events.rs
+++ b/crates/fault-injection/src/agreement/events.rs
@@ -44,7 +44,7 @@
         match message {
             Message::Confirmation(confirmation) => self.confirmed(member, confirmation),
             Message::Redirect(voters) => {
-                self.act(member, |process, now, _| process.learner.redirected(now, voters));
+                self.act(member, |process, now, _| process.learner.handle_redirect(now, voters));
             }
             message => {
                 self.act(member, |process, now, outputs| {
@@ -60,7 +60,7 @@
         if let Some(value) = &confirmation.new_value {
             self.check_told(value, least);
         }
-        self.act(member, |process, now, _| process.learner.confirmed(now, confirmation));
+        self.act(member, |process, now, _| process.learner.handle_confirmation(now, confirmation));
     }
 
     /// A learner is told of a value after it asked, when this version was committed.
--- a/crates/fault-injection/src/agreement/world.rs
+++ b/crates/fault-injection/src/agreement/world.rs
@@ -145,9 +145,9 @@
 fn config(voters: usize) -> Config {
     Config {
         voters: (0..voters as u16).map(MemberId).collect(),
-        retry: Duration::from_millis(100),
+        retry_interval: Duration::from_millis(100),
         timeout: Duration::from_secs(2),
-        term: Duration::from_millis(1500),
+        validity_period: Duration::from_millis(1500),
         clock_drift: CLOCK_DRIFT,
     }
 }
@@ -274,7 +274,7 @@
         let Some(process) = self.processes[member].as_mut() else { return };
         let mut outputs = Vec::new();
         act(process, own_time, &mut outputs);
-        let own_due = process.voter.due().min(process.learner.due());
+        let own_due = process.voter.next_tick_at().min(process.learner.next_tick_at());
         let due_s = self.clocks[member].to_world_s(own_due).max(self.now_s) + TIMER_MARGIN_S;
         let incarnation = process.incarnation;
         // A timer that was set for later, or is over, gives way to this one.
--- a/crates/replicated-register/src/document.rs
+++ b/crates/replicated-register/src/document.rs
@@ -1,4 +1,4 @@
-//! The value of the register: documents in versions, and who votes; and when a change of it is rejected.
+//! The value of the register: versioned documents and the electorate, and the checks of changes to them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,26 +8,26 @@
 
 use crate::MemberId;
 
-/// Versions of a document that are kept, and can be rolled back to.
-const MOST_VERSIONS: usize = 8;
-const MOST_DOCUMENTS: usize = 8;
-const MOST_VOTERS: usize = 9;
-const MOST_BODY_BYTES: usize = 32 * 1024;
-const MOST_NAME_BYTES: usize = 64;
-/// The key of the first voters, which have not joined.
+/// Number of versions retained per document. Only these can be rolled back to.
+const MAX_VERSIONS: usize = 8;
+const MAX_DOCUMENTS: usize = 8;
+const MAX_VOTERS: usize = 9;
+const MAX_BODY_BYTES: usize = 32 * 1024;
+const MAX_NAME_BYTES: usize = 64;
+/// Disk key of the initial voters, which have not joined.
 const NO_DISK_KEY: u64 = 0;
 
-/// The beginning of the SHA-256 of a body, which tells two bodies apart.
+/// The first 16 bytes of the SHA-256 digest of a body.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
     fn of(body: &str) -> Self {
-        let whole = Sha256::digest(body.as_bytes());
-        let mut short = [0; 16];
-        let length = short.len();
-        short.copy_from_slice(&whole[..length]);
-        Digest(short)
+        let full = Sha256::digest(body.as_bytes());
+        let mut truncated = [0; 16];
+        let length = truncated.len();
+        truncated.copy_from_slice(&full[..length]);
+        Digest(truncated)
     }
 }
 
@@ -43,180 +43,188 @@
     }
 }
 
-/// Who proposed a version, in that member's own numbers: it knows its own again after a reply was lost.
+/// Identifies a proposal. A member recognises its own proposal in the value even if the reply to it was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The member.
+    /// The proposing member.
     pub member: MemberId,
-    /// Its number, never used twice.
+    /// Number chosen by the member, never used twice.
     pub number: u64,
 }
 
 /// One version of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// One more than the version before; the first is 1.
+    /// Version number, starting at 1 and increasing by 1.
     pub version: u64,
-    /// Of the body.
+    /// Digest of the body.
     pub digest: Digest,
-    /// The text, as the operator wrote it.
+    /// The text as written by the operator.
     pub body: String,
-    /// The proposal that made it.
+    /// The proposal that created the version.
     pub proposal: Proposal,
 }
 
-/// Who votes. The voters of one epoch choose those of the next, and nothing else once they have.
+/// The voters of an epoch. Choosing the voters of the next epoch is the last decision they make.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Electorate {
-    /// One more with each change of the voters.
+    /// Increases by 1 with each change of the voters.
     pub epoch: u64,
-    /// The voters, each with the key of the disk that it votes with; 0 for the first voters.
+    /// The voters, each with the key of the disk it votes with; 0 for the initial voters.
     pub voters: BTreeMap<MemberId, u64>,
     proposal: Option<Proposal>,
 }
 
 impl Electorate {
-    /// How many voters are a majority.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// What the register holds: who votes, and the last versions of each document, the newest last.
+/// The value of the register: the electorate and the retained versions of each document, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Value {
-    /// Who votes on the next value.
+    /// The voters that choose the next value.
     pub electorate: Electorate,
     documents: BTreeMap<String, Vec<Document>>,
 }
 
-/// A voter that is to be added.
+/// A voter to be added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NewVoter {
     /// The member.
     pub member: MemberId,
-    /// The key of its disk.
+    /// Key of its disk.
     pub disk_key: u64,
 }
 
-/// What is to become of a document or of the electorate.
+/// A change of a document or of the electorate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A new version with this body.
+    /// Creates a new version with this body.
     Put(String),
-    /// The body of that version again, as a new version.
+    /// Creates a new version with the body of this earlier version.
     RollBack(u64),
-    /// A change of the voters, whose epoch is the parent: one is added, one is removed, or both.
+    /// Adds a voter, removes one, or both. The parent of the command is the current epoch.
     Voters {
-        /// The voter that is added.
+        /// The voter to add.
         add: Option<NewVoter>,
-        /// The voter that is removed.
+        /// The voter to remove.
         remove: Option<MemberId>,
     },
 }
 
-/// A change of a document that is of version `parent` (0: not there yet).
+/// A compare-and-set command: applies a change if the current version is `parent`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// The document.
+    /// Name of the document.
     pub name: String,
-    /// The version that the proposer knows.
+    /// The expected current version, 0 for a new document; the expected epoch for a change of the voters.
     pub parent: u64,
     /// The change.
     pub change: Change,
-    /// The proposal.
+    /// Identifies the proposal.
     pub proposal: Proposal,
 }
 
 /// Why a change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Another change was first.
-    #[error("the document is of version {0} by now")]
+    /// The parent is not the current version or epoch, which is this one.
+    #[error("conflicting change: the current version or epoch is {0}")]
     Conflict(u64),
-    /// The version is too old, or never was.
-    #[error("version {0} is not kept")]
-    NotKept(u64),
+    /// The version to roll back to is too old or has never existed.
+    #[error("version {0} is not retained")]
+    VersionNotRetained(u64),
     /// A limit is exceeded.
-    #[error("{0}")]
-    LimitExceeded(&'static str),
-    /// The electorate would be invalid.
-    #[error("{0}")]
-    InvalidElectorate(&'static str),
+    #[error("limit exceeded: {0}")]
+    LimitExceeded(String),
+    /// The resulting electorate would be invalid.
+    #[error("invalid change of the voters: {0}")]
+    InvalidElectorate(String),
 }
 
 impl Value {
-    /// The value before anything was chosen.
+    /// Creates the value that holds before any value is chosen.
     pub fn initial(voters: impl IntoIterator<Item = MemberId>) -> Self {
         let voters = voters.into_iter().map(|voter| (voter, NO_DISK_KEY)).collect();
         Value { electorate: Electorate { voters, ..Electorate::default() }, documents: BTreeMap::new() }
     }
 
-    /// The newest version of a document.
+    /// Returns the newest version of a document.
     pub fn newest(&self, name: &str) -> Option<&Document> {
         self.documents.get(name)?.last()
     }
 
-    /// The newest versions of all documents, by name.
-    pub fn all(&self) -> impl Iterator<Item = (&str, &Document)> {
+    /// Iterates over the newest versions of all documents, by name.
+    pub fn newest_documents(&self) -> impl Iterator<Item = (&str, &Document)> {
         self.documents.iter().filter_map(|(name, versions)| Some((name.as_str(), versions.last()?)))
     }
 
-    /// The versions of a document that are kept, the oldest first.
+    /// Returns the retained versions of a document, oldest first.
     pub fn history(&self, name: &str) -> &[Document] {
         self.documents.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// Version numbers of all documents: of two values, one is the other's past in each of them.
+    /// Returns the newest version number of each document. Of two chosen values, one is at least as new as the other in
+    /// every document.
     pub fn versions(&self) -> BTreeMap<&str, u64> {
-        self.all().map(|(name, document)| (name, document.version)).collect()
+        self.newest_documents().map(|(name, document)| (name, document.version)).collect()
     }
 
-    /// Makes a change, and gives the version or epoch that it made. A change that was made before is not made again.
+    /// Applies a change and returns the resulting version or epoch. Idempotent: a proposal that has already been
+    /// applied is not applied again.
     ///
     /// # Errors
-    /// Why it is rejected; nothing has changed.
+    /// If the change is rejected. The value is unchanged then.
     pub fn apply(&mut self, command: &Command) -> Result<u64, Rejection> {
         match &command.change {
             Change::Put(body) => self.put(command, |_| Ok(body.clone())),
             Change::RollBack(version) => self.put(command, |history| {
-                let kept = history.iter().find(|document| document.version == *version);
-                Ok(kept.ok_or(Rejection::NotKept(*version))?.body.clone())
+                let retained = history.iter().find(|document| document.version == *version);
+                Ok(retained.ok_or(Rejection::VersionNotRetained(*version))?.body.clone())
             }),
             Change::Voters { add, remove } => self.change_voters(command, *add, *remove),
         }
     }
 
-    /// Adds a version of a document, with a body that may come from its history.
+    /// Adds a version of a document. `body` returns its body, given the retained versions.
     fn put(
         &mut self,
         command: &Command,
         body: impl FnOnce(&[Document]) -> Result<String, Rejection>,
     ) -> Result<u64, Rejection> {
         let history = self.history(&command.name);
-        if let Some(made) = history.iter().find(|document| document.proposal == command.proposal) {
-            return Ok(made.version);
+        if let Some(applied) = history.iter().find(|document| document.proposal == command.proposal) {
+            return Ok(applied.version);
         }
         let current = history.last().map_or(0, |document| document.version);
         if current != command.parent {
             return Err(Rejection::Conflict(current));
         }
-        if command.name.is_empty() || command.name.len() > MOST_NAME_BYTES {
-            return Err(Rejection::LimitExceeded("a name has 1 to 64 bytes"));
+        if command.name.is_empty() || command.name.len() > MAX_NAME_BYTES {
+            let length = command.name.len();
+            return Err(Rejection::LimitExceeded(format!(
+                "the name has {length} bytes, not 1 to {MAX_NAME_BYTES}"
+            )));
         }
-        if current == 0 && self.documents.len() >= MOST_DOCUMENTS {
-            return Err(Rejection::LimitExceeded("there are 8 documents already"));
+        if current == 0 && self.documents.len() >= MAX_DOCUMENTS {
+            return Err(Rejection::LimitExceeded(format!("there are already {MAX_DOCUMENTS} documents")));
         }
         let body = body(history)?;
-        if body.len() > MOST_BODY_BYTES {
-            return Err(Rejection::LimitExceeded("a document has 32 KiB at the most"));
+        if body.len() > MAX_BODY_BYTES {
+            let length = body.len();
+            return Err(Rejection::LimitExceeded(format!(
+                "the body has {length} bytes, at most {MAX_BODY_BYTES} are allowed"
+            )));
         }
         let version = current + 1;
         let digest = Digest::of(&body);
         let versions = self.documents.entry(command.name.clone()).or_default();
         versions.push(Document { version, digest, body, proposal: command.proposal });
-        let beyond = versions.len().saturating_sub(MOST_VERSIONS);
-        versions.drain(..beyond);
+        let excess = versions.len().saturating_sub(MAX_VERSIONS);
+        versions.drain(..excess);
         Ok(version)
     }
 
@@ -236,18 +244,25 @@
         let mut voters = current.voters.clone();
         if let Some(removed) = remove {
             if voters.remove(&removed).is_none() {
-                return Err(Rejection::InvalidElectorate("who is to go does not vote"));
+                let MemberId(member) = removed;
+                return Err(Rejection::InvalidElectorate(format!("member {member} is not a voter")));
             }
         }
         if let Some(added) = add {
-            let votes_already = voters.insert(added.member, added.disk_key).is_some();
-            if votes_already || added.disk_key == NO_DISK_KEY {
-                return Err(Rejection::InvalidElectorate("who is to come votes already, or has no key"));
+            let is_already_voter = voters.insert(added.member, added.disk_key).is_some();
+            if is_already_voter || added.disk_key == NO_DISK_KEY {
+                let MemberId(member) = added.member;
+                return Err(Rejection::InvalidElectorate(format!(
+                    "member {member} is already a voter or has no disk key"
+                )));
             }
         }
         let changes_nothing = add.is_none() && remove.is_none();
-        if voters.is_empty() || voters.len() > MOST_VOTERS || changes_nothing {
-            return Err(Rejection::InvalidElectorate("there are 1 to 9 voters, and one comes or goes"));
+        if voters.is_empty() || voters.len() > MAX_VOTERS || changes_nothing {
+            let count = voters.len();
+            return Err(Rejection::InvalidElectorate(format!(
+                "it must add or remove a voter and leave 1 to {MAX_VOTERS} voters, not {count}"
+            )));
         }
         self.electorate = Electorate { epoch: current.epoch + 1, voters, proposal: Some(command.proposal) };
         Ok(self.electorate.epoch)
--- a/crates/replicated-register/src/learner.rs
+++ b/crates/replicated-register/src/learner.rs
@@ -1,114 +1,115 @@
-//! What a process may act on at each moment.
+//! Tracks which values of the register a process may use.
 //!
-//! A [`Learner`] asks voters in turn to confirm what it knows, and counts from each question how long the answer
-//! holds. It decides nothing about the documents.
+//! A [`Learner`] asks voters in turn to confirm the value it knows. A confirmation is valid for a limited time,
+//! measured from the request. The learner never changes the documents.
 //!
-//! | validity | becomes | when |
+//! | validity | next | event |
 //! | --- | --- | --- |
-//! | unconfirmed | transition | a first value is confirmed |
-//! | transition | current | the transition time is over and the term is not |
-//! | current | transition | another value is confirmed |
-//! | transition, current | stale | the term is over |
-//! | stale | transition, current | the value is confirmed again |
+//! | unconfirmed | transition | the first value is confirmed |
+//! | transition | current | the transition time ends within the validity period |
+//! | current | transition | a different value is confirmed |
+//! | transition, current | stale | the validity period ends |
+//! | stale | transition, current | a value is confirmed |
 
 use crate::document::Value;
 use crate::message::{Confirmation, Message};
 use crate::register::Ballot;
 use crate::{Config, MemberId, Time};
 
-/// Older values that are kept to at the same time; with more changes than that in a row, the oldest is dropped.
-const MOST_OLDER: usize = 8;
-/// Confirmations asked for in each term.
-const QUESTIONS_PER_TERM: u32 = 3;
-/// A question that is not answered is repeated after this many times the retry time.
-const RETRIES_TO_WAIT: u32 = 2;
+/// Maximum number of previous values obeyed at the same time. After more changes in a row, the oldest is dropped.
+const MAX_PREVIOUS_VALUES: usize = 8;
+/// Confirmation requests per validity period.
+const REQUESTS_PER_VALIDITY_PERIOD: u32 = 3;
+/// Time after which an unanswered request is repeated, in retry intervals.
+const REQUEST_TIMEOUT_INTERVALS: u32 = 2;
 
-/// What a process may act on. It is to be asked for anew before each act: a process that was halted learns by it that
-/// its term is over before it does anything.
+/// The values that a process may use. Query it again before each use: this is how a process that was suspended detects
+/// that its validity period has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Validity<'a> {
-    /// Nothing was ever confirmed here: the process acts on what it was started with.
+    /// No value has been confirmed yet. The process uses its start configuration.
     Unconfirmed,
-    /// This value alone.
+    /// Use this value alone.
     Current(&'a Value),
-    /// What is strictest in all of these, the newest first: others may still act on an older one.
+    /// Use the strictest combination of these values, newest first. Other processes may still use an older one.
     Transition(Vec<&'a Value>),
-    /// The same, because the newest could not be confirmed for too long: others may act on a newer one.
+    /// Use the strictest combination of these values, newest first. The validity period has ended without a new
+    /// confirmation, and other processes may use a newer value.
     Stale(Vec<&'a Value>),
 }
 
-/// A value before the present one that is still kept to.
+/// A replaced value that must still be obeyed.
 #[derive(Clone, Debug)]
-struct OlderValue {
+struct PreviousValue {
     value: Value,
-    until: Time,
+    obeyed_until: Time,
 }
 
-/// A question that is not answered yet.
+/// A confirmation request without a reply yet.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PendingRequest {
     number: u64,
-    asked_at: Time,
+    sent_at: Time,
 }
 
-/// The learner of one process; see the module's page.
+/// The learner of one process. See the module documentation.
 #[derive(Clone, Debug)]
 pub struct Learner {
     config: Config,
     value: Value,
     ballot: Option<Ballot>,
-    /// When the present value was first confirmed.
-    since: Option<Time>,
-    older: Vec<OlderValue>,
+    /// When the current value was first confirmed.
+    value_learned_at: Option<Time>,
+    previous_values: Vec<PreviousValue>,
     confirmed_until: Option<Time>,
-    question: Option<Question>,
+    pending_request: Option<PendingRequest>,
     last_number: u64,
-    next_question_at: Time,
-    /// Which of the known voters is asked.
-    turn: usize,
-    /// Voters that a member named which votes no more itself.
+    next_request_at: Time,
+    /// Selects the voter to ask, as an index modulo the number of known voters.
+    voter_index: usize,
+    /// Voters named by a member that no longer votes.
     redirected_to: Vec<MemberId>,
-    /// The last question followed a redirection.
+    /// Whether the last request followed a redirect.
     followed_redirect: bool,
 }
 
 impl Learner {
-    /// One that knows nothing yet. Learners begin with different voters by `turn`. `incarnation` is another number in
-    /// each incarnation of the process, and questions are counted from it: an answer to an earlier incarnation must
-    /// confirm nothing in this one.
-    pub fn new(config: Config, turn: usize, incarnation: u64) -> Self {
+    /// Creates a learner without a value. `voter_index` selects the first voter to ask, and should differ between
+    /// processes. `incarnation` must differ between incarnations of the process. Request numbers start there, so that a
+    /// reply to an earlier incarnation cannot confirm anything in this one.
+    pub fn new(config: Config, voter_index: usize, incarnation: u64) -> Self {
         Learner {
             config,
             value: Value::default(),
             ballot: None,
-            since: None,
-            older: Vec::new(),
+            value_learned_at: None,
+            previous_values: Vec::new(),
             confirmed_until: None,
-            question: None,
+            pending_request: None,
             last_number: incarnation,
-            next_question_at: Time::ZERO,
-            turn,
+            next_request_at: Time::ZERO,
+            voter_index,
             redirected_to: Vec::new(),
             followed_redirect: false,
         }
     }
 
-    /// When [`Learner::tick`] is due.
-    pub fn due(&self) -> Time {
-        self.next_question_at
+    /// Returns when [`Learner::tick`] must be called next.
+    pub fn next_tick_at(&self) -> Time {
+        self.next_request_at
     }
 
-    /// Asks a voter when that is due: another one if the last did not answer.
+    /// Returns a confirmation request if one is due. Goes to the next voter if the last one has not replied.
     pub fn tick(&mut self, now: Time) -> Option<(MemberId, Message)> {
-        if now < self.next_question_at {
+        if now < self.next_request_at {
             return None;
         }
-        // The known voters are asked in turn, whatever was named in between: a redirection may lead in a circle.
-        let known_voter_is_silent = self.question.is_some() && !self.followed_redirect;
-        self.turn += usize::from(known_voter_is_silent);
+        // Advance through the known voters regardless of redirects, which may form a cycle.
+        let known_voter_is_silent = self.pending_request.is_some() && !self.followed_redirect;
+        self.voter_index += usize::from(known_voter_is_silent);
         self.last_number = self.last_number.wrapping_add(1);
-        self.question = Some(Question { number: self.last_number, asked_at: now });
-        self.next_question_at = now + self.config.retry * RETRIES_TO_WAIT;
+        self.pending_request = Some(PendingRequest { number: self.last_number, sent_at: now });
+        self.next_request_at = now + self.config.retry_interval * REQUEST_TIMEOUT_INTERVALS;
         let voter = self.next_voter()?;
         Some((voter, Message::ConfirmationRequest(self.last_number, self.ballot)))
     }
@@ -122,65 +123,65 @@
         }
         let known = &self.value.electorate.voters;
         if known.is_empty() {
-            return self.config.voters.get(self.turn % self.config.voters.len().max(1)).copied();
+            return self.config.voters.get(self.voter_index % self.config.voters.len().max(1)).copied();
         }
-        known.keys().nth(self.turn % known.len()).copied()
+        known.keys().nth(self.voter_index % known.len()).copied()
     }
 
-    /// A member that was asked votes no more, and names those that do: one of them is asked next. It is a hint: if it
-    /// leads nowhere, the known voters are asked again.
-    pub fn redirected(&mut self, now: Time, voters: Vec<MemberId>) {
+    /// Handles the reply of a member that no longer votes: the next request goes to one of the voters it names. This is
+    /// only a hint. If that voter does not reply, the learner returns to the known voters.
+    pub fn handle_redirect(&mut self, now: Time, voters: Vec<MemberId>) {
         self.redirected_to = voters;
-        self.next_question_at = now;
+        self.next_request_at = now;
     }
 
-    /// Takes an answer. Only that to the newest question counts.
-    pub fn confirmed(&mut self, now: Time, confirmation: Confirmation) {
-        let answered = self.question.take_if(|question| question.number == confirmation.number);
-        let Some(question) = answered else { return };
-        // Counted from the question: the value may have been replaced right after it was read.
-        self.confirmed_until = Some(question.asked_at + self.config.term);
-        self.next_question_at = question.asked_at + self.config.term / QUESTIONS_PER_TERM;
+    /// Handles a confirmation. Ignored unless it replies to the latest request.
+    pub fn handle_confirmation(&mut self, now: Time, confirmation: Confirmation) {
+        let answered = self.pending_request.take_if(|request| request.number == confirmation.number);
+        let Some(request) = answered else { return };
+        // Count from the request: the value may have been replaced right after the voter read it.
+        self.confirmed_until = Some(request.sent_at + self.config.validity_period);
+        self.next_request_at = request.sent_at + self.config.validity_period / REQUESTS_PER_VALIDITY_PERIOD;
         if let Some(new_value) = confirmation.new_value {
-            self.learn(now, new_value);
+            self.update_value(now, new_value);
         }
         self.ballot = confirmation.ballot;
     }
 
-    /// Takes a value that may be new, and keeps to the one before for the transition time.
-    fn learn(&mut self, now: Time, new_value: Value) {
-        let is_first = self.since.is_none();
+    /// Sets the value. If it differs from the current one, the current one must be obeyed for the transition time.
+    fn update_value(&mut self, now: Time, new_value: Value) {
+        let is_first = self.value_learned_at.is_none();
         if new_value == self.value && !is_first {
             return;
         }
         let replaced = std::mem::replace(&mut self.value, new_value);
         if !is_first {
-            let until = now + self.config.transition_time();
-            self.older.push(OlderValue { value: replaced, until });
-            let beyond = self.older.len().saturating_sub(MOST_OLDER);
-            self.older.drain(..beyond);
+            let obeyed_until = now + self.config.transition_time();
+            self.previous_values.push(PreviousValue { value: replaced, obeyed_until });
+            let excess = self.previous_values.len().saturating_sub(MAX_PREVIOUS_VALUES);
+            self.previous_values.drain(..excess);
         }
-        self.since = Some(now);
+        self.value_learned_at = Some(now);
     }
 
-    /// What may be acted on now.
+    /// Returns the values that may be used now.
     pub fn validity(&self, now: Time) -> Validity<'_> {
-        let Some(since) = self.since else { return Validity::Unconfirmed };
-        let within_term = self.confirmed_until.is_some_and(|until| now < until);
-        if !within_term {
-            return Validity::Stale(self.values_in_force(now));
+        let Some(learned_at) = self.value_learned_at else { return Validity::Unconfirmed };
+        let is_confirmed = self.confirmed_until.is_some_and(|until| now < until);
+        if !is_confirmed {
+            return Validity::Stale(self.values_to_obey(now));
         }
-        // Also a first value has one before it, on which others may still act.
-        let in_transition = now < since + self.config.transition_time();
+        // The first value needs a transition too: other processes may still use the value before it.
+        let in_transition = now < learned_at + self.config.transition_time();
         if in_transition {
-            return Validity::Transition(self.values_in_force(now));
+            return Validity::Transition(self.values_to_obey(now));
         }
         Validity::Current(&self.value)
     }
 
-    /// The present value and the older ones that are still kept to, the newest first.
-    fn values_in_force(&self, now: Time) -> Vec<&Value> {
-        let older = self.older.iter().rev().filter(|older| now < older.until);
-        std::iter::once(&self.value).chain(older.map(|older| &older.value)).collect()
+    /// Returns the current value and the previous values that must still be obeyed, newest first.
+    fn values_to_obey(&self, now: Time) -> Vec<&Value> {
+        let previous = self.previous_values.iter().rev().filter(|previous| now < previous.obeyed_until);
+        std::iter::once(&self.value).chain(previous.map(|previous| &previous.value)).collect()
     }
 }
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -1,25 +1,26 @@
-//! Documents on which the schedulers of a deployment agree: the operators' settings and their lists of workers.
+//! A replicated register for the documents that all schedulers of a deployment share: the operators' settings and
+//! worker lists.
 //!
 //! A few processes are *voters*. A [`Voter`] is an acceptor and a proposer of CASPaxos (Rystsov, "CASPaxos: Replicated
-//! State Machines without logs", 2018): one register that holds the newest versions of all documents, changed by
-//! compare-and-set through a majority, with neither a leader nor a log. Every process, voter or not, is a
-//! [`Learner`]: it asks a voter again and again to confirm the version that it acts on, and knows at each moment
-//! what it may act on, its [`Validity`]. What is promised of that, and why it holds, is in `docs/agreement.md`.
+//! State Machines without logs", 2018). The register holds the newest versions of all documents and is changed by
+//! compare-and-set through a majority, without a leader or a log. Every process, voter or not, runs a [`Learner`],
+//! which periodically asks a voter to confirm the value it uses. Its [`Validity`] says which versions the process may
+//! use at any time. `docs/agreement.md` states the guarantees and why they hold.
 //!
-//! This crate is sans-I/O: it reads no clock, no socket and no disk. Times are counted by each process on its own
-//! monotonic clock; what must be on disk before anything is sent comes out as [`Output::Persist`].
+//! This crate is sans-I/O: it uses no clock, socket or disk. Each process passes in times of its own monotonic clock;
+//! state that must be on disk before anything else is done is returned as [`Output::Persist`].
 //!
-//! | file | question |
+//! | module | contents |
 //! | --- | --- |
-//! | `document` | what is agreed on, and when is a change rejected |
-//! | `register` | the Paxos rules: one acceptor's memory, one proposer's ballot |
-//! | `voter` | the state of a voter, its messages and timers |
-//! | `voter/stage` | may it vote: the beginning, a lost disk, joining |
-//! | `voter/acceptor` | what it answers to other proposers |
-//! | `voter/proposer` | how it makes a change or a confirmation |
-//! | `learner` | what may a process act on now |
-//! | `message` | what members send each other |
-//! | `rules` | what a document says, and what holds while two versions are in force |
+//! | `document` | the register's value, and the checks of a change |
+//! | `register` | the Paxos rules for one acceptor and one ballot |
+//! | `voter` | the state, messages and timers of a voter |
+//! | `voter/stage` | when a voter may vote: first start, disk loss, joining |
+//! | `voter/acceptor` | replies to other proposers |
+//! | `voter/proposer` | running a change or a confirmation |
+//! | `learner` | the versions that a process may use |
+//! | `message` | messages between members |
+//! | `rules` | parsing of a document, and the rules that apply while two versions are in use |
 #![warn(missing_docs)]
 
 mod document;
@@ -43,31 +44,31 @@
 /// Time on a process's own monotonic clock.
 pub type Time = Duration;
 
-/// A process that takes part: the same number for as long as its disk is the same.
+/// Identifies a participating process. A process keeps its number as long as it keeps its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// What must be configured alike at all members.
+/// Configuration. It must be the same at all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The first voters; an odd number is best. Those of today are in the value.
+    /// The initial voters, preferably an odd number. The register's value holds the current ones.
     pub voters: Vec<MemberId>,
-    /// A reply that does not come within this time is asked for again.
-    pub retry: Time,
-    /// A change or a confirmation that takes longer is given up; a change may still be committed.
+    /// Time after which a request without a reply is repeated.
+    pub retry_interval: Time,
+    /// Time after which a change or a confirmation is aborted. An aborted change may still be committed.
     pub timeout: Time,
-    /// How long a confirmed version may be acted on, counted from when the confirmation was asked for.
-    pub term: Time,
-    /// The rates of two members' clocks differ by no more than this fraction.
+    /// How long a confirmed value may be used, measured from when the confirmation was requested.
+    pub validity_period: Time,
+    /// Maximum difference between the clock rates of two members, as a fraction.
     pub clock_drift: f64,
 }
 
 impl Config {
-    /// How long a member that has learnt of a version keeps to the one before as well.
+    /// How long a member that has learned a new value also obeys the previous one.
     ///
-    /// Nobody acts on that one alone any more when it is over: who does confirmed it within the last term, on its own
-    /// clock.
+    /// After this time no member uses the previous value alone: to do so it must have confirmed that value within the
+    /// last validity period of its own clock.
     pub fn transition_time(&self) -> Time {
-        self.term.mul_f64((1.0 + self.clock_drift).powi(2))
+        self.validity_period.mul_f64((1.0 + self.clock_drift).powi(2))
     }
 }
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -1,4 +1,4 @@
-//! What members send each other.
+//! Messages between members.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,49 +7,49 @@
 use crate::voter::VoterStage;
 use crate::MemberId;
 
-/// A voter's word that a value held at a moment after the question.
+/// A voter's confirmation that a value was the register's value at some time after the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The number of the question.
+    /// Number of the request.
     pub number: u64,
-    /// The ballot that chose the value; none if nothing was ever chosen.
+    /// Ballot that chose the value; `None` if no value has been chosen yet.
     pub ballot: Option<Ballot>,
-    /// The value, if it may be another than the learner knows.
+    /// The value, unless the learner is known to have it already.
     pub new_value: Option<Value>,
 }
 
-/// What members send each other.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a voter: what is your stage? With the number of its incarnation, which the reply gives back.
+    /// Voter to voter: requests the stage. Carries the sender's incarnation, which the reply repeats.
     StageQuery(u64),
-    /// The reply.
+    /// Reply to a stage query.
     StageReply(u64, VoterStage),
-    /// From a proposer: accept nothing older than this ballot.
+    /// Proposer to acceptor: requests a promise not to accept older ballots.
     Prepare(Ballot),
-    /// From an acceptor: that holds.
+    /// Acceptor to proposer: the promise.
     Promise(Promise),
-    /// From a proposer: accept this.
+    /// Proposer to acceptor: requests a vote for the value.
     Accept(Ballot, Value),
-    /// From an acceptor: it has.
+    /// Acceptor to proposer: the value of this ballot is accepted.
     Accepted(Ballot),
-    /// From an acceptor: not this ballot, as it has seen a newer one.
+    /// Acceptor to proposer: the ballot is rejected because the acceptor has seen a newer one.
     Nack {
-        /// The ballot that it does not accept.
+        /// The rejected ballot.
         ballot: Ballot,
-        /// The newer one.
+        /// The newer ballot.
         seen: Ballot,
     },
-    /// From a proposer: what have you accepted? With a number that the reply gives back.
+    /// Proposer to acceptor: requests the last vote. Carries a number that the reply repeats.
     VoteQuery(u64),
-    /// From an acceptor.
+    /// Acceptor to proposer: the last vote, if any.
     VoteReply(u64, Option<Vote>),
-    /// These voters have chosen this value, and with it the voters of the next epoch.
+    /// Voter to voter: a chosen value that starts a new epoch, because it changes the electorate.
     Chosen(Vote),
-    /// To a learner: this member votes no more, ask one of these.
+    /// Former voter to learner: ask one of these voters instead.
     Redirect(Vec<MemberId>),
-    /// From a learner: what holds? With a number, and the ballot of what it knows.
+    /// Learner to voter: requests a confirmation. Carries a request number and the ballot of the value it knows.
     ConfirmationRequest(u64, Option<Ballot>),
-    /// From a voter to a learner.
+    /// Voter to learner: the confirmation.
     Confirmation(Confirmation),
 }
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -1,7 +1,6 @@
-//! The register's Paxos rules: what a single acceptor does, and what a proposer makes of the answers of a majority.
+//! The Paxos rules of the register: a single acceptor, and a proposer's evaluation of the replies of a majority.
 //!
-//! Both are plain functions on values, without members, messages or time, so that `tests` can try all orders of all
-//! messages.
+//! Both are independent of message passing and time, so that the tests can check every order of messages exhaustively.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,25 +9,25 @@
 use crate::document::Value;
 use crate::MemberId;
 
-/// The number of an attempt to change the register; no two attempts have the same.
+/// The unique number of an attempt to change the register.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The epoch of the voters that it is for.
+    /// Epoch of the voters that the ballot addresses.
     pub epoch: u64,
-    /// Grows with each attempt.
+    /// Increases with each attempt.
     pub round: u64,
-    /// The number of the proposer plus one, so that no ballot is like [`Ballot::default`].
+    /// Member number of the proposer plus one, so that no ballot equals [`Ballot::default`].
     pub proposer: u32,
 }
 
 impl Ballot {
-    /// The next one of a member that has seen this one, for the voters of an epoch.
+    /// Returns the next ballot of a member for the voters of an epoch, where `self` is the newest ballot it has seen.
     pub fn next(self, member: MemberId, epoch: u64) -> Self {
         Ballot { epoch, round: self.round + 1, proposer: u32::from(member.0) + 1 }
     }
 }
 
-/// An acceptor's vote: the value that it accepted, and the ballot that proposed it.
+/// An acceptor's vote: an accepted value and the ballot that proposed it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// The ballot.
@@ -37,16 +36,16 @@
     pub value: Value,
 }
 
-/// An acceptor's answer to a proposer that may go on.
+/// An acceptor's promise to a proposer not to accept older ballots.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Promise {
-    /// The ballot that was prepared.
+    /// The prepared ballot.
     pub ballot: Ballot,
-    /// What the acceptor accepted last, before it.
+    /// The acceptor's last vote before this ballot.
     pub accepted: Option<Vote>,
 }
 
-/// An acceptor's memory. It must be on disk before the answer is sent.
+/// The state of an acceptor. It must be on disk before a reply is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
     promised: Ballot,
@@ -54,10 +53,10 @@
 }
 
 impl Acceptor {
-    /// Promises to accept nothing of an older ballot from now on.
+    /// Promises not to accept older ballots than `ballot`.
     ///
     /// # Errors
-    /// The newer ballot that it has seen.
+    /// Returns the promised ballot if it is newer.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Promise, Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -69,7 +68,7 @@
     /// Accepts a value.
     ///
     /// # Errors
-    /// The newer ballot that it has seen.
+    /// Returns the promised ballot if it is newer.
     pub fn accept(&mut self, ballot: Ballot, value: Value) -> Result<(), Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -79,12 +78,12 @@
         Ok(())
     }
 
-    /// What it accepted last.
+    /// Returns the last vote.
     pub fn accepted(&self) -> Option<&Vote> {
         self.accepted.as_ref()
     }
 
-    /// The newest ballot that it has seen.
+    /// Returns the newest ballot promised or accepted.
     pub fn promised(&self) -> Ballot {
         self.promised
     }
@@ -93,27 +92,27 @@
 /// The two phases of a proposer's ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Round {
-    /// Phase 1: it collects promises.
+    /// Phase 1: the proposer collects promises.
     Preparing(BTreeMap<MemberId, Option<Vote>>),
-    /// Phase 2: it has proposed this value and collects votes.
+    /// Phase 2: the proposer has proposed this value and collects votes.
     Accepting(Value, BTreeSet<MemberId>),
 }
 
-/// What the promises of a majority say.
+/// The result of phase 1, taken from the promises of a majority.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prepared {
-    /// The newest vote among them; `None` if none of them has voted.
+    /// The newest vote of these acceptors; `None` if none of them has voted.
     pub newest_vote: Option<Vote>,
 }
 
 impl Round {
-    /// A new ballot, in phase 1.
+    /// Starts a new ballot in phase 1.
     pub fn start() -> Self {
         Round::Preparing(BTreeMap::new())
     }
 
-    /// Takes a promise. With those of a majority it gives the newest vote among them: nothing else can have been
-    /// chosen by these voters, nor can be any more by an older ballot.
+    /// Adds a promise. Once a majority has promised, returns the newest vote among them. Older ballots cannot have
+    /// chosen any other value, and cannot choose one any more.
     pub fn promised(&mut self, from: MemberId, accepted: Option<Vote>, majority: usize) -> Option<Prepared> {
         let Round::Preparing(promises) = self else { return None };
         promises.insert(from, accepted);
@@ -124,7 +123,7 @@
         Some(Prepared { newest_vote })
     }
 
-    /// Takes a vote, and gives the value once a majority has accepted it: it is chosen.
+    /// Adds a vote. Returns the value once a majority has accepted it, which means that it is chosen.
     pub fn accepted(&mut self, from: MemberId, majority: usize) -> Option<&Value> {
         let Round::Accepting(value, votes) = self else { return None };
         votes.insert(from);
--- a/crates/replicated-register/src/register/tests.rs
+++ b/crates/replicated-register/src/register/tests.rs
@@ -5,81 +5,81 @@
 
 const VOTERS: u16 = 3;
 
-/// Three acceptors and proposers that each make one change, in as many ballots as are given; what was sent
-/// stays in flight for good, so that it may come late, twice or never.
+/// A state of the model: three acceptors, and proposers that each make one change, with one ballot per entry of
+/// `ballots`. Messages stay in flight forever, so that each may arrive late, repeatedly or never.
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     acceptors: Vec<Acceptor>,
-    /// By ballot: its proposer, and its phase.
+    /// Proposer and phase of each ballot; `None` if it has not started.
     ballots: Vec<(u16, Option<Round>)>,
-    /// Values that a majority has accepted.
+    /// Values accepted by a majority.
     chosen: Vec<Value>,
-    /// Promises in flight.
-    replies: Vec<(usize, MemberId, Option<Vote>)>,
+    /// Promises in flight: index of the ballot, acceptor, and its last vote.
+    promises_in_flight: Vec<(usize, MemberId, Option<Vote>)>,
 }
 
 fn ballot(index: usize, proposer: u16) -> Ballot {
     Ballot { epoch: 0, round: index as u64 + 1, proposer: u32::from(proposer) + 1 }
 }
 
-/// Each changes a document of its own, so that no change stands in another's way.
+/// Returns the change of a proposer. Each changes its own document, so that the changes do not conflict.
 fn command(proposer: u16) -> Command {
     let proposal = Proposal { member: MemberId(proposer), number: 1 };
     Command { name: proposer.to_string(), parent: 0, change: Change::Put(String::new()), proposal }
 }
 
-/// Whether all that one value holds is in the other.
-fn within(one: &Value, other: &Value) -> bool {
-    one.all().all(|(name, document)| other.newest(name) == Some(document))
+/// Whether `other` contains all documents of `value`.
+fn is_contained_in(value: &Value, other: &Value) -> bool {
+    value.newest_documents().all(|(name, document)| other.newest(name) == Some(document))
 }
 
-/// All worlds that follow from one by one step.
-fn steps(world: &World) -> Vec<World> {
+/// Returns all states that are one step away from `state`.
+fn successors(state: &ModelState) -> Vec<ModelState> {
     let mut next = Vec::new();
-    for index in 0..world.ballots.len() {
-        if world.ballots[index].1.is_none() {
-            let mut w = world.clone();
-            w.ballots[index].1 = Some(Round::start());
-            next.push(w);
+    for index in 0..state.ballots.len() {
+        if state.ballots[index].1.is_none() {
+            let mut next_state = state.clone();
+            next_state.ballots[index].1 = Some(Round::start());
+            next.push(next_state);
             continue;
         }
-        next.extend((0..VOTERS).filter_map(|voter| question_arrives(world, index, voter)));
-        next.extend(answers_arrive(world, index));
+        next.extend((0..VOTERS).filter_map(|voter| deliver_request(state, index, voter)));
+        next.extend(deliver_promises(state, index));
     }
     next
 }
 
-/// A proposer's question arrives at a voter; `None` if that changes nothing.
-fn question_arrives(world: &World, index: usize, voter: u16) -> Option<World> {
-    let (proposer, round) = &world.ballots[index];
+/// Delivers a proposer's current request to a voter. Returns `None` if the state does not change.
+fn deliver_request(state: &ModelState, index: usize, voter: u16) -> Option<ModelState> {
+    let (proposer, round) = &state.ballots[index];
     let (number, from) = (ballot(index, *proposer), MemberId(voter));
-    let mut w = world.clone();
+    let mut next_state = state.clone();
     match round.as_ref()? {
         Round::Preparing(_) => {
-            // Its answer is in flight from then on.
-            let promise = w.acceptors[usize::from(voter)].prepare(number).ok()?;
+            // The reply is in flight from now on.
+            let promise = next_state.acceptors[usize::from(voter)].prepare(number).ok()?;
             let reply = (index, from, promise.accepted);
-            if w.replies.contains(&reply) {
+            if next_state.promises_in_flight.contains(&reply) {
                 return None;
             }
-            w.replies.push(reply);
-            w.replies.sort_by_key(|r| (r.0, r.1));
+            next_state.promises_in_flight.push(reply);
+            next_state.promises_in_flight.sort_by_key(|r| (r.0, r.1));
         }
         Round::Accepting(value, _) => {
-            w.acceptors[usize::from(voter)].accept(number, value.clone()).ok()?;
-            let chosen = w.ballots[index].1.as_mut().and_then(|r| r.accepted(from, 2).cloned());
-            w.chosen.extend(chosen.filter(|value| !world.chosen.contains(value)));
+            next_state.acceptors[usize::from(voter)].accept(number, value.clone()).ok()?;
+            let chosen = next_state.ballots[index].1.as_mut().and_then(|r| r.accepted(from, 2).cloned());
+            next_state.chosen.extend(chosen.filter(|value| !state.chosen.contains(value)));
         }
     }
-    Some(w)
+    Some(next_state)
 }
 
-/// An answer arrives at its proposer. Only the first of each acceptor is asked for.
-fn answers_arrive(world: &World, index: usize) -> Vec<World> {
+/// Delivers each promise to its proposer, which uses only the first one of each acceptor.
+fn deliver_promises(state: &ModelState, index: usize) -> Vec<ModelState> {
     let mut next = Vec::new();
-    for (_, from, vote) in world.replies.iter().filter(|reply| reply.0 == index) {
-        let mut w = world.clone();
-        let (proposer, Some(round)) = &mut w.ballots[index] else { continue };
+    for (_, from, vote) in state.promises_in_flight.iter().filter(|reply| reply.0 == index) {
+        let mut next_state = state.clone();
+        let (proposer, Some(round)) = &mut next_state.ballots[index] else { continue };
         if matches!(round, Round::Preparing(promises) if promises.contains_key(from)) {
             continue;
         }
@@ -88,33 +88,38 @@
             let _ = value.apply(&command(*proposer));
             *round = Round::Accepting(value, BTreeSet::new());
         }
-        next.push(w);
+        next.push(next_state);
     }
     next
 }
 
 #[test]
-fn each_chosen_value_contains_those_before_in_any_order_of_messages() {
-    // Two proposers. By hand also a third ballot, of the first again: its own late votes meet its new ballot.
+fn chosen_values_contain_earlier_ones_in_every_message_order() {
+    // Two proposers with one ballot each. With AGREEMENT_DEEP set, which is for manual runs, the first proposer runs a
+    // second ballot, so that late votes from its first ballot arrive during the second.
     let mut ballots = vec![(0, None), (1, None)];
     ballots.extend(std::env::var_os("AGREEMENT_DEEP").map(|_| (0, None)));
     let acceptors = vec![Acceptor::default(); usize::from(VOTERS)];
-    let mut open = vec![World { acceptors, ballots, chosen: Vec::new(), replies: Vec::new() }];
-    let (mut seen, mut most) = (HashSet::new(), 0);
-    while let Some(world) = open.pop() {
-        for next in steps(&world) {
+    let mut open =
+        vec![ModelState { acceptors, ballots, chosen: Vec::new(), promises_in_flight: Vec::new() }];
+    let (mut seen, mut max_chosen) = (HashSet::new(), 0);
+    while let Some(state) = open.pop() {
+        for next in successors(&state) {
             if !seen.insert(next.clone()) {
                 continue;
             }
             for (n, one) in next.chosen.iter().enumerate() {
                 for other in &next.chosen[..n] {
-                    assert!(within(one, other) || within(other, one), "{one:?} and {other:?}");
+                    assert!(
+                        is_contained_in(one, other) || is_contained_in(other, one),
+                        "diverging values: {one:?} and {other:?}"
+                    );
                 }
             }
-            most = most.max(next.chosen.len());
+            max_chosen = max_chosen.max(next.chosen.len());
             open.push(next);
         }
     }
-    println!("{} worlds, up to {most} values chosen", seen.len());
-    assert!(seen.len() > 1_000 && most >= 2, "{} worlds, {most} values chosen", seen.len());
+    println!("{} states, up to {max_chosen} values chosen", seen.len());
+    assert!(seen.len() > 1_000 && max_chosen >= 2, "{} states, {max_chosen} values chosen", seen.len());
 }
--- a/crates/replicated-register/src/voter.rs
+++ b/crates/replicated-register/src/voter.rs
@@ -1,7 +1,7 @@
-//! A voter: an acceptor, and a proposer that makes one change or confirmation at a time.
+//! A voter: an acceptor, and a proposer that runs one change or a batch of confirmations at a time.
 //!
-//! [`Voter`] holds the state, takes messages and time, and gives [`Output`]s. Whether it may vote is in `stage`, what
-//! it answers to other proposers in `acceptor`, how it proposes in `proposer`. The Paxos rules themselves are in
+//! [`Voter`] holds the state, handles messages and timers, and returns [`Output`]s. `stage` decides whether it may
+//! vote, `acceptor` replies to other proposers, and `proposer` runs ballots. The Paxos rules themselves are in
 //! `register`.
 
 mod acceptor;
@@ -22,88 +22,88 @@
 use operation::{ConfirmationRequest, Operation, QueuedChange, Task, VoteReport};
 pub use stage::VoterStage;
 
-/// Changes that wait for their turn at a voter.
-const MOST_WAITING_CHANGES: usize = 32;
-/// Learners whose confirmation waits at a voter.
-const MOST_WAITING_LEARNERS: usize = 4096;
+/// Maximum number of changes queued at a voter.
+const MAX_QUEUED_CHANGES: usize = 32;
+/// Maximum number of learners whose confirmation request is queued at a voter.
+const MAX_QUEUED_LEARNERS: usize = 4096;
 
-/// What a voter has on disk.
+/// The state that a voter stores on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistentState {
     /// Whether it may vote.
     pub stage: VoterStage,
-    /// Its memory as an acceptor.
+    /// State of the acceptor.
     pub acceptor: Acceptor,
-    /// The number of its last proposal.
+    /// Number of the last proposal.
     pub last_proposal: u64,
-    /// The key of its disk, with which it joined; 0 for a first voter.
+    /// Key of the disk, created when the voter joined; 0 for an initial voter.
     pub disk_key: u64,
-    /// The last value chosen by the voters of the epoch before; none in the first epoch.
+    /// The last value chosen by the voters of the previous epoch; `None` in the first epoch.
     pub epoch_base: Option<Vote>,
 }
 
-/// What became of a proposed change.
+/// The outcome of a proposed change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It holds, as this version.
+    /// Committed as this version or epoch.
     Committed(u64),
-    /// It was not made.
+    /// Rejected, and not committed.
     Rejected(Rejection),
-    /// It took too long: it holds, or will, or never does. Proposed again with the same parent it is made once at the
-    /// most, as no two versions have one parent.
+    /// Timed out: the change may have been committed, may still be, or may never be. It is safe to propose it again
+    /// with the same parent: at most one of the proposals is committed, because no two versions have the same parent.
     Unknown,
 }
 
-/// What a voter wants done, in this order.
+/// An action that the caller must carry out. Outputs must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be on disk, synced, before anything behind it is done.
+    /// Write the state to disk and sync it before carrying out the next output.
     Persist(PersistentState),
-    /// To be sent; it may get lost.
+    /// Send a message. Delivery is not required.
     Send(MemberId, Message),
-    /// The change that was proposed under this number is decided.
+    /// Report the decision on the change that was proposed with this number.
     Decided(u64, Decision),
 }
 
-/// A change as it is proposed to a voter.
+/// A change proposed to a voter.
 #[derive(Clone, Debug)]
 pub struct ProposedChange {
-    /// The decision comes under this number.
+    /// Chosen by the caller to identify the decision.
     pub number: u64,
-    /// The document; empty for a change of the voters.
+    /// Name of the document; empty for a change of the voters.
     pub name: String,
-    /// The version or epoch that the change is based on.
+    /// Version or epoch that the change is based on.
     pub parent: u64,
     /// The change.
     pub change: Change,
 }
 
-/// A voter; see the module's page.
+/// A voter. See the module documentation.
 #[derive(Debug)]
 pub struct Voter {
     config: Config,
     id: MemberId,
     state: PersistentState,
-    /// What the other first voters have reported.
+    /// Stages reported by the other initial voters.
     reported_stages: BTreeMap<MemberId, VoterStage>,
     next_stage_query_at: Time,
-    /// The newest ballot that it has heard of.
+    /// The newest ballot reported by another acceptor.
     highest_ballot: Ballot,
-    /// Another number in each incarnation of the process: a reply to an earlier one tells of a time before this one
-    /// began, since when much may have been promised.
+    /// Differs between incarnations of the process. Replies to an earlier incarnation are ignored: they are outdated,
+    /// because the replying voter may have made promises since.
     incarnation: u64,
     last_query: u64,
-    /// What is under way.
+    /// The operation in progress.
     operation: Option<Operation>,
-    changes: VecDeque<QueuedChange>,
-    confirmations: Vec<ConfirmationRequest>,
-    /// The last operation was a change: confirmations come first now, however many changes wait.
+    queued_changes: VecDeque<QueuedChange>,
+    queued_confirmations: Vec<ConfirmationRequest>,
+    /// Whether the last operation was a change. If so, confirmations are next, so that changes cannot starve them.
     last_was_change: bool,
     random: StdRng,
 }
 
 impl Voter {
-    /// A voter with what it finds on its disk, if anything. The seed is another one in each incarnation.
+    /// Creates a voter from the state on its disk, if there is one. `seed` must differ between incarnations.
     pub fn new(config: Config, id: MemberId, state: Option<PersistentState>, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let incarnation = random.random();
@@ -117,19 +117,19 @@
             incarnation,
             last_query: incarnation,
             operation: None,
-            changes: VecDeque::new(),
-            confirmations: Vec::new(),
+            queued_changes: VecDeque::new(),
+            queued_confirmations: Vec::new(),
             last_was_change: false,
             random,
         }
     }
 
-    /// Whether it may vote.
+    /// Returns the stage, which tells whether the voter may vote.
     pub fn stage(&self) -> VoterStage {
         self.state.stage
     }
 
-    /// Who votes, as far as this one knows.
+    /// Returns the newest electorate known to this voter.
     pub fn electorate(&self) -> Electorate {
         match &self.state.epoch_base {
             Some(base) => base.value.electorate.clone(),
@@ -137,25 +137,25 @@
         }
     }
 
-    /// The value before anything was chosen.
+    /// Returns the value that holds before any value is chosen.
     fn initial_value(&self) -> Value {
         Value::initial(self.config.voters.iter().copied())
     }
 
-    /// The value with which the present epoch began.
+    /// Returns the vote that started the current epoch.
     fn epoch_base(&self) -> Vote {
         let initial = || Vote { ballot: Ballot::default(), value: self.initial_value() };
         self.state.epoch_base.clone().unwrap_or_else(initial)
     }
 
-    /// Whether it votes and proposes in the newest epoch that it knows.
+    /// Whether this member is a voter of the newest known epoch, and so may propose.
     fn is_elected(&self) -> bool {
         let is_active = self.state.stage == VoterStage::Active;
         is_active && self.electorate().voters.get(&self.id) == Some(&self.state.disk_key)
     }
 
-    /// The other voters.
-    fn others(&self) -> impl Iterator<Item = MemberId> + use<> {
+    /// Returns the voters of the newest known epoch, except this member.
+    fn other_voters(&self) -> impl Iterator<Item = MemberId> + use<> {
         let own = self.id;
         self.electorate().voters.into_keys().filter(move |voter| *voter != own)
     }
@@ -164,55 +164,58 @@
         outputs.push(Output::Persist(self.state.clone()));
     }
 
-    fn send_to_others(&self, message: &Message, outputs: &mut Vec<Output>) {
-        for to in self.others() {
+    fn send_to_other_voters(&self, message: &Message, outputs: &mut Vec<Output>) {
+        for to in self.other_voters() {
             outputs.push(Output::Send(to, message.clone()));
         }
     }
 
-    /// When [`Voter::tick`] is due.
-    pub fn due(&self) -> Time {
+    /// Returns when [`Voter::tick`] must be called next.
+    pub fn next_tick_at(&self) -> Time {
         let timeout = self.config.timeout;
-        let operation = self.operation.as_ref().map(|o| o.retry_at.min(o.started_at + timeout));
-        let stage_query = self.is_beginning().then_some(self.next_stage_query_at);
-        let change = self.changes.front().map(|change| change.queued_at + timeout);
+        let operation =
+            self.operation.as_ref().map(|operation| operation.retry_at.min(operation.started_at + timeout));
+        let stage_query = self.is_initializing().then_some(self.next_stage_query_at);
+        let change = self.queued_changes.front().map(|change| change.queued_at + timeout);
         [operation, stage_query, change].into_iter().flatten().min().unwrap_or(Time::MAX)
     }
 
-    /// Proposes a change.
+    /// Queues a change and starts it when no other operation is in progress.
     pub fn propose(&mut self, now: Time, proposed: ProposedChange, outputs: &mut Vec<Output>) {
         let ProposedChange { number, name, parent, change } = proposed;
-        if self.changes.len() >= MOST_WAITING_CHANGES {
-            let full = Rejection::LimitExceeded("32 changes wait here already");
+        if self.queued_changes.len() >= MAX_QUEUED_CHANGES {
+            let message = format!("{MAX_QUEUED_CHANGES} changes are already queued at this voter");
+            let full = Rejection::LimitExceeded(message);
             return outputs.push(Output::Decided(number, Decision::Rejected(full)));
         }
         self.state.last_proposal += 1;
         let proposal = Proposal { member: self.id, number: self.state.last_proposal };
         self.persist(outputs);
         let command = Command { name, parent, change, proposal };
-        self.changes.push_back(QueuedChange { queued_at: now, number, command });
-        self.begin_next(now, outputs);
+        self.queued_changes.push_back(QueuedChange { queued_at: now, number, command });
+        self.start_next_operation(now, outputs);
     }
 
-    /// Lets time pass.
+    /// Handles timers that are due: stage queries, timeouts and retries.
     pub fn tick(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        if self.is_beginning() && now >= self.next_stage_query_at {
-            self.next_stage_query_at = now + self.config.retry;
-            self.send_to_others(&Message::StageQuery(self.incarnation), outputs);
-            self.advance_stage(outputs); // a voter that is alone has heard of all others
+        if self.is_initializing() && now >= self.next_stage_query_at {
+            self.next_stage_query_at = now + self.config.retry_interval;
+            self.send_to_other_voters(&Message::StageQuery(self.incarnation), outputs);
+            self.advance_stage(outputs); // a single voter does not wait for replies
         }
-        self.give_up_overdue(now, outputs);
+        self.abort_overdue(now, outputs);
         let retry_due = self.operation.as_ref().is_some_and(|operation| now >= operation.retry_at);
         if retry_due {
-            self.attempt(now, outputs);
+            self.start_attempt(now, outputs);
         }
-        self.begin_next(now, outputs);
+        self.start_next_operation(now, outputs);
     }
 
-    /// Gives up the changes and the operation that have taken too long.
-    fn give_up_overdue(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    /// Aborts the operation and the queued changes whose timeout has expired.
+    fn abort_overdue(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let timeout = self.config.timeout;
-        while let Some(change) = self.changes.pop_front_if(|change| now >= change.queued_at + timeout) {
+        while let Some(change) = self.queued_changes.pop_front_if(|change| now >= change.queued_at + timeout)
+        {
             outputs.push(Output::Decided(change.number, Decision::Unknown));
         }
         let overdue = self.operation.take_if(|operation| now >= operation.started_at + timeout);
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message.
     pub fn receive(&mut self, now: Time, from: MemberId, message: Message, outputs: &mut Vec<Output>) {
         match message {
             Message::StageQuery(incarnation) => {
@@ -230,39 +233,44 @@
             }
             Message::StageReply(incarnation, stage) => {
                 if incarnation == self.incarnation {
-                    self.stage_reported(now, from, stage, outputs);
+                    self.handle_stage_report(now, from, stage, outputs);
                 }
             }
-            Message::Prepare(ballot) => self.prepare_requested(from, ballot, outputs),
-            Message::Accept(ballot, value) => self.accept_requested(from, ballot, value, outputs),
-            Message::VoteQuery(number) => self.vote_queried(from, number, outputs),
-            Message::Chosen(vote) => self.begin_epoch(now, vote, outputs),
-            Message::Promise(promise) => self.promised(now, from, promise, outputs),
-            Message::Accepted(ballot) => self.accepted(now, from, ballot, outputs),
+            Message::Prepare(ballot) => self.handle_prepare(from, ballot, outputs),
+            Message::Accept(ballot, value) => self.handle_accept(from, ballot, value, outputs),
+            Message::VoteQuery(number) => self.handle_vote_query(from, number, outputs),
+            Message::Chosen(vote) => self.enter_epoch(now, vote, outputs),
+            Message::Promise(promise) => self.handle_promise(now, from, promise, outputs),
+            Message::Accepted(ballot) => self.handle_accepted(now, from, ballot, outputs),
             Message::VoteReply(number, vote) => {
-                self.vote_reported(now, from, VoteReport { number, vote }, outputs);
+                self.handle_vote_report(now, from, VoteReport { number, vote }, outputs);
             }
-            Message::Nack { ballot, seen } => self.nacked(now, ballot, seen),
+            Message::Nack { ballot, seen } => self.handle_nack(now, ballot, seen),
             Message::ConfirmationRequest(number, known) => {
                 let request = ConfirmationRequest { learner: from, number, known };
-                self.confirmation_requested(now, request, outputs);
+                self.handle_confirmation_request(now, request, outputs);
             }
-            // Those are for learners.
+            // Handled by the learner.
             Message::Redirect(_) | Message::Confirmation(_) => {}
         }
     }
 
-    fn confirmation_requested(&mut self, now: Time, request: ConfirmationRequest, outputs: &mut Vec<Output>) {
+    fn handle_confirmation_request(
+        &mut self,
+        now: Time,
+        request: ConfirmationRequest,
+        outputs: &mut Vec<Output>,
+    ) {
         let was_replaced = self.state.epoch_base.is_some() && !self.is_elected();
         if was_replaced {
-            let voters = self.others().collect();
+            let voters = self.other_voters().collect();
             return outputs.push(Output::Send(request.learner, Message::Redirect(voters)));
         }
-        // A learner's newest question is all that it waits for.
-        self.confirmations.retain(|waiting| waiting.learner != request.learner);
-        if self.confirmations.len() < MOST_WAITING_LEARNERS {
-            self.confirmations.push(request);
+        // Replace an earlier request of this learner: it ignores replies to those.
+        self.queued_confirmations.retain(|queued| queued.learner != request.learner);
+        if self.queued_confirmations.len() < MAX_QUEUED_LEARNERS {
+            self.queued_confirmations.push(request);
         }
-        self.begin_next(now, outputs);
+        self.start_next_operation(now, outputs);
     }
 }
--- a/crates/replicated-register/src/voter/acceptor.rs
+++ b/crates/replicated-register/src/voter/acceptor.rs
@@ -1,4 +1,4 @@
-//! What a voter answers to other proposers. A member that does not vote answers nothing.
+//! Replies to other proposers. A member that may not vote does not reply.
 
 use crate::document::Value;
 use crate::message::Message;
@@ -8,12 +8,12 @@
 use super::{Output, Voter, VoterStage};
 
 impl Voter {
-    fn votes(&self) -> bool {
+    fn may_vote(&self) -> bool {
         self.state.stage == VoterStage::Active
     }
 
-    pub(super) fn prepare_requested(&mut self, from: MemberId, ballot: Ballot, outputs: &mut Vec<Output>) {
-        if !self.votes() {
+    pub(super) fn handle_prepare(&mut self, from: MemberId, ballot: Ballot, outputs: &mut Vec<Output>) {
+        if !self.may_vote() {
             return;
         }
         let reply = match self.state.acceptor.prepare(ballot) {
@@ -26,14 +26,14 @@
         outputs.push(Output::Send(from, reply));
     }
 
-    pub(super) fn accept_requested(
+    pub(super) fn handle_accept(
         &mut self,
         from: MemberId,
         ballot: Ballot,
         value: Value,
         outputs: &mut Vec<Output>,
     ) {
-        if !self.votes() {
+        if !self.may_vote() {
             return;
         }
         let reply = match self.state.acceptor.accept(ballot, value) {
@@ -46,15 +46,16 @@
         outputs.push(Output::Send(from, reply));
     }
 
-    pub(super) fn vote_queried(&mut self, from: MemberId, number: u64, outputs: &mut Vec<Output>) {
-        if !self.votes() {
+    pub(super) fn handle_vote_query(&mut self, from: MemberId, number: u64, outputs: &mut Vec<Output>) {
+        if !self.may_vote() {
             return;
         }
         let vote = self.state.acceptor.accepted().cloned();
         outputs.push(Output::Send(from, Message::VoteReply(number, vote)));
     }
 
-    /// Rejects a ballot. A proposer that does not know yet who votes now is told that first.
+    /// Rejects a ballot. If the proposer addressed an older epoch, first sends it the value that started the current
+    /// one.
     fn nack(&self, from: MemberId, ballot: Ballot, seen: Ballot, outputs: &mut Vec<Output>) -> Message {
         if let Some(base) = &self.state.epoch_base {
             if base.value.electorate.epoch > ballot.epoch {
--- a/crates/replicated-register/src/voter/operation.rs
+++ b/crates/replicated-register/src/voter/operation.rs
@@ -1,4 +1,4 @@
-//! What a voter's proposer has under way, and what waits for it.
+//! The operation that a voter's proposer has in progress, and the queued ones.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use crate::register::{Ballot, Round, Vote};
 use crate::{MemberId, Time};
 
-/// A change that waits.
+/// A queued change.
 #[derive(Debug)]
 pub(super) struct QueuedChange {
     pub(super) queued_at: Time,
@@ -14,57 +14,57 @@
     pub(super) command: Command,
 }
 
-/// A learner that waits for a confirmation.
+/// A learner's request for a confirmation.
 #[derive(Debug)]
 pub(super) struct ConfirmationRequest {
     pub(super) learner: MemberId,
-    /// The number of its question.
+    /// Number of the request.
     pub(super) number: u64,
-    /// The ballot of what it knows.
+    /// Ballot of the value that the learner knows.
     pub(super) known: Option<Ballot>,
 }
 
-/// What an operation is for.
+/// The purpose of an operation.
 #[derive(Debug)]
 pub(super) enum Task {
-    /// Confirmations, all at once.
+    /// Reply to a batch of confirmation requests.
     Confirm(Vec<ConfirmationRequest>),
-    /// A change, with the number of its decision.
+    /// Make a change. The number identifies its decision.
     Change { number: u64, command: Command },
 }
 
-/// A ballot under way.
+/// A ballot in progress.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) ballot: Ballot,
     pub(super) round: Round,
 }
 
-/// A question to all acceptors for their votes, and the answers.
+/// A query for the votes of all acceptors, and the replies.
 #[derive(Debug)]
 pub(super) struct VoteQuery {
     pub(super) number: u64,
     pub(super) votes: BTreeMap<MemberId, Option<Vote>>,
 }
 
-/// An acceptor's answer to such a question.
+/// An acceptor's reply to a vote query.
 #[derive(Debug)]
 pub(super) struct VoteReport {
-    /// The number of the question.
+    /// Number of the query.
     pub(super) number: u64,
     pub(super) vote: Option<Vote>,
 }
 
-/// A change or a confirmation under way.
+/// A change or a batch of confirmations in progress.
 #[derive(Debug)]
 pub(super) struct Operation {
     pub(super) task: Task,
     pub(super) started_at: Time,
     pub(super) retry_at: Time,
-    /// The ballot, once there is one.
+    /// The ballot, once one is started.
     pub(super) attempt: Option<Attempt>,
     pub(super) query: Option<VoteQuery>,
-    /// What the change came to in this attempt.
+    /// Result of applying the change in this attempt.
     pub(super) result: Option<Result<u64, Rejection>>,
 }
 
--- a/crates/replicated-register/src/voter/stage.rs
+++ b/crates/replicated-register/src/voter/stage.rs
@@ -1,17 +1,18 @@
-//! Whether a voter may vote.
+//! Decides whether a voter may vote.
 //!
-//! A voter whose disk is gone has forgotten what it promised, and must not vote as who it was. It is told from one that
-//! begins by this: the first voters vote once all have seen all others begin, and have that on disk.
+//! A voter that has lost its disk has lost its promises and must not vote under its old identity. To distinguish it
+//! from a voter that starts for the first time, the initial voters vote only once each has seen all others start, and
+//! has recorded that on disk.
 //!
-//! | stage | becomes | when |
+//! | stage | next | event |
 //! | --- | --- | --- |
-//! | blank | ready | all others are blank or ready |
-//! | ready | active | all others are ready or active |
-//! | blank | lost | another is active, or a new epoch names it with some key |
-//! | ready | lost | a new epoch names it with some key |
-//! | active | lost | a new epoch names it with another key |
-//! | blank, lost | joining | it is to join |
-//! | joining | active | a new epoch names it with its key |
+//! | blank | ready | all other initial voters are blank or ready |
+//! | ready | active | all other initial voters are ready or active |
+//! | blank | lost | another voter is active, or a new epoch lists this member with any key |
+//! | ready | lost | a new epoch lists this member with any key |
+//! | active | lost | a new epoch lists this member with a different key |
+//! | blank, lost | joining | joining is requested |
+//! | joining | active | a new epoch lists this member with its key |
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -21,36 +22,37 @@
 
 use super::{Output, Voter};
 
-/// Whether a voter may vote. The order is that in which a first voter passes them.
+/// Whether a voter may vote. An initial voter passes through the first three stages in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VoterStage {
-    /// Nothing is on its disk.
+    /// The disk is empty. The voter does not vote.
     #[default]
     Blank,
-    /// It has seen that all others are blank, or that far.
+    /// All other initial voters were at least blank. The voter does not vote yet.
     Ready,
-    /// It has seen that all others are ready: it votes.
+    /// All other initial voters were at least ready, or the voter has joined: it votes.
     Active,
-    /// The others vote already: its disk is gone, and it votes no more until it joins with a new key.
+    /// The other voters already vote, so this one has lost its disk. It does not vote until it joins with a new key.
     Lost,
-    /// It has a key on its disk, and votes once that is in the electorate.
+    /// The voter has a key on its disk, and votes once the electorate contains that key.
     Joining,
 }
 
-/// What changes a stage.
+/// An event that can change the stage.
 enum StageEvent<'a> {
-    /// What the other first voters have reported; `None` for those that have not.
+    /// Stages reported by the other initial voters; `None` for those that have not replied.
     Reported(&'a [Option<VoterStage>]),
     JoinRequested,
-    /// A new epoch begins, whose electorate has this key for the voter.
+    /// A new epoch has begun.
     EpochBegan {
+        /// This voter's key in the new electorate, if it is listed.
         listed_key: Option<u64>,
         own_key: u64,
     },
 }
 
 impl VoterStage {
-    /// The stage after an event.
+    /// Returns the stage after an event.
     fn after(self, event: &StageEvent<'_>) -> Self {
         match event {
             StageEvent::Reported(stages) => self.after_reports(stages),
@@ -62,7 +64,7 @@
                 let is_own_key = listed == own_key;
                 match self {
                     VoterStage::Joining if is_own_key => VoterStage::Active,
-                    // The electorate means another disk of this member.
+                    // The electorate lists a different disk of this member.
                     VoterStage::Blank | VoterStage::Ready => VoterStage::Lost,
                     VoterStage::Active if !is_own_key => VoterStage::Lost,
                     VoterStage::Active | VoterStage::Lost | VoterStage::Joining => self,
@@ -73,8 +75,8 @@
     }
 
     fn after_reports(self, stages: &[Option<VoterStage>]) -> Self {
-        let all_in = |wanted: [VoterStage; 2]| {
-            stages.iter().all(|stage| stage.is_some_and(|stage| wanted.contains(&stage)))
+        let all_in = |allowed: [VoterStage; 2]| {
+            stages.iter().all(|stage| stage.is_some_and(|stage| allowed.contains(&stage)))
         };
         match self {
             VoterStage::Blank if stages.contains(&Some(VoterStage::Active)) => VoterStage::Lost,
@@ -90,13 +92,13 @@
 }
 
 impl Voter {
-    /// Whether it is one of the first voters and does not vote yet.
-    pub(super) fn is_beginning(&self) -> bool {
+    /// Whether this is an initial voter that does not vote yet.
+    pub(super) fn is_initializing(&self) -> bool {
         self.config.voters.contains(&self.id) && self.state.stage < VoterStage::Active
     }
 
-    /// Takes another first voter's report, which answers a question of this incarnation.
-    pub(super) fn stage_reported(
+    /// Handles the stage of another initial voter, reported to this incarnation.
+    pub(super) fn handle_stage_report(
         &mut self,
         now: Time,
         from: MemberId,
@@ -108,14 +110,14 @@
         }
         self.reported_stages.insert(from, stage);
         self.advance_stage(outputs);
-        self.begin_next(now, outputs);
+        self.start_next_operation(now, outputs);
     }
 
-    /// Takes this voter as far as the others' reports allow.
+    /// Advances the stage as far as the reports of the other voters allow.
     pub(super) fn advance_stage(&mut self, outputs: &mut Vec<Output>) {
         loop {
             let reported: Vec<Option<VoterStage>> =
-                self.others().map(|voter| self.reported_stages.get(&voter).copied()).collect();
+                self.other_voters().map(|voter| self.reported_stages.get(&voter).copied()).collect();
             let next = self.state.stage.after(&StageEvent::Reported(&reported));
             if next == self.state.stage {
                 return;
@@ -125,10 +127,11 @@
         }
     }
 
-    /// Makes a member that does not vote ready to: with the key that this gives it can be added to the voters.
+    /// Prepares a member that does not vote for joining, and returns the key with which it can be added to the voters.
+    /// Returns `None` if the member votes or is an initial voter that is about to.
     ///
-    /// Its disk keeps the key, so that a later incarnation on another disk cannot pass for it. Asked again it gives the
-    /// same one, as the change that names it may be on its way. `None` if it votes or begins to.
+    /// The key is stored on disk, so that a later incarnation with a different disk cannot vote in its place. Repeated
+    /// calls return the same key, because a change that contains it may already be in progress.
     pub fn join(&mut self, outputs: &mut Vec<Output>) -> Option<u64> {
         let next = self.state.stage.after(&StageEvent::JoinRequested);
         if next != VoterStage::Joining {
@@ -137,15 +140,15 @@
         if self.state.stage != VoterStage::Joining {
             self.state.stage = next;
             self.state.disk_key = self.random.random_range(1..u64::MAX);
-            // The numbers of its proposals before are forgotten with the disk: a random start avoids them.
+            // Earlier proposal numbers were lost with the disk. Start at a random number to avoid reusing them.
             self.state.last_proposal = self.random.random::<u64>() >> 1;
             self.persist(outputs);
         }
         Some(self.state.disk_key)
     }
 
-    /// Goes on with the voters of the next epoch, whom this value, chosen by those before, names.
-    pub(super) fn begin_epoch(&mut self, now: Time, chosen: Vote, outputs: &mut Vec<Output>) {
+    /// Enters the epoch started by this value, which the voters of an earlier epoch have chosen. Ignores old epochs.
+    pub(super) fn enter_epoch(&mut self, now: Time, chosen: Vote, outputs: &mut Vec<Output>) {
         let electorate = &chosen.value.electorate;
         if electorate.epoch <= self.electorate().epoch {
             return;
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -125,7 +125,8 @@
         Ok(index)
     }
 
-    /// Adds the intact blocks that directly follow each other from `start` on. Returns the offset of the end of the last.
+    /// Adds the intact blocks that directly follow each other from `start` on. Returns the offset of the end of the
+    /// last.
     fn add_consecutive_blocks<R: Read + Seek>(
         &mut self,
         file: &mut R,
--- a/crates/trace/tests/stored_data.rs
+++ b/crates/trace/tests/stored_data.rs
@@ -1,4 +1,5 @@
-//! Stored data compatibility: a trace file written by revision 84881d9 must stay readable, even after types are renamed.
+//! Stored data compatibility: a trace file written by revision 84881d9 must stay readable, even after types are
+//! renamed.
 
 use std::io::Cursor;
 use std::path::Path;
