--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -53,7 +53,7 @@
             return;
         }
         let draw = uniform_draw(self.seed ^ u64::from(request.id.0));
-        let ignores_affinity = self.affinity.explores(self.now, draw);
+        let ignores_affinity = self.affinity.should_explore(self.now, draw);
         let mut tracked = TrackedRequest::new(request, work, objective_s, first_requested_at, priority);
         tracked.uses_affinity &= !ignores_affinity;
         self.track(tracked);
@@ -125,7 +125,7 @@
         // Two event intervals early, so that the answer is on time even if the timer fires late.
         let deadline_in_s = (time_to_deadline_s - 2.0 * self.settings.event_interval_s).max(0.0);
         self.set_timer(deadline_in_s, Timer::Deadline(id));
-        self.fleet.hold_capacity_of(&tracked);
+        self.fleet.reserve_capacity_for(&tracked);
         self.requests.add(tracked);
         self.probe_for_capacity(id);
         self.schedule_round(self.round_interval_s);
--- a/src/scheduling/round.rs
+++ b/src/scheduling/round.rs
@@ -102,7 +102,7 @@
         if self.sees_free_slots() {
             let sums = self.fleet.in_service_slots();
             let slot_share = sums.slots / self.settings.scheduler_count as f64;
-            let slot_budget = slot_share + slot_share.sqrt().max(MIN_EXTRA_ATTEMPTS) - sums.held_here;
+            let slot_budget = slot_share + slot_share.sqrt().max(MIN_EXTRA_ATTEMPTS) - sums.reserved_here;
             queue.truncate(slot_budget.max(0.0).ceil() as usize + self.fleet.candidate_order.len());
             slot_budget
         } else {
--- a/src/scheduling/statistics.rs
+++ b/src/scheduling/statistics.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::scheduling::decaying_mean::{DecayingMean, WORKER_TIME_CONSTANT_S};
-use crate::scheduling::fleet::SlotSums;
+use crate::scheduling::fleet::SlotTotals;
 
 /// Lower bound of the reserved slots in [`TrafficStatistics::traffic_share`]; prevents division by zero.
 const MIN_SLOTS: f64 = 1e-9;
@@ -49,10 +49,10 @@
     /// Updates and returns this scheduler's fraction of the traffic, by the slots reserved here and by all schedulers.
     ///
     /// `expected`, an even share of all slots, counts like one more sample. The fractions of all schedulers sum to 1.
-    pub(crate) fn traffic_share(&mut self, now: f64, reserved: SlotSums, expected: SlotSums) -> f64 {
-        self.reserved_here.add(now, WORKER_TIME_CONSTANT_S, reserved.held_here, 1.0);
-        self.reserved_by_all.add(now, WORKER_TIME_CONSTANT_S, reserved.held_by_all, 1.0);
-        let reserved_by_all = (self.reserved_by_all.sum + expected.held_by_all).max(MIN_SLOTS);
-        (self.reserved_here.sum + expected.held_here) / reserved_by_all
+    pub(crate) fn traffic_share(&mut self, now: f64, reserved: SlotTotals, expected: SlotTotals) -> f64 {
+        self.reserved_here.add(now, WORKER_TIME_CONSTANT_S, reserved.reserved_here, 1.0);
+        self.reserved_by_all.add(now, WORKER_TIME_CONSTANT_S, reserved.reserved_by_all, 1.0);
+        let reserved_by_all = (self.reserved_by_all.sum + expected.reserved_by_all).max(MIN_SLOTS);
+        (self.reserved_here.sum + expected.reserved_here) / reserved_by_all
     }
 }
