--- a/crates/trace/tests/file.rs
+++ b/crates/trace/tests/file.rs
@@ -94,7 +94,7 @@
     assert!(bytes.len() < 12 * recorded.len(), "{} bytes for {} records", bytes.len(), recorded.len());
 }
 
-/// Guards against losing intact blocks when a crash truncates the file, at any byte offset.
+/// Guards against losing intact blocks when a crash truncates the file at an arbitrary byte.
 #[test]
 fn truncated_file_yields_all_complete_blocks() {
     let recorded = records_of(3000);
