--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -15,7 +15,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chutesaddle_trace::{Item, Reader, TraceError};
+use chutesaddle_trace::{Reader, TraceError, TraceItem};
 use clap::{Subcommand, ValueEnum};
 
 #[derive(Subcommand)]
@@ -165,7 +165,7 @@
 fn for_each_item(
     file: &Path,
     reader: &mut FileReader,
-    mut visit: impl FnMut(&Item),
+    mut visit: impl FnMut(&TraceItem),
 ) -> Result<(), TraceCommandError> {
     while let Some(item) = reader.next_item().map_err(|error| TraceCommandError::File(file.into(), error))? {
         visit(&item);
--- a/src/cli/trace/copy.rs
+++ b/src/cli/trace/copy.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutesaddle_trace::{merge, Item, MergeInput, Writer};
+use chutesaddle_trace::{merge, MergeInput, TraceItem, Writer};
 
 use super::{for_each_item, open, TraceCommandError, TraceStatus};
 
@@ -18,17 +18,19 @@
 ) -> Result<TraceStatus, TraceCommandError> {
     let mut reader = open(file)?;
     let header = reader.header().clone();
-    let trace_start = reader.index().entries.iter().map(|entry| entry.first).min().unwrap_or_default();
+    let trace_start = reader.index().entries.iter().map(|entry| entry.min_time).min().unwrap_or_default();
     let timestamp = |offset: Duration| trace_start.saturating_add(offset.as_micros() as u64);
-    reader.between(timestamp(from), to.map_or(u64::MAX, timestamp));
+    reader.set_time_range(timestamp(from), to.map_or(u64::MAX, timestamp));
     let output_error = |error| TraceCommandError::File(output.into(), error);
     let mut writer = Writer::new(create_output(output, &[file])?, &header).map_err(output_error)?;
     let mut result = Ok(());
     for_each_item(file, &mut reader, |item| {
         if result.is_ok() {
             result = match item {
-                Item::Record(timed) => writer.push_of(timed.source, timed.at, &timed.record),
-                Item::Gap(gap) | Item::Damaged(gap) => writer.gap(gap.source, gap.count, gap.first, gap.last),
+                TraceItem::Record(timed) => writer.push_from_source(timed.source, timed.at, &timed.record),
+                TraceItem::Gap(gap) | TraceItem::Damaged(gap) => {
+                    writer.push_gap(gap.source, gap.count, gap.min_time, gap.max_time)
+                }
             };
         }
     })?;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -110,7 +110,7 @@
         let (class, tenant, hint_us, left_us, key) = (0, 0, Some(100_000), 8_000_000, None);
         let arrival = Record::Arrival {
             id,
-            name_hash: id,
+            request_id_hash: id,
             class,
             tenant,
             hint_us,
@@ -168,5 +168,9 @@
     assert_eq!(std::fs::read(&truncated).unwrap(), before);
     let output = chutesaddle(&["trace", "info", &write_file("no.trace", "something else altogether")]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("no trace file"), "{output:?}");
+    assert!(
+        String::from_utf8_lossy(&output.stderr)
+            .contains("not a trace file: it starts with \"somethin\" instead"),
+        "{output:?}"
+    );
 }
