--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Settings, workers, requests and a scheduler on a virtual clock, for the tests of the decisions.
+//! Settings, workers, requests and a scheduler on a virtual clock, for tests of scheduling decisions.
 #![allow(dead_code)]
 
 use chutesaddle::scheduling::*;
 use chutesaddle::Dispatcher;
 
-/// How long a test worker takes to reply to a capacity probe.
+/// Time that a test worker takes to reply to a capacity probe.
 const PROBE_REPLY_S: f64 = 0.005;
 
 pub(crate) fn class(idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> RequestClass {
@@ -22,7 +22,8 @@
     }
 }
 
-/// Class 0 is idempotent, 1 non-idempotent; 2 is idempotent with a key within a cell, 3 with a key everywhere.
+/// Class 0 is idempotent and class 1 non-idempotent. Requests of classes 2 and 3 are idempotent with a key, class 2
+/// within a cell and class 3 on all workers.
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -44,7 +45,7 @@
     }
 }
 
-/// A worker that is ready and has long been warm. Odd and even ids are two cells.
+/// A ready worker that is past its slow start. Workers with odd and even ids form two cells.
 pub(crate) fn worker(id: u64) -> WorkerInfo {
     let cell = (id % 2) as u16;
     WorkerInfo { id: WorkerId(id), stable_id: id, state: WorkerState::Ready, cell, ..WorkerInfo::default() }
@@ -55,7 +56,7 @@
     (1..=count).map(worker).collect()
 }
 
-/// A request of 0.3 s of work that is received now and has 10 s.
+/// A request with an estimated work of 0.3 s that is received now and has a deadline in 10 s.
 pub(crate) fn request(id: u32, class: usize, now: f64) -> Request {
     let id = RequestId(id);
     Request {
@@ -74,16 +75,16 @@
 pub(crate) struct TestScheduler {
     pub dispatcher: Dispatcher,
     pub now: f64,
-    /// When each timer expires, and its tag.
+    /// Expiry time and tag of each timer.
     timers: Vec<(f64, u64)>,
-    /// The load report in the reply to each capacity probe; without one, no probe is replied to.
+    /// The load report in replies to capacity probes. If `None`, probes get no reply.
     pub probe_reply: Option<LoadReport>,
-    /// When the reply to each capacity probe arrives, and its worker.
+    /// Arrival time of each pending probe reply, with its worker.
     probes: Vec<(f64, WorkerId)>,
 }
 
 impl TestScheduler {
-    /// A scheduler that has read this endpoint list from its cache.
+    /// Creates a scheduler that has read this endpoint list from its cache.
     pub(crate) fn new(settings: Settings, workers: Vec<WorkerInfo>) -> Self {
         Self::seeded(settings, 7, workers)
     }
@@ -100,7 +101,7 @@
         scheduler
     }
 
-    /// Hands in one event. Timers are set on the virtual clock; all other actions are returned.
+    /// Passes one event to the dispatcher. Sets timers on the virtual clock and returns all other actions.
     pub(crate) fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
@@ -118,17 +119,17 @@
         actions
     }
 
-    /// Discovery sends an incremental update of the endpoint list.
+    /// Sends an incremental update of the endpoint list.
     pub(crate) fn update_workers(&mut self, entries: Vec<WorkerInfo>) -> Vec<Action> {
         self.send(Event::WorkersListed { complete_snapshot: false, from_cache: false, entries })
     }
 
-    /// Discovery sends a complete snapshot of the endpoint list.
+    /// Sends a complete snapshot of the endpoint list.
     pub(crate) fn replace_workers(&mut self, entries: Vec<WorkerInfo>) -> Vec<Action> {
         self.send(Event::WorkersListed { complete_snapshot: true, from_cache: false, entries })
     }
 
-    /// Lets time pass: timers expire in order, and capacity probes are replied to.
+    /// Advances the clock. Timers expire in order, and capacity probes get their replies.
     pub(crate) fn run(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut actions = Vec::new();
@@ -142,7 +143,7 @@
                 continue;
             }
             let due = self.timers.iter().enumerate().filter(|(_, timer)| timer.0 <= end);
-            let Some((index, _)) = due.min_by(|(_, one), (_, other)| one.0.total_cmp(&other.0)) else {
+            let Some((index, _)) = due.min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0)) else {
                 break;
             };
             let (at, tag) = self.timers.remove(index);
@@ -153,7 +154,7 @@
         actions
     }
 
-    /// Ends an attempt. A success is the final answer to the client.
+    /// Ends an attempt. If it succeeded, the client has its final answer.
     pub(crate) fn end_attempt(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
         self.send(Event::AttemptEnded(AttemptEnded {
             request: RequestId(id),
@@ -165,7 +166,7 @@
     }
 }
 
-/// The requests that are dispatched, each with its worker.
+/// The dispatched requests, each with its worker.
 pub(crate) fn dispatched(actions: &[Action]) -> Vec<(u32, u64)> {
     let dispatch = |action: &Action| match action {
         Action::Dispatch { request, worker } => Some((request.0, worker.0)),
@@ -174,7 +175,7 @@
     actions.iter().filter_map(dispatch).collect()
 }
 
-/// The workers whose capacity is probed.
+/// The workers that are sent a capacity probe.
 pub(crate) fn probed(actions: &[Action]) -> Vec<u64> {
     let probe = |action: &Action| match action {
         Action::Probe(worker) => Some(worker.0),
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! The decisions alone, at one scheduler. The four rules are those of `docs/design.md`.
+//! Scheduling decisions of a single scheduler. The numbered rules are the four rules of `docs/design.md`.
 
 mod common;
 
@@ -74,12 +74,12 @@
     let first = dispatched(&scheduler.run(0.1))[0].1;
     let mut actions = scheduler.end_attempt(1, 0, AttemptOutcome::Failed);
     actions.extend(scheduler.run(0.2));
-    let again = dispatched(&actions);
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].1 % 2, first % 2, "another cell does not deduplicate by the key");
+    let retries = dispatched(&actions);
+    assert_eq!(retries.len(), 1);
+    assert_eq!(retries[0].1 % 2, first % 2, "another cell does not deduplicate this key");
 
     let mut settings = settings();
-    settings.classes[2].latency_objective_s = 9.0; // the request is kept for longer than the window
+    settings.classes[2].latency_objective_s = 9.0; // the request is tracked for longer than the window
     let mut scheduler = TestScheduler::new(settings, fleet(6));
     scheduler.send(Event::RequestReceived(request(1, 2, 100.0)));
     scheduler.run(0.1);
@@ -92,11 +92,11 @@
 
 /// Rule 2.
 #[test]
-fn sends_no_hedged_request_where_hedging_is_not_allowed() {
+fn sends_no_hedged_request_unless_hedging_is_allowed() {
     let mut scheduler = TestScheduler::new(settings(), fleet(4));
     scheduler.send(Event::RequestReceived(request(1, 0, 100.0)));
     assert_eq!(dispatched(&scheduler.run(0.1)).len(), 1);
-    assert!(dispatched(&scheduler.run(8.0)).is_empty(), "the first attempt has no outcome yet");
+    assert!(dispatched(&scheduler.run(8.0)).is_empty(), "the first attempt is still in flight");
 }
 
 /// Rule 3.
@@ -110,8 +110,9 @@
     for id in 0..3 {
         scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
     }
-    let chosen: Vec<u64> = dispatched(&scheduler.run(0.5)).iter().map(|(_, worker)| *worker).collect();
-    assert!(!chosen.is_empty() && !chosen.contains(&1));
+    let chosen_workers: Vec<u64> =
+        dispatched(&scheduler.run(0.5)).iter().map(|(_, worker)| *worker).collect();
+    assert!(!chosen_workers.is_empty() && !chosen_workers.contains(&1));
     scheduler.replace_workers(vec![worker(3)]);
     scheduler.send(Event::RequestReceived(request(9, 0, scheduler.now)));
     assert!(
@@ -122,7 +123,7 @@
 
 /// Rule 4.
 #[test]
-fn worker_in_slow_start_gets_no_more_than_this_schedulers_share_of_its_budget() {
+fn slow_start_worker_gets_at_most_the_schedulers_share_of_its_budget() {
     let mut settings = settings();
     settings.scheduler_count = 2;
     let mut slow_starting = worker(1);
@@ -138,12 +139,13 @@
             scheduler.end_attempt(id, 0, AttemptOutcome::Cancelled);
         }
     }
-    // Three times a fifth of two slots, for one second, for one of two schedulers.
-    assert!(sent <= 3.0 * 0.25 * 2.0 / 2.0, "sent {sent} s of work in less than a second");
+    // Collapse multiple of 3, capacity fraction of a fifth and a little more (0.25), two slots, one second, one of two
+    // schedulers.
+    assert!(sent <= 3.0 * 0.25 * 2.0 / 2.0, "sent {sent} s of work within a second");
 }
 
-/// How many of these requests are dispatched. One arrives every `interval_s`; the client of each disconnects as soon
-/// as it has started.
+/// Returns how many of these requests are dispatched. One arrives every `interval_s`, and its client disconnects as
+/// soon as the request has started.
 fn dispatched_and_cancelled(
     scheduler: &mut TestScheduler,
     ids: std::ops::Range<u32>,
@@ -164,9 +166,9 @@
 
 /// Rule 4.
 #[test]
-fn slow_start_budget_just_after_a_start_is_the_capacity_of_that_time() {
-    // With the capacity at the end of the window, all schedulers together would overload the worker. A request counts
-    // for the mean work of its class at the least.
+fn slow_start_budget_uses_the_current_capacity() {
+    // The capacity at the end of the window would let all schedulers together overload the worker. A request counts as
+    // at least the average work of its class.
     let slow_starting = WorkerInfo { started_at_s: 99.1, ..worker(1) };
     let mut scheduler = TestScheduler::new(settings(), vec![slow_starting]);
     let sent = dispatched_and_cancelled(&mut scheduler, 0..10, 0.035);
@@ -175,10 +177,11 @@
 
 /// Rule 4.
 #[test]
-fn run_of_a_worker_in_slow_start_does_not_raise_the_budget_of_others() {
-    // Its run time against its assumed capacity would make all workers of the kind seem several times as fast.
+fn run_time_in_slow_start_does_not_raise_the_budget_of_other_workers() {
+    // Relative to the low capacity that slow start assumes, its run time would make every worker of the kind seem
+    // several times as fast.
     let dispatched_to_new_worker = |run_completed: bool| {
-        let slow_starting = |id, since| WorkerInfo { started_at_s: since, ..worker(id) };
+        let slow_starting = |id, started_at_s| WorkerInfo { started_at_s, ..worker(id) };
         let mut scheduler = TestScheduler::new(settings(), vec![slow_starting(1, 99.0)]);
         for id in 0..3 {
             scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
@@ -204,7 +207,7 @@
 }
 
 #[test]
-fn ejects_silent_worker_and_cancels_its_idempotent_request() {
+fn ejects_unresponsive_worker_and_cancels_its_idempotent_request() {
     let mut scheduler = TestScheduler::new(settings(), fleet(3));
     scheduler.send(Event::RequestReceived(request(1, 0, 100.0)));
     let first = dispatched(&scheduler.run(0.1))[0].1;
@@ -221,7 +224,8 @@
     );
 }
 
-/// A healthy worker may reset one connection. Two resets with no notification between them are a fault.
+/// A healthy worker may reset one connection. Two resets without a notification from the worker in between are a
+/// fault.
 #[test]
 fn ejects_worker_after_two_consecutive_resets() {
     let mut scheduler = TestScheduler::new(settings(), fleet(1));
@@ -233,9 +237,9 @@
     scheduler.end_attempt(1, 0, AttemptOutcome::StaleConnection);
     assert_eq!(dispatched(&scheduler.run(0.1)).len(), 1, "a stale connection does not count");
     scheduler.end_attempt(1, 1, AttemptOutcome::ConnectionReset);
-    assert_eq!(dispatched(&scheduler.run(0.1)).len(), 1, "one reset does not eject");
+    assert_eq!(dispatched(&scheduler.run(0.1)).len(), 1, "one reset does not eject the worker");
     scheduler.end_attempt(1, 2, AttemptOutcome::ConnectionReset);
-    assert_eq!(dispatched(&scheduler.run(0.1)).len(), 0, "two do");
+    assert_eq!(dispatched(&scheduler.run(0.1)).len(), 0, "two resets eject the worker");
 }
 
 #[test]
@@ -245,9 +249,9 @@
         scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
     }
     assert_eq!(dispatched(&scheduler.run(0.1)).len(), 3);
-    scheduler.run(2.0); // every worker is late with its start
+    scheduler.run(2.0); // no worker has reported a start in time
     scheduler.send(Event::RequestReceived(request(10, 1, scheduler.now)));
-    assert_eq!(dispatched(&scheduler.run(0.3)).len(), 1, "lateness does not eject the whole fleet");
+    assert_eq!(dispatched(&scheduler.run(0.3)).len(), 1, "late starts do not eject the whole fleet");
 }
 
 #[test]
@@ -263,13 +267,13 @@
     for id in 10..16 {
         scheduler.send(Event::RequestReceived(request(id, 1, scheduler.now)));
     }
-    // Twice a third of the eight slots of workers that are not ejected; stuck requests do not count.
+    // The share is twice a third of the eight slots of workers that are not ejected. Stuck requests do not count.
     assert_eq!(dispatched(&scheduler.run(0.1)).len(), 4);
 }
 
 #[test]
 fn does_not_cancel_request_queued_at_a_worker_that_makes_progress() {
-    // A retry elsewhere of each request that is queued at a loaded worker would add to the load.
+    // Retrying every request that is queued at a loaded worker would add to the load.
     let mut scheduler = TestScheduler::new(settings(), fleet(2));
     for id in 0..4 {
         scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
@@ -289,12 +293,12 @@
     let actions = scheduler.run(0.2);
     let cancelled = Action::Cancel { request: RequestId(queued), attempt: 0 };
     assert!(queued != sent[0].0 && !actions.contains(&cancelled));
-    assert!(scheduler.run(2.0).contains(&cancelled), "the worker has made no progress since");
+    assert!(scheduler.run(2.0).contains(&cancelled), "the worker has stopped making progress");
 }
 
 #[test]
-fn request_past_its_objective_does_not_overtake_fresh_ones() {
-    // A priority that grew without bound with the wait would put it before requests of higher priority.
+fn request_past_its_objective_does_not_overtake_newer_ones() {
+    // If priority grew without bound with the waiting time, it would overtake requests of higher priority.
     let mut settings = settings();
     settings.classes[0].weight_after_objective = 0.2;
     let mut scheduler = TestScheduler::new(settings, Vec::new());
@@ -310,7 +314,7 @@
 
 #[test]
 fn each_of_many_schedulers_sends_only_its_share() {
-    // If each of ten schedulers filled every worker's queue, they would be ten times too long together.
+    // If each of ten schedulers filled every worker's queue, the queues would be ten times too long.
     let dispatched_by_one_of = |scheduler_count| {
         let mut settings = settings();
         settings.scheduler_count = scheduler_count;
@@ -320,7 +324,7 @@
         }
         dispatched(&scheduler.run(0.05)).len()
     };
-    assert!(dispatched_by_one_of(10) <= 4, "twice a tenth of twenty slots");
+    assert!(dispatched_by_one_of(10) <= 4, "more than twice a tenth of twenty slots");
     assert!(dispatched_by_one_of(1) >= 15);
 }
 
@@ -338,7 +342,7 @@
     let high_priority = (1..40).step_by(2).filter(|&id| rejected(&actions, id)).count();
     assert!(
         low_priority >= 15 && low_priority > high_priority,
-        "{low_priority} of low priority, {high_priority} of high priority rejected"
+        "rejected {low_priority} requests of low and {high_priority} of high priority"
     );
 }
 
@@ -379,7 +383,7 @@
         actions.clear();
         dispatcher.handle(1.0, Event::DiscoveryFailed, &mut actions);
         let Some(Action::SetTimer { after_s, tag }) = actions.pop() else {
-            panic!("a failed poll is followed by another")
+            panic!("a failed poll sets a timer for the next one")
         };
         backoffs.push(after_s);
         dispatcher.handle(1.0, Event::TimerExpired(tag), &mut actions);
@@ -390,7 +394,7 @@
 }
 
 #[test]
-fn ignores_impossible_events() {
+fn ignores_invalid_events() {
     let mut scheduler = TestScheduler::new(settings(), fleet(2));
     assert!(rejected(&scheduler.send(Event::RequestReceived(request(1, 99, 100.0))), 1));
     scheduler.send(Event::RequestReceived(Request { tenant: 77, ..request(2, 0, 100.0) }));
@@ -403,20 +407,20 @@
     assert_eq!((sent.len(), sent[0].0), (1, 2), "the valid request is served");
 }
 
-/// A worker that fails fast always has free slots, and could get all attempts of a request.
+/// A worker that fails fast always has free slots. Without this rule, it could get all attempts of a request.
 #[test]
 fn retries_failed_request_at_another_worker() {
     let mut scheduler =
         TestScheduler::new(Settings { capacity_probes_allowed: false, ..settings() }, fleet(3));
     scheduler.send(Event::RequestReceived(request(1, 0, 100.0)));
-    let mut tried = vec![dispatched(&scheduler.run(0.1))[0].1];
+    let mut workers = vec![dispatched(&scheduler.run(0.1))[0].1];
     for attempt in 0..2 {
         let mut actions = scheduler.end_attempt(1, attempt, AttemptOutcome::Failed);
         actions.extend(scheduler.run(0.2));
-        tried.push(dispatched(&actions)[0].1);
+        workers.push(dispatched(&actions)[0].1);
     }
-    tried.sort();
-    assert_eq!(tried, [1, 2, 3]);
+    workers.sort();
+    assert_eq!(workers, [1, 2, 3]);
 }
 
 #[test]
@@ -433,8 +437,8 @@
 /// Rule 4.
 #[test]
 fn slow_start_budget_follows_the_workers_own_run_times() {
-    // A worker that warms up faster than the slowest curve that the settings allow gets more; one that is slower than
-    // that curve gets less at once.
+    // A worker that warms up faster than the slowest curve that the settings allow gets more. One that is slower than
+    // that curve gets less immediately.
     let dispatched_after_run_of = |run_time_s: f64| {
         let mut scheduler =
             TestScheduler::new(settings(), vec![WorkerInfo { started_at_s: 99.9, ..worker(1) }]);
@@ -452,13 +456,13 @@
 }
 
 #[rstest::rstest]
-#[case::time_for_a_late_connection(0.6, 1)]
-#[case::a_connection_might_come_up_after_the_window(0.9, 0)]
-fn keyed_retry_arrives_within_its_window_though_its_connection_is_late(
+#[case::slow_connection_fits(0.6, 1)]
+#[case::slow_connection_might_end_after_the_window(0.9, 0)]
+fn keyed_retry_is_sent_only_if_a_slow_connection_still_fits_its_window(
     #[case] reset_after_s: f64,
     #[case] retries: usize,
 ) {
-    // In a window of 1.2 s, a connection that may take 0.4 s has to be begun well before the end.
+    // With a connect timeout of 0.4 s, the connection must be started well before the window of 1.2 s ends.
     let mut settings = Settings { connect_timeout_s: 0.4, ..settings() };
     settings.classes[3].deduplication_window_s = 1.2;
     let mut scheduler = TestScheduler::new(settings, vec![worker(1), worker(2)]);
