--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences against an independent check of the four rules of `docs/design.md`.
+//! Feeds random valid event sequences to the dispatcher and checks its actions independently against the four rules
+//! of `docs/design.md`.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use chutesaddle::Dispatcher;
 use common::*;
 
-/// Once notified that a worker drains, a scheduler has to stop sending to it within this time.
+/// A scheduler must stop sending to a draining worker within this time after it is notified.
 const DRAIN_GRACE_S: f64 = 0.25;
 
 /// An attempt that the dispatcher has sent.
@@ -20,7 +21,7 @@
     sent_at: f64,
     in_flight: bool,
     may_have_run: bool,
-    /// When it began to run at the worker; infinity if it has not.
+    /// When it started to run at the worker, or infinity if it has not started.
     started_at: f64,
 }
 
@@ -28,25 +29,25 @@
 struct ReceivedRequest {
     class: usize,
     deadline: f64,
-    /// It has its final answer.
-    closed: bool,
+    /// Whether the client has its final answer.
+    answered: bool,
     attempts: Vec<SentAttempt>,
 }
 
-/// What an observer knows of the dispatcher's events and actions, and checks each action against.
+/// Tracks the dispatcher's events and actions, and checks each action against the four rules.
 struct RuleChecker {
     settings: Settings,
     requests: BTreeMap<u32, ReceivedRequest>,
-    /// Each listed worker, and when its state was last changed.
+    /// Each listed worker, with the time of its last change of state.
     workers: BTreeMap<u64, (WorkerInfo, f64)>,
-    /// When each attempt was sent to a worker in slow start, and its work.
+    /// Attempts sent to each worker in slow start: the time and the work in seconds.
     slow_start_sends: BTreeMap<u64, Vec<(f64, f64)>>,
-    /// When each timer expires, and its tag.
+    /// Expiry time and tag of each timer.
     timers: Vec<(f64, u64)>,
-    /// Workers whose capacity is probed.
+    /// Workers with a capacity probe in flight.
     probed: Vec<WorkerId>,
     dispatched: usize,
-    /// The most attempts that were ever in flight at one worker.
+    /// The maximum number of attempts that were ever in flight at one worker.
     max_in_flight: usize,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Notes an event before the dispatcher handles it.
+    /// Records an event before the dispatcher handles it.
     fn observe(&mut self, now: f64, event: &Event) {
         match event {
             Event::WorkersListed { entries, .. } => {
@@ -81,7 +82,7 @@
                 let received = ReceivedRequest {
                     class: request.class,
                     deadline: request.deadline,
-                    closed: false,
+                    answered: false,
                     attempts: Vec::new(),
                 };
                 self.requests.insert(request.id.0, received);
@@ -99,7 +100,7 @@
                         | AttemptOutcome::ConnectFailed
                         | AttemptOutcome::NotSent
                 );
-                received.closed |= ended.client_answered;
+                received.answered |= ended.client_answered;
             }
             _ => {}
         }
@@ -108,7 +109,7 @@
     fn check(&mut self, now: f64, action: &Action) {
         match *action {
             Action::SetTimer { after_s, tag } => self.timers.push((now + after_s, tag)),
-            Action::Fail(id) => self.close(now, id.0),
+            Action::Fail(id) => self.record_final_answer(now, id.0),
             Action::Reject { request, .. } => self.check_rejected(now, request.0),
             Action::Cancel { request, attempt } => {
                 assert!(attempt < self.requests[&request.0].attempts.len());
@@ -123,15 +124,15 @@
         }
     }
 
-    /// Rule 1, at a final answer.
-    fn close(&mut self, now: f64, id: u32) {
-        let received = self.requests.get_mut(&id).expect("answers only what it received");
-        assert!(!received.closed, "request {id} has two final answers");
+    /// Records the final answer to a request and checks it against rule 1.
+    fn record_final_answer(&mut self, now: f64, id: u32) {
+        let received = self.requests.get_mut(&id).expect("answers only received requests");
+        assert!(!received.answered, "request {id} is answered twice");
         assert!(now <= received.deadline + 1e-9, "request {id} is answered after its deadline");
-        received.closed = true;
+        received.answered = true;
     }
 
-    /// Rule 2, at a rejection: it says that the request did not run, or that it may run again.
+    /// Checks rule 2 for a rejection, which tells the client that the request did not run or may run again.
     fn check_rejected(&mut self, now: f64, id: u32) {
         let received = &self.requests[&id];
         let class = &self.settings.classes[received.class];
@@ -139,29 +140,29 @@
         let may_run_twice = class.idempotency == Idempotency::Idempotent
             || (class.idempotency == Idempotency::WithKey
                 && class.deduplication_scope == DeduplicationScope::All);
-        assert!(!may_have_run || may_run_twice, "rejected though it may have run");
-        self.close(now, id);
+        assert!(!may_have_run || may_run_twice, "request {id} is rejected although it may have run");
+        self.record_final_answer(now, id);
     }
 
-    /// Rules 2 to 4, at an attempt that is sent.
+    /// Checks rules 2 to 4 for an attempt that is sent.
     fn check_dispatched(&mut self, now: f64, id: u32, worker: u64) {
         self.dispatched += 1;
-        let at_worker = |attempt: &&SentAttempt| attempt.in_flight && attempt.worker == worker;
+        let is_at_worker = |attempt: &&SentAttempt| attempt.in_flight && attempt.worker == worker;
         let in_flight =
-            self.requests.values().flat_map(|request| &request.attempts).filter(at_worker).count();
+            self.requests.values().flat_map(|request| &request.attempts).filter(is_at_worker).count();
         self.max_in_flight = self.max_in_flight.max(in_flight + 1);
-        let (info, since) = &self.workers[&worker];
+        let (info, notified_at) = &self.workers[&worker];
         assert!(
-            info.state == WorkerState::Ready || now <= since + DRAIN_GRACE_S,
-            "sent to a draining or absent worker"
+            info.state == WorkerState::Ready || now <= notified_at + DRAIN_GRACE_S,
+            "request {id} is sent to worker {worker}, which is not ready"
         );
         let info = info.clone();
-        let received = self.requests.get(&id).expect("dispatches only what it received");
-        assert!(!received.closed && received.attempts.len() < self.settings.max_attempts);
+        let received = self.requests.get(&id).expect("dispatches only received requests");
+        assert!(!received.answered && received.attempts.len() < self.settings.max_attempts);
         self.check_retry(now, received, &info);
         self.check_slow_start(now, &info);
         let started_at = if self.settings.starts_reported { f64::INFINITY } else { now };
-        let received = self.requests.get_mut(&id).expect("dispatches only what it received");
+        let received = self.requests.get_mut(&id).expect("dispatches only received requests");
         received.attempts.push(SentAttempt {
             worker,
             sent_at: now,
@@ -171,37 +172,40 @@
         });
     }
 
-    /// Rule 2, at an attempt that may be a retry or a hedged request.
+    /// Checks rule 2 for an attempt that may be a retry or a hedged request.
     fn check_retry(&self, now: f64, received: &ReceivedRequest, info: &WorkerInfo) {
         let class = &self.settings.classes[received.class];
         assert!(
             self.settings.hedging_allowed || received.attempts.iter().all(|attempt| !attempt.in_flight),
-            "a hedged request"
+            "hedging is not allowed"
         );
         let Some(first) = received.attempts.iter().find(|attempt| attempt.may_have_run) else { return };
         match class.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => panic!("a non-idempotent request is sent twice"),
+            Idempotency::NonIdempotent => panic!("a non-idempotent request that may have run is sent again"),
             Idempotency::WithKey => {
-                assert!(now <= first.sent_at + class.deduplication_window_s, "after the window");
+                assert!(
+                    now <= first.sent_at + class.deduplication_window_s,
+                    "retry after the deduplication window"
+                );
                 let cell = self.workers[&first.worker].0.cell;
                 assert!(
                     class.deduplication_scope == DeduplicationScope::All || cell == info.cell,
-                    "outside the deduplication scope"
+                    "retry outside the deduplication scope"
                 );
             }
         }
     }
 
-    /// Rule 4, at an attempt that is sent to a worker in slow start.
+    /// Checks rule 4 for an attempt that is sent to a worker in slow start.
     fn check_slow_start(&mut self, now: f64, info: &WorkerInfo) {
         let age = now - info.started_at_s;
         if info.started_at_s <= 0.0 || age >= self.settings.slow_start_duration_s {
             return;
         }
         self.slow_start_sends.entry(info.id.0).or_default().push((now, 0.3));
-        // A worker has as many slots as attempts were ever in flight at one or were reported free, at speed 1; half
-        // as much again is for what the dispatcher learns of the worker.
+        // Assumes that a worker has as many slots as attempts were ever in flight at one worker or were reported free
+        // (up to 3), at speed 1. Another half of that allows for what the dispatcher learns about the worker.
         let capacity_fraction = self.settings.slow_start_fraction
             + (1.0 - self.settings.slow_start_fraction) * age / self.settings.slow_start_duration_s;
         let budget =
@@ -214,7 +218,8 @@
         }
     }
 
-    /// The shares of all schedulers add up to one (`src/scheduling/scheduler_share.rs`).
+    /// Checks the work sent against this scheduler's fixed share of the budget. The shares of all schedulers add up to
+    /// one (`src/scheduling/scheduler_share.rs`).
     fn check_fixed_share(&self, now: f64, info: &WorkerInfo, budget: f64) {
         let window_start = now - self.settings.overload_window_s;
         let work: f64 = self.slow_start_sends[&info.id.0]
@@ -235,35 +240,38 @@
             growth,
             salt,
         );
-        let share = share.expect("only a scheduler with a share sends");
-        assert!(work <= budget * share, "a worker in slow start is overloaded");
+        let share = share.expect("only schedulers with a share send");
+        assert!(work <= budget * share, "{work} s of work sent to a worker in slow start");
     }
 
-    /// The grants of all schedulers add up to the budget on average: in each grant interval, one scheduler sends its
-    /// share and one request at the most.
+    /// Checks the number of requests sent in the current grant interval. The grants of all schedulers add up to the
+    /// budget on average, as each scheduler sends at most its share plus one request.
     fn check_grants(&self, now: f64, info: &WorkerInfo, budget: f64) {
         let salt = info.started_at_s.to_bits() ^ info.stable_id;
         let interval = |at: f64| GrantInterval::at(at - info.started_at_s, salt, &self.settings).number;
-        let here = self.slow_start_sends[&info.id.0]
+        let sent = self.slow_start_sends[&info.id.0]
             .iter()
             .filter(|(at, _)| *at >= info.started_at_s && interval(*at) == interval(now))
             .count();
-        let most = budget / 0.3 / self.settings.scheduler_count as f64 + 1.0;
-        assert!(here as f64 <= most, "{here} sent to a worker in slow start in one interval, {most} at most");
+        let max = budget / 0.3 / self.settings.scheduler_count as f64 + 1.0;
+        assert!(
+            sent as f64 <= max,
+            "{sent} requests sent to a worker in slow start in one interval, at most {max} allowed"
+        );
     }
 
-    /// Each attempt in flight: its request, and its number there.
+    /// The request and attempt number of each attempt in flight.
     fn attempts_in_flight(&self) -> Vec<(u32, usize)> {
-        let in_flight_of = |(&id, received): (&u32, &ReceivedRequest)| {
+        let numbers_in_flight = |(&id, received): (&u32, &ReceivedRequest)| {
             let attempts = received.attempts.iter().enumerate();
             let numbers = attempts.filter(|(_, attempt)| attempt.in_flight).map(|(number, _)| number);
             numbers.map(|number| (id, number)).collect::<Vec<_>>()
         };
-        self.requests.iter().flat_map(in_flight_of).collect()
+        self.requests.iter().flat_map(numbers_in_flight).collect()
     }
 }
 
-/// A dispatcher that gets random events, and the check of all its actions.
+/// Feeds random events to a dispatcher and checks all its actions.
 struct Simulation {
     random: fastrand::Rng,
     settings: Settings,
@@ -299,24 +307,24 @@
         }
     }
 
-    /// Hands in one event, lets a random time pass and runs the timers that expire meanwhile.
+    /// Passes one event to the dispatcher, advances the clock by a random time and runs the timers that expire.
     fn step(&mut self, event: Event) {
         self.checker.observe(self.now, &event);
         self.handle(self.now, event);
-        let mut last = self.now;
+        let mut previous = self.now;
         self.now += if self.random.u8(0..4) == 0 { self.random.f64() * 0.2 } else { 0.004 };
         loop {
-            // In the order of their times: the clock does not go back.
-            self.checker.timers.sort_by(|one, other| one.0.total_cmp(&other.0));
+            // Timers run in order of expiry, so that the clock never goes back.
+            self.checker.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
             if self.checker.timers.first().is_none_or(|timer| timer.0 > self.now) {
                 break;
             }
             let (at, tag) = self.checker.timers.remove(0);
-            // Timers come in the first batch at or after their time.
+            // A timer is handled with the first batch of events at or after its expiry.
             let interval_s = self.settings.event_interval_s;
-            let at = ((at / interval_s).ceil() * interval_s).max(last);
+            let at = ((at / interval_s).ceil() * interval_s).max(previous);
             self.handle(at, Event::TimerExpired(tag));
-            (self.now, last) = (self.now.max(at), at);
+            (self.now, previous) = (self.now.max(at), at);
         }
     }
 
@@ -329,7 +337,7 @@
         self.actions.append(&mut actions);
     }
 
-    /// A random event that is legal now.
+    /// Returns a random event that is valid in the current state.
     fn random_event(&mut self, accepts_requests: bool) -> Event {
         let in_flight = self.checker.attempts_in_flight();
         let picked = (!in_flight.is_empty()).then(|| in_flight[self.random.usize(..in_flight.len())]);
@@ -340,7 +348,7 @@
             (0..=29, _) if accepts_requests => self.request_received(),
             (30..=44, Some((id, attempt))) => Event::AttemptStarted { request: RequestId(id), attempt },
             (45..=49, Some((id, attempt))) => {
-                // Requests run for 0.3 s or more, as estimated.
+                // Requests run for at least the 0.3 s that is estimated.
                 let started_at = self.checker.requests[&id].attempts[attempt].started_at;
                 let fraction = ((self.now - started_at) / 0.3).clamp(0.0, 1.0) * self.random.f64();
                 Event::AttemptProgressed { request: RequestId(id), attempt, fraction }
@@ -349,11 +357,11 @@
             (80, _) => self.worker_changed(),
             (85, _) if self.settings.discovery_polled => Event::DiscoveryFailed,
             (86, _) => Event::ProbeEnded {
-                worker: WorkerId(self.random.u64(0..8)), // whether or not it was probed
+                worker: WorkerId(self.random.u64(0..8)), // not necessarily one that was probed
                 outcome: AttemptOutcome::TimedOut,
                 load: LoadReport::default(),
             },
-            _ => Event::TimerExpired(u64::MAX), // time passes
+            _ => Event::TimerExpired(u64::MAX), // unknown tag: only time passes
         }
     }
 
@@ -365,7 +373,7 @@
         Event::ProbeEnded { worker, outcome, load }
     }
 
-    /// A client's first request, which has all its time, or its retry.
+    /// A new request with its full time to the deadline, or a client's retry with less.
     fn request_received(&mut self) -> Event {
         self.last_id += 1;
         let time_left_s = if self.random.u8(0..4) > 0 { 10.0 } else { self.random.f64() * 10.0 + 0.1 };
@@ -376,7 +384,7 @@
         })
     }
 
-    /// The end of an attempt, unless it has to run on: no request succeeds before its estimated work is done.
+    /// Ends an attempt, or lets time pass if it would succeed before its estimated work is done.
     fn attempt_ended(&mut self, id: u32, attempt: usize) -> Event {
         const FAULTS: [AttemptOutcome; 5] = [
             AttemptOutcome::Failed,
@@ -397,22 +405,23 @@
             request: RequestId(id),
             attempt,
             outcome,
-            client_answered: outcome == AttemptOutcome::Succeeded || received.closed,
+            client_answered: outcome == AttemptOutcome::Succeeded || received.answered,
             load: LoadReport::default(),
         })
     }
 
-    /// A worker that drains, comes back or has just started.
+    /// A worker drains, becomes ready again or restarts.
     fn worker_changed(&mut self) -> Event {
-        let state = *self.random.choice(&[WorkerState::Ready, WorkerState::Draining]).expect("a choice");
-        let since = if self.random.bool() { self.now } else { 0.0 };
-        let changed = WorkerInfo { state, started_at_s: since, ..worker(self.random.u64(0..8)) };
+        let state = *self.random.choice(&[WorkerState::Ready, WorkerState::Draining]).expect("not empty");
+        let started_at_s = if self.random.bool() { self.now } else { 0.0 };
+        let changed = WorkerInfo { state, started_at_s, ..worker(self.random.u64(0..8)) };
         Event::WorkersListed { complete_snapshot: false, from_cache: false, entries: vec![changed] }
     }
 }
 
-/// Plays 3000 random events to a dispatcher, one of `schedulers`. Gives how many attempts it sent, and all actions.
-fn play(seed: u64, schedulers: usize) -> (usize, Vec<Action>) {
+/// Runs 3000 random events through the dispatcher of one of `schedulers` schedulers. Returns how many attempts it sent,
+/// and all its actions.
+fn run_simulation(seed: u64, schedulers: usize) -> (usize, Vec<Action>) {
     let mut simulation = Simulation::new(seed, schedulers);
     let entries: Vec<WorkerInfo> = (0..simulation.random.u64(0..9)).map(worker).collect();
     simulation.step(Event::WorkersListed { complete_snapshot: true, from_cache: true, entries });
@@ -421,28 +430,29 @@
         simulation.step(event);
     }
     for (id, received) in &simulation.checker.requests {
-        assert!(received.closed || received.deadline > simulation.now, "request {id} got no final answer");
+        assert!(received.answered || received.deadline > simulation.now, "request {id} got no final answer");
     }
     (simulation.checker.dispatched, simulation.actions)
 }
 
 #[test]
 fn the_four_rules_hold_on_random_events() {
-    let dispatched: usize = (0..24).map(|seed| play(seed, 1 + seed as usize % 4).0).sum();
-    assert!(dispatched > 400, "only {dispatched} sends were seen");
+    let dispatched: usize = (0..24).map(|seed| run_simulation(seed, 1 + seed as usize % 4).0).sum();
+    assert!(dispatched > 400, "only {dispatched} attempts were sent");
 }
 
-/// What one scheduler sends to a worker in slow start stays within its share, so all of them together keep rule 4.
+/// Each scheduler stays within its share of the budget of a worker in slow start, so all of them together keep rule 4.
 #[test]
 fn the_four_rules_hold_with_hundreds_of_schedulers() {
-    let dispatched: usize = (0..24).map(|seed| play(seed, 250 + 20 * seed as usize).0).sum();
-    assert!(dispatched > 400, "only {dispatched} sends were seen");
+    let dispatched: usize = (0..24).map(|seed| run_simulation(seed, 250 + 20 * seed as usize).0).sum();
+    assert!(dispatched > 400, "only {dispatched} attempts were sent");
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_produce_the_same_actions() {
     for schedulers in [3, 300] {
-        let distinct: BTreeSet<String> = (0..3).map(|_| format!("{:?}", play(5, schedulers).1)).collect();
+        let distinct: BTreeSet<String> =
+            (0..3).map(|_| format!("{:?}", run_simulation(5, schedulers).1)).collect();
         assert_eq!(distinct.len(), 1);
     }
 }
