--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,4 +1,5 @@
-//! The table of `docs/endings.md`, cell by cell: how an attempt ended, the kind of class, and what may follow.
+//! Checks every entry of the table in `docs/endings.md`: what follows the end of an attempt, depending on how it ended
+//! and on its request class.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use common::*;
 use rstest::rstest;
 
-/// The rows of the table: the name of an end, and what stands in its columns.
+/// The rows of the table: the name of the attempt end and the contents of the other columns.
 fn table() -> Vec<(&'static str, Vec<&'static str>)> {
     let page = include_str!("../docs/endings.md").lines();
     let rows = page.skip_while(|line| !line.starts_with("| end |")).take_while(|line| line.starts_with('|'));
@@ -15,15 +16,15 @@
     rows.skip(2).map(cells).map(|cells| (cells[0], cells[1..].to_vec())).collect()
 }
 
-/// Plays one cell of the table: what follows an attempt of this class at worker 1 that ended so, with worker `other`
-/// left. Workers of odd numbers are one cell, so 3 deduplicates together with 1, and 2 does not. `migrated`: the
-/// request migrates to another process right after the end.
-fn follows(end: AttemptEnd, class: usize, other: u64, migrated: bool) -> &'static str {
+/// Returns what follows when an attempt of this class ends at worker 1 and only worker `other` accepts requests. Worker
+/// 3 is in the same cell as worker 1 and shares its deduplication scope; worker 2 is in another cell. If `migrated`, the
+/// request migrates to another process right after the attempt ends.
+fn next_step(end: AttemptEnd, class: usize, other: u64, migrated: bool) -> &'static str {
     let mut scheduler =
         TestScheduler::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
     scheduler.send(Event::RequestReceived(request(1, class, scheduler.now)));
     assert_eq!(dispatched(&scheduler.run(0.2)), [(1, 1)], "the first attempt");
-    // From now on another worker takes work, and the first one none.
+    // Worker 1 drains, and the other one accepts requests.
     let entries = vec![WorkerInfo { state: WorkerState::Draining, ..worker(1) }, worker(other)];
     scheduler.send(Event::WorkersListed {
         complete_snapshot: false,
@@ -32,12 +33,12 @@
     });
     let mut actions = scheduler.end_attempt(1, 0, end.outcome());
     if end == AttemptEnd::Completed {
-        assert!(dispatched(&scheduler.run(30.0)).is_empty(), "it is over");
+        assert!(dispatched(&scheduler.run(30.0)).is_empty(), "the request is finished");
         return "served";
     }
     if migrated && !failed(&actions, 1) {
         assert!(dispatched(&actions).is_empty(), "nothing is sent before the next round");
-        let record = scheduler.dispatcher.hand_over(RequestId(1)).expect("it is not over");
+        let record = scheduler.dispatcher.hand_over(RequestId(1)).expect("the request is tracked");
         let now = scheduler.now;
         scheduler = TestScheduler::new(Settings { capacity_probes_allowed: false, ..settings() }, entries);
         scheduler.now = now;
@@ -53,19 +54,24 @@
 }
 
 #[rstest]
-fn each_end_is_followed_by_what_the_table_says(#[values(false, true)] migrated: bool) {
+fn attempt_ends_are_followed_by_the_documented_step(#[values(false, true)] migrated: bool) {
     let table = table();
     assert_eq!(table.len(), AttemptEnd::ALL.len());
     for end in AttemptEnd::ALL {
         let row =
             table.iter().find(|row| row.0 == end.name()).unwrap_or_else(|| panic!("{end:?} has no row"));
-        let unrun = end.outcome().proves_not_executed();
-        assert_eq!(row.1[0], if unrun { "no" } else { "yes" }, "{end:?}: may it have run");
-        // Idempotent, keyed everywhere, keyed in the cell of a worker left, keyed elsewhere, non-idempotent.
+        let not_executed = end.outcome().proves_not_executed();
+        assert_eq!(
+            row.1[0],
+            if not_executed { "no" } else { "yes" },
+            "{end:?}: whether the request may have run"
+        );
+        // Columns: idempotent; with a key on all workers; with a key within a cell that has a worker left; with a key
+        // within a cell that has none left; non-idempotent.
         for (column, (class, other)) in [(0, 3), (3, 2), (2, 3), (2, 2), (1, 3)].into_iter().enumerate() {
             let expected = row.1[1 + column];
             assert_eq!(
-                follows(end, class, other, migrated),
+                next_step(end, class, other, migrated),
                 expected,
                 "{end:?}, column {column}, migrated {migrated}"
             );
@@ -74,9 +80,9 @@
 }
 
 #[test]
-fn earlier_attempt_that_may_have_run_bars_a_retry() {
-    // The first attempt may have run; that the second certainly did not changes nothing for the request.
-    for (class, again) in [(0, true), (1, false), (2, false)] {
+fn earlier_attempt_that_may_have_run_prevents_a_retry() {
+    // The first attempt may have run. The request is not safe to retry just because the second certainly did not run.
+    for (class, retried) in [(0, true), (1, false), (2, false)] {
         let mut scheduler =
             TestScheduler::new(Settings { capacity_probes_allowed: false, ..settings() }, vec![worker(1)]);
         scheduler.send(Event::RequestReceived(request(1, class, scheduler.now)));
@@ -87,17 +93,17 @@
             from_cache: false,
             entries: vec![worker(3)],
         });
-        let mut second = scheduler.end_attempt(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
-        second.extend(scheduler.run(0.3));
+        let mut actions = scheduler.end_attempt(1, 0, AttemptEnd::ResetWhileWaiting.outcome());
+        actions.extend(scheduler.run(0.3));
         if class != 1 {
-            let to = dispatched(&second)[0].1;
+            let to = dispatched(&actions)[0].1;
             let other = if to == 1 { 3 } else { 1 };
-            let gone =
+            let entries =
                 [worker(other), draining.clone(), WorkerInfo { state: WorkerState::Draining, ..worker(3) }];
             scheduler.send(Event::WorkersListed {
                 complete_snapshot: false,
                 from_cache: false,
-                entries: gone[1..].to_vec(),
+                entries: entries[1..].to_vec(),
             });
             scheduler.send(Event::WorkersListed {
                 complete_snapshot: false,
@@ -105,23 +111,23 @@
                 entries: vec![worker(2)],
             });
             scheduler.end_attempt(1, 1, AttemptEnd::ConnectRefused.outcome());
-            assert_eq!(!dispatched(&scheduler.run(30.0)).is_empty(), again, "class {class}");
+            assert_eq!(!dispatched(&scheduler.run(30.0)).is_empty(), retried, "class {class}");
         } else {
-            assert!(dispatched(&second).is_empty() && dispatched(&scheduler.run(30.0)).is_empty());
+            assert!(dispatched(&actions).is_empty() && dispatched(&scheduler.run(30.0)).is_empty());
         }
     }
 }
 
 #[rstest]
-#[case::of_a_non_idempotent_class(1, 1, AttemptEnd::Failed, true)]
-#[case::that_has_used_all_its_attempts(0, 4, AttemptEnd::Failed, false)]
-fn request_that_cannot_be_retried_is_answered_at_once(
+#[case::non_idempotent_class(1, 1, AttemptEnd::Failed, true)]
+#[case::all_attempts_used(0, 4, AttemptEnd::Failed, false)]
+fn request_that_cannot_be_retried_is_answered_immediately(
     #[case] class: usize,
     #[case] attempts: usize,
     #[case] end: AttemptEnd,
     #[case] fails: bool,
 ) {
-    // Waiting for a worker would only delay the same answer, up to the deadline where late answers have a weight.
+    // Waiting for a worker would only delay the same answer, until the deadline if late answers have a weight.
     let mut settings = Settings { capacity_probes_allowed: false, ..settings() };
     settings.classes[class].weight_after_objective = 0.5;
     let mut scheduler = TestScheduler::new(settings, (1..=6).map(worker).collect());
