--- a/crates/test-doubles/src/client.rs
+++ b/crates/test-doubles/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each submits one request and waits for its answer.
+//! A test client that submits requests to a scheduler and waits for their answers.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,58 +11,58 @@
 
 use crate::http;
 
-/// An answer that is this much later than the client's timeout still counts: it was on its way.
+/// Extra time after the client's timeout in which an answer still counts, because it was already in transit.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(100);
 
-/// A request of a client.
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// `X-Request-Id`.
+    /// Value of the `X-Request-Id` header.
     pub id: String,
-    /// The class.
+    /// The request class.
     pub class: &'static str,
     /// The tenant.
     pub tenant: &'static str,
-    /// The work that it truly needs, at speed 1.
+    /// The actual work, as run time at speed 1.
     pub work: Duration,
-    /// The work that the client estimates.
+    /// The client's estimate of the work.
     pub hint: Duration,
-    /// `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header, if any.
     pub key: Option<String>,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub timeout: Duration,
 }
 
-/// How a request ended for its client.
+/// The result of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResult {
-    /// 200, after this time.
+    /// Status 200, with this latency.
     Served(Duration),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Rejected,
-    /// Any other answer.
+    /// Any other status.
     Failed,
-    /// No answer before the client gave up, or a connection that broke.
+    /// The client timed out, or its connection failed.
     NoAnswer,
 }
 
-/// The clients of one scheduler; they reuse their connections.
+/// A client of one scheduler. It reuses connections.
 pub struct Client {
     scheduler: SocketAddr,
-    idle: RefCell<Vec<TcpStream>>,
+    idle_connections: RefCell<Vec<TcpStream>>,
 }
 
 impl Client {
-    /// Clients of the scheduler at this address.
+    /// Creates a client of the scheduler at this address.
     pub fn new(scheduler: SocketAddr) -> Self {
-        Client { scheduler, idle: RefCell::default() }
+        Client { scheduler, idle_connections: RefCell::default() }
     }
 
-    /// Submits a request and waits for its answer, as long as its client does.
+    /// Submits a request and waits for its answer until the request's timeout.
     pub async fn submit(&self, request: &ClientRequest) -> ClientResult {
-        let began = Instant::now();
+        let started_at = Instant::now();
         match timeout(request.timeout + TIMEOUT_SLACK, self.exchange(request)).await {
-            Ok(Ok(200)) => ClientResult::Served(began.elapsed()),
+            Ok(Ok(200)) => ClientResult::Served(started_at.elapsed()),
             Ok(Ok(429 | 503)) => ClientResult::Rejected,
             Ok(Ok(_)) => ClientResult::Failed,
             Ok(Err(_)) | Err(_) => ClientResult::NoAnswer,
@@ -70,19 +70,19 @@
     }
 
     async fn exchange(&self, request: &ClientRequest) -> io::Result<u16> {
-        let idle = self.idle.borrow_mut().pop();
+        let idle = self.idle_connections.borrow_mut().pop();
         let mut stream = match idle {
             Some(stream) => stream,
             None => TcpStream::connect(self.scheduler).await?,
         };
-        // Without it, the exchange is only slower.
+        // A failure only makes the exchange slower.
         let _ = stream.set_nodelay(true);
         let body = request.work.as_micros().to_string();
         http::write(&mut stream, &request_head(request), body.as_bytes()).await?;
         let response = http::read_response(&mut stream, &mut Vec::new()).await?;
         let response = response.ok_or(io::ErrorKind::UnexpectedEof)?;
         if response.header("connection") != Some("close") {
-            self.idle.borrow_mut().push(stream);
+            self.idle_connections.borrow_mut().push(stream);
         }
         response.status()
     }
@@ -98,10 +98,10 @@
     )
 }
 
-/// Sends a command to an operators' port and gives the answer.
+/// Sends a command to an operator interface and returns its answer.
 ///
 /// # Errors
-/// If it does not answer.
+/// If the connection fails or the answer is not UTF-8.
 pub async fn operator_command(address: SocketAddr, command: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("{command}\n").as_bytes()).await?;
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -14,37 +14,37 @@
 
 use crate::http;
 
-/// Gap between two empty lines while nothing changes.
+/// Interval between empty lines while the endpoint list does not change.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// A worker on the endpoint list.
+/// A worker in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The name of the worker.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
-    /// Its kind.
+    /// The kind of the worker.
     pub kind: &'static str,
     /// `active`, `leaving` or `left`.
     pub state: &'static str,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds at which the worker started, or 0 if it is past its slow start.
     pub started_ms: u64,
 }
 
-/// The endpoint list and its listener.
+/// A discovery service for the workers of one site.
 pub struct Discovery {
-    /// Where it answers.
+    /// The address on which the service listens.
     pub address: SocketAddr,
     endpoints: RefCell<Vec<Endpoint>>,
     version: watch::Sender<u64>,
 }
 
 impl Discovery {
-    /// Starts one that lists nothing.
+    /// Starts a discovery service with an empty endpoint list.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the service cannot listen on loopback.
     pub async fn start() -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -60,7 +60,7 @@
         Ok(discovery)
     }
 
-    /// Publishes a worker, or a change of it.
+    /// Adds a worker to the endpoint list, or replaces its entry.
     pub fn publish(&self, endpoint: Endpoint) {
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.retain(|known| known.name != endpoint.name);
@@ -68,7 +68,7 @@
         self.version.send_modify(|version| *version += 1);
     }
 
-    /// The complete snapshot of this version, as one line of JSON.
+    /// Returns a complete snapshot with this version, as one line of JSON.
     fn snapshot(&self, version: u64) -> String {
         let entry = |endpoint: &Endpoint| {
             let Endpoint { name, address, kind, state, started_ms } = endpoint;
@@ -80,7 +80,7 @@
         format!(r#"{{"version":{version},"full":true,"servers":[{}]}}"#, entries.join(","))
     }
 
-    /// Answers every request with the list, and again with each change, always as a complete snapshot.
+    /// Answers any request with a complete snapshot of the endpoint list, and with another one after each change.
     async fn serve_watch(&self, mut stream: TcpStream) -> io::Result<()> {
         let mut version = self.version.subscribe();
         if http::read_request(&mut stream, &mut Vec::new()).await?.is_none() {
--- a/crates/test-doubles/src/faulty_proxy.rs
+++ b/crates/test-doubles/src/faulty_proxy.rs
@@ -1,7 +1,8 @@
-//! A proxy between two sites: carries connections to a target with a delay each way, and fails on command.
+//! A fault-injecting TCP proxy between two sites, similar to Toxiproxy. It forwards connections to a target with a random
+//! delay in each direction, and injects faults on command.
 //!
-//! It works like a fault-injecting TCP proxy such as Toxiproxy. Bytes are neither lost nor reordered within a
-//! connection, as TCP would not either; they are delayed, held back, or the connection is reset.
+//! As with TCP, bytes of a connection are neither lost nor reordered. They are delayed or held back, or the connection
+//! is reset.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,59 +19,60 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// What a proxy lets through.
+/// Which directions a proxy forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyState {
-    /// Everything, in both directions.
+    /// Forwards both directions.
     Healthy,
-    /// Nothing, in either direction. What was sent arrives once it is healthy again, if anybody still listens.
+    /// Holds back the bytes of both directions. They arrive once the proxy is healthy again, unless the connection was
+    /// closed in the meantime.
     Partitioned,
-    /// What the dialling side sends; nothing comes back.
+    /// Forwards to the target, and holds back what the target sends.
     PartitionedReturn,
 }
 
-/// A proxy from a port of its own to a target.
+/// A proxy from its own port to a target.
 pub struct FaultyProxy {
-    /// Where to dial.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
     state: watch::Sender<ProxyState>,
-    /// Grows with each reset: connections that began before it are closed.
+    /// Number of resets so far. Each change closes all connections.
     resets: watch::Sender<u64>,
 }
 
-/// Chunks under way in one direction, at most.
-const MOST_CHUNKS: usize = 1024;
+/// Maximum number of chunks in transit in one direction of a connection.
+const MAX_CHUNKS: usize = 1024;
 const CHUNK_BYTES: usize = 4096;
 
 impl FaultyProxy {
-    /// A proxy without a target yet, with a delay drawn for each chunk from this range, each way.
+    /// Starts a proxy without a target. The delay of each chunk is drawn from this range.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the proxy cannot listen on loopback.
     pub async fn start(delay: RangeInclusive<Duration>, seed: u64) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (state, resets) = (watch::Sender::new(ProxyState::Healthy), watch::Sender::new(0));
         let proxy = Rc::new(FaultyProxy { address, target: watch::Sender::new(None), state, resets });
-        let carrier = Rc::clone(&proxy);
+        let acceptor = Rc::clone(&proxy);
         spawn_local(async move {
             let mut random = StdRng::seed_from_u64(seed);
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((client, _)) = listener.accept().await {
                 let seeds = [random.random(), random.random()];
-                let (carrier, delay) = (Rc::clone(&carrier), delay.clone());
-                spawn_local(async move { carrier.carry(near, delay, seeds).await });
+                let (forwarder, delay) = (Rc::clone(&acceptor), delay.clone());
+                spawn_local(async move { forwarder.forward(client, delay, seeds).await });
             }
         });
         Ok(proxy)
     }
 
-    /// New connections are carried to this target from now on.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Changes what is let through.
+    /// Sets which directions the proxy forwards.
     pub fn set_state(&self, state: ProxyState) {
         self.state.send_replace(state);
     }
@@ -80,57 +82,59 @@
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    async fn carry(&self, near: TcpStream, delay: RangeInclusive<Duration>, seeds: [u64; 2]) {
+    async fn forward(&self, client: TcpStream, delay: RangeInclusive<Duration>, seeds: [u64; 2]) {
         let mut resets = self.resets.subscribe();
         let mut state = self.state.subscribe();
-        // While it is partitioned, a new connection never comes up.
+        // A new connection is not established before the partition heals.
         let _ = state.wait_for(|state| *state != ProxyState::Partitioned).await;
         let target = *self.target.borrow();
-        let Some(target) = target else { return };
-        let Ok(far) = TcpStream::connect(target).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let outward = Direction {
+        let Some(target_address) = target else { return };
+        let Ok(target) = TcpStream::connect(target_address).await else { return };
+        let _ = (client.set_nodelay(true), target.set_nodelay(true));
+        let ((client_read, client_write), (target_read, target_write)) =
+            (client.into_split(), target.into_split());
+        let to_target = Direction {
             delay: delay.clone(),
             seed: seeds[0],
             state: self.state.subscribe(),
-            carries: |state| state != ProxyState::Partitioned,
+            forwards: |state| state != ProxyState::Partitioned,
         };
-        let back = Direction {
+        let to_client = Direction {
             delay,
             seed: seeds[1],
             state: self.state.subscribe(),
-            carries: |state| state == ProxyState::Healthy,
+            forwards: |state| state == ProxyState::Healthy,
         };
-        let (there, back) = (outward.copy(near_in, far_out), back.copy(far_in, near_out));
+        let (to_target, to_client) =
+            (to_target.copy(client_read, target_write), to_client.copy(target_read, client_write));
         tokio::select! {
-            () = async { tokio::join!(there, back); } => {}
+            () = async { tokio::join!(to_target, to_client); } => {}
             _ = resets.changed() => {}
         }
     }
 }
 
-/// What happens to the bytes of one connection in one direction.
+/// One direction of a proxied connection.
 struct Direction {
     delay: RangeInclusive<Duration>,
     seed: u64,
     state: watch::Receiver<ProxyState>,
-    /// Whether bytes pass in a state.
-    carries: fn(ProxyState) -> bool,
+    /// Whether this direction forwards bytes in a state of the proxy.
+    forwards: fn(ProxyState) -> bool,
 }
 
 impl Direction {
-    /// Copies until one of the ends is closed.
+    /// Copies bytes until either side closes the connection.
     async fn copy(self, from: OwnedReadHalf, to: OwnedWriteHalf) {
-        let (sender, chunks) = mpsc::channel(MOST_CHUNKS);
-        let Direction { delay, seed, state, carries } = self;
+        let (sender, chunks) = mpsc::channel(MAX_CHUNKS);
+        let Direction { delay, seed, state, forwards } = self;
         let read = read_chunks(from, sender, delay, seed);
-        let write = write_chunks(to, chunks, state, carries);
+        let write = write_chunks(to, chunks, state, forwards);
         tokio::join!(read, write);
     }
 }
 
-/// Bytes under way, and when they arrive.
+/// Bytes in transit, and their arrival time.
 struct Chunk {
     arrives_at: Instant,
     bytes: Vec<u8>,
@@ -148,7 +152,7 @@
         let mut bytes = vec![0; CHUNK_BYTES];
         let Ok(read @ 1..) = from.read(&mut bytes).await else { return };
         bytes.truncate(read);
-        // In order, as on one connection.
+        // Chunks of a connection arrive in order.
         arrives_at = arrives_at.max(Instant::now() + random.random_range(delay.clone()));
         if sender.send(Chunk { arrives_at, bytes }).await.is_err() {
             return;
@@ -160,16 +164,16 @@
     mut to: OwnedWriteHalf,
     mut chunks: mpsc::Receiver<Chunk>,
     mut state: watch::Receiver<ProxyState>,
-    carries: fn(ProxyState) -> bool,
+    forwards: fn(ProxyState) -> bool,
 ) {
     while let Some(chunk) = chunks.recv().await {
         sleep_until(chunk.arrives_at).await;
-        // It fails only when the proxy is gone, and then nobody cares for the bytes.
-        let _ = state.wait_for(|state| carries(*state)).await;
+        // Fails only if the proxy was dropped, and then the bytes no longer matter.
+        let _ = state.wait_for(|state| forwards(*state)).await;
         if to.write_all(&chunk.bytes).await.is_err() {
             return;
         }
     }
-    // The other end may have closed before.
+    // Fails if the remote side has already closed the connection.
     let _ = to.shutdown().await;
 }
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -1,12 +1,12 @@
-//! Just enough HTTP/1.1 for the test doubles: messages with a `Content-Length`, of bounded size.
+//! Minimal HTTP/1.1 for the test doubles: messages of bounded size with a `Content-Length`.
 
 use std::io::{self, ErrorKind};
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const MOST_HEADERS: usize = 32;
-const MOST_MESSAGE_BYTES: usize = 256 * 1024;
+const MAX_HEADERS: usize = 32;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 /// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,12 +16,12 @@
 }
 
 #[derive(Clone, Copy)]
-enum Kind {
+enum MessageKind {
     Request,
     Response,
 }
 
-/// A message; the names of its headers are in lower case.
+/// An HTTP message with header names in lower case.
 pub(crate) struct Message {
     first_line: FirstLine,
     headers: Vec<(String, String)>,
@@ -52,7 +52,7 @@
     /// The status of a response.
     ///
     /// # Errors
-    /// If it is no number, or this is a request.
+    /// If the status is not a number or the message is a request.
     pub(crate) fn status(&self) -> io::Result<u16> {
         match &self.first_line {
             FirstLine::Response { status } => status.parse().map_err(|_| ErrorKind::InvalidData.into()),
@@ -61,29 +61,29 @@
     }
 }
 
-fn invalid(what: &str) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, what.to_owned())
+fn invalid(reason: &str) -> io::Error {
+    io::Error::new(ErrorKind::InvalidData, reason.to_owned())
 }
 
-/// A message without its body, and the length of its head.
+/// A message without its body, and the length of its head in bytes.
 struct Head {
     length: usize,
     message: Message,
 }
 
-/// Parses the head of a message; `None` while it is not there whole.
-fn parse_head(bytes: &[u8], kind: Kind) -> io::Result<Option<Head>> {
-    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Parses the head of a message. Returns `None` if it is incomplete.
+fn parse_head(bytes: &[u8], kind: MessageKind) -> io::Result<Option<Head>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let (status, first_line, headers) = match kind {
-        Kind::Request => {
-            let mut head = httparse::Request::new(&mut space);
+        MessageKind::Request => {
+            let mut head = httparse::Request::new(&mut headers);
             let status = head.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
             let method = head.method.unwrap_or_default().to_owned();
             let target = head.path.unwrap_or_default().to_owned();
             (status, FirstLine::Request { method, target }, head.headers)
         }
-        Kind::Response => {
-            let mut head = httparse::Response::new(&mut space);
+        MessageKind::Response => {
+            let mut head = httparse::Response::new(&mut headers);
             let status = head.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
             let code = head.code.unwrap_or_default().to_string();
             (status, FirstLine::Response { status: code }, head.headers)
@@ -95,29 +95,33 @@
     Ok(Some(Head { length, message: Message { first_line, headers, body: Vec::new() } }))
 }
 
-/// Reads one request; `None` at the end of the connection.
+/// Reads one request, or `None` if the connection was closed.
 pub(crate) async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> io::Result<Option<Message>> {
-    read(stream, buffer, Kind::Request).await
+    read(stream, buffer, MessageKind::Request).await
 }
 
-/// Reads one response; `None` at the end of the connection.
+/// Reads one response, or `None` if the connection was closed.
 pub(crate) async fn read_response(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> io::Result<Option<Message>> {
-    read(stream, buffer, Kind::Response).await
+    read(stream, buffer, MessageKind::Response).await
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, kind: Kind) -> io::Result<Option<Message>> {
+async fn read(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    kind: MessageKind,
+) -> io::Result<Option<Message>> {
     loop {
         if let Some(head) = parse_head(buffer, kind)? {
             return read_body(stream, buffer, head).await.map(Some);
         }
-        if buffer.len() > MOST_MESSAGE_BYTES {
-            return Err(invalid("a head without end"));
+        if buffer.len() > MAX_MESSAGE_BYTES {
+            return Err(invalid(&format!("message head is longer than {MAX_MESSAGE_BYTES} bytes")));
         }
         if stream.read_buf(buffer).await? == 0 {
             return if buffer.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
@@ -128,9 +132,10 @@
 async fn read_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, head: Head) -> io::Result<Message> {
     let Head { length: head_length, mut message } = head;
     let body_length = message.header("content-length").map_or(Ok(0), str::parse::<usize>);
-    let end = head_length + body_length.map_err(|_| invalid("a length that is none"))?;
+    let end =
+        head_length + body_length.map_err(|error| invalid(&format!("invalid Content-Length: {error}")))?;
     while buffer.len() < end {
-        if buffer.len() > MOST_MESSAGE_BYTES || stream.read_buf(buffer).await? == 0 {
+        if buffer.len() > MAX_MESSAGE_BYTES || stream.read_buf(buffer).await? == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
     }
@@ -139,7 +144,7 @@
     Ok(message)
 }
 
-/// Writes one message.
+/// Writes one message with this first line, which may be followed by header lines.
 pub(crate) async fn write(stream: &mut TcpStream, first_line: &str, body: &[u8]) -> io::Result<()> {
     let mut message = format!("{first_line}\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
     message.extend_from_slice(body);
--- a/crates/test-doubles/src/journal.rs
+++ b/crates/test-doubles/src/journal.rs
@@ -1,4 +1,4 @@
-//! What happened at the workers, recorded so that promises can be checked against it.
+//! Records the runs and free slots of the workers, so that a test can check the scheduler's guarantees.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,27 +12,27 @@
 pub struct Run {
     /// The site of the worker.
     pub site: usize,
-    /// The request.
+    /// The `X-Request-Id` of the request.
     pub request_id: String,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key of the request, if it has one.
     pub key: Option<String>,
-    /// When the worker received it.
+    /// When the worker received the request.
     pub received_at: Instant,
-    /// When it began to run.
+    /// When the request started to run.
     pub started_at: Instant,
-    /// When it was done or cancelled.
+    /// When the request completed or was cancelled; `None` while it runs.
     pub ended_at: Option<Instant>,
 }
 
-/// A run of this journal.
+/// Identifies a run in the journal that issued it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RunId(usize);
 
-/// A change of a site's free slots.
+/// The number of free slots of a site from an instant on.
 #[derive(Clone, Copy, Debug)]
 struct FreeSlots {
-    since: Instant,
-    free: i64,
+    changed_at: Instant,
+    free_slots: i64,
 }
 
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
     free_slots: HashMap<usize, Vec<FreeSlots>>,
 }
 
-/// Shared by all test doubles of a scenario.
+/// The journal of a test scenario, shared by all its workers.
 #[derive(Clone, Debug, Default)]
 pub struct Journal(Rc<RefCell<Records>>);
 
@@ -72,44 +72,49 @@
     pub(crate) fn free_slots_changed(&self, site: usize, change: i64) {
         let mut records = self.0.borrow_mut();
         let history = records.free_slots.entry(site).or_default();
-        let free = history.last().map_or(0, |last| last.free) + change;
-        history.push(FreeSlots { since: Instant::now(), free });
+        let free_slots = history.last().map_or(0, |last| last.free_slots) + change;
+        history.push(FreeSlots { changed_at: Instant::now(), free_slots });
     }
 
-    /// All runs so far.
+    /// Returns all runs so far.
     pub fn runs(&self) -> Vec<Run> {
         self.0.borrow().runs.clone()
     }
 
-    /// Whether a slot of the site was free all through this time before `at`.
+    /// Whether at least one slot of the site was free throughout the time `through` before `at`.
     pub fn had_free_slot(&self, site: usize, at: Instant, through: Duration) -> bool {
         let records = self.0.borrow();
         let Some(history) = records.free_slots.get(&site) else { return false };
         let from = at - through;
-        let before = history.iter().rev().find(|change| change.since <= from).map_or(0, |change| change.free);
-        let during = history.iter().filter(|change| change.since > from && change.since <= at);
-        during.map(|change| change.free).fold(before, i64::min) > 0
+        let before = history
+            .iter()
+            .rev()
+            .find(|change| change.changed_at <= from)
+            .map_or(0, |change| change.free_slots);
+        let during = history.iter().filter(|change| change.changed_at > from && change.changed_at <= at);
+        during.map(|change| change.free_slots).fold(before, i64::min) > 0
     }
 
-    /// Runs too many: of a key within its window, and of one request at two places at a time.
+    /// Counts duplicate runs: runs that repeat an idempotency key within the deduplication window, and runs of a request
+    /// while an earlier run of it has not ended.
     pub fn duplicates(&self, window: Duration) -> usize {
         let runs = self.runs();
         let mut count = 0;
         for (index, run) in runs.iter().enumerate() {
-            let repeats = |earlier: &Run| repeats_key(earlier, run, window) || overlaps(earlier, run);
-            count += usize::from(runs[..index].iter().any(repeats));
+            let is_duplicate = |earlier: &Run| repeats_key(earlier, run, window) || overlaps(earlier, run);
+            count += usize::from(runs[..index].iter().any(is_duplicate));
         }
         count
     }
 }
 
-/// Whether a run has the key of an earlier one, within the deduplication window.
+/// Whether a run repeats the key of an earlier run within the deduplication window.
 fn repeats_key(earlier: &Run, run: &Run, window: Duration) -> bool {
     let same_key = earlier.key.is_some() && earlier.key == run.key;
     same_key && run.started_at.duration_since(earlier.started_at) < window
 }
 
-/// Whether a run began before an earlier one of the same request had ended.
+/// Whether a run started before an earlier run of the same request ended.
 fn overlaps(earlier: &Run, run: &Run) -> bool {
     earlier.request_id == run.request_id && earlier.ended_at.is_none_or(|end| end > run.started_at)
 }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,16 +1,16 @@
-//! Test doubles on loopback for what a scheduler meets: workers, a discovery service, clients, and a proxy between
-//! sites that delays and fails. They speak the platform's protocol and keep a [`Journal`] of what happened, against
-//! which promises are checked. Everything runs on one thread, in tasks of a `LocalSet`.
+//! Test doubles of a scheduler's environment on loopback: workers, a discovery service, clients, and a proxy between
+//! sites that injects delays and faults. They speak the platform's protocol. Workers record their runs in a [`Journal`],
+//! against which a test checks the scheduler's guarantees. Everything runs on one thread, in tasks of a `LocalSet`.
 //!
-//! | file | what |
+//! | module | contents |
 //! | --- | --- |
 //! | `worker`, `discovery`, `client` | the test doubles |
-//! | `faulty_proxy` | a connection between sites that delays, stalls and resets |
-//! | `traffic` | requests drawn from a seed, and what became of them |
-//! | `scheduler_process`, `site`, `program` | the scheduler under test, alone and as a whole site |
-//! | `journal` | the runs at the workers |
+//! | `faulty_proxy` | a TCP proxy between sites that delays, holds back and resets connections |
+//! | `traffic` | random requests from a seed, and their results |
+//! | `scheduler_process`, `site`, `program` | the scheduler under test: its process, a site with workers, the binary |
+//! | `journal` | record of all runs at the workers |
 //!
-//! Who uses them: `crates/benchmarks`, `crates/fault-injection` and `chutesaddle demo`.
+//! Used by `crates/benchmarks`, `crates/fault-injection` and `chutesaddle demo`.
 #![warn(missing_docs)]
 
 pub mod client;
@@ -32,7 +32,7 @@
 pub use site::TestSite;
 pub use worker::{TestWorker, WorkerSpec};
 
-/// The configuration of a scheduler in a small deployment, as the platform's JSON writes it.
+/// The configuration of a scheduler in a small deployment, in the platform's JSON format.
 pub fn config(name: &str, discovery: std::net::SocketAddr, seed: u64) -> String {
     format!(
         r#"{{"name":"{name}","listen":"127.0.0.1:0","ops":"127.0.0.1:0","discovery":"{discovery}",
--- a/crates/test-doubles/src/scheduler_process.rs
+++ b/crates/test-doubles/src/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! A scheduler in a process of its own, and its log.
+//! Starts a scheduler in its own process and collects its log.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use tokio::time::{sleep, Instant};
 
-/// How long a scheduler may take to log something that it must log.
+/// Time limit for a scheduler to log an expected line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A scheduler process and its log.
@@ -19,10 +19,10 @@
 }
 
 impl SchedulerProcess {
-    /// Starts `program serve`; `dir` is its `$TMPDIR`, where an upgrade of it is looked for.
+    /// Starts `program serve` with `dir` as its `$TMPDIR`, which holds its handover socket.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(program: &Path, config: &Path, operator: Option<&Path>, dir: &Path) -> io::Result<Self> {
         let mut command = Command::new(program);
         command.arg("serve").arg("--config").arg(config).env("TMPDIR", dir);
@@ -43,22 +43,22 @@
         Ok(SchedulerProcess { child, log })
     }
 
-    /// Its process ID.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The lines that it has logged.
+    /// Returns the lines logged so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
-    /// The address that follows this text in its log, once it is there.
+    /// Waits until the scheduler logs this text, and returns the address that follows it.
     ///
     /// # Errors
-    /// If it does not come in time.
+    /// If the scheduler does not log the text and an address in time.
     pub async fn address(&self, text: &str) -> io::Result<SocketAddr> {
-        let until = Instant::now() + LOG_TIMEOUT;
+        let deadline = Instant::now() + LOG_TIMEOUT;
         loop {
             let found = self.log().iter().rev().find_map(|line| {
                 let (_, rest) = line.split_once(text)?;
@@ -67,22 +67,24 @@
             if let Some(address) = found {
                 return Ok(address);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let log = self.log().join("\n");
-                return Err(io::Error::other(format!("the scheduler does not say {text:?}:\n{log}")));
+                return Err(io::Error::other(format!(
+                    "the scheduler logged no address after {text:?} within {LOG_TIMEOUT:?}:\n{log}"
+                )));
             }
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Kills it, as a crash would.
+    /// Kills the process with SIGKILL, to simulate a crash.
     pub fn kill(&mut self) {
-        // Both fail only if it has ended already.
+        // Both calls fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// CPU time that its one thread has used so far; `None` where the system does not say.
+    /// Returns the CPU time used so far by the process's only thread, or `None` if the system does not report it.
     pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{0}/task/{0}/schedstat", self.id())).ok()?;
         stat.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
--- a/crates/test-doubles/src/site.rs
+++ b/crates/test-doubles/src/site.rs
@@ -1,4 +1,4 @@
-//! One site: workers and a discovery service in this process, and a scheduler in a process of its own.
+//! A test site: workers and a discovery service in this process, and a scheduler in its own process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(40);
 
-/// What one worker of a site is like.
+/// The properties of a worker of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerShape {
-    /// Requests that run at a time.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Work done in a second of running.
+    /// Seconds of work that a slot does per second.
     pub speed: f64,
-    /// Its kind in the endpoint list.
+    /// Kind in the endpoint list.
     pub kind: &'static str,
 }
 
-/// The workers of a site.
+/// The workers of each site.
 pub const WORKERS: [WorkerShape; 4] = [
     WorkerShape { slots: 3, speed: 2.0, kind: "fast-3" },
     WorkerShape { slots: 5, speed: 1.2, kind: "wide-5" },
@@ -32,30 +32,30 @@
     WorkerShape { slots: 2, speed: 0.8, kind: "small-2" },
 ];
 
-/// Work that a site of [`WORKERS`] can do in a second.
+/// Seconds of work per second that a site with [`WORKERS`] can do.
 pub fn capacity() -> f64 {
     WORKERS.iter().map(|worker| worker.slots as f64 * worker.speed).sum()
 }
 
-/// A site that serves.
+/// A running site.
 pub struct TestSite {
-    /// Its workers.
+    /// The workers of the site.
     pub workers: Vec<Rc<TestWorker>>,
-    /// Its discovery.
+    /// The discovery service of the site.
     pub discovery: Rc<Discovery>,
-    /// Its scheduler.
+    /// The scheduler of the site.
     pub scheduler: SchedulerProcess,
-    /// Where operators connect.
+    /// The address of the scheduler's operator interface.
     pub operator_address: SocketAddr,
-    /// Its clients.
+    /// The client of the scheduler.
     pub client: Rc<Client>,
 }
 
 impl TestSite {
-    /// Starts site `number` with its files in `dir`, which must be there.
+    /// Starts site `number` with its files in a subdirectory of `dir`, and waits until its scheduler accepts clients.
     ///
     /// # Errors
-    /// If something of it does not come up.
+    /// If a part of the site fails to start.
     pub async fn start(
         program: &Path,
         dir: &Path,
--- a/crates/test-doubles/src/traffic.rs
+++ b/crates/test-doubles/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients' traffic, drawn ahead from a seed, and what became of it.
+//! Client traffic, generated in advance from a seed, and its results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 
 use crate::{Client, ClientRequest, ClientResult};
 
-/// Requests are shorter than in service by this factor, so that a queue as long as a latency objective is over soon
-/// after the last arrival, and seconds of overload count as minutes of it do.
+/// Work of a request, relative to production. With shorter requests, a queue as long as a latency objective drains soon
+/// after the last arrival, and seconds of overload have the effect of minutes.
 const WORK_FACTOR: f64 = 0.25;
 /// Standard deviation of the logarithm of a request's work.
 const WORK_DEVIATION: f64 = 0.3;
-/// Standard deviation of the logarithm of its hint, around the true work.
+/// Standard deviation of the logarithm of the ratio of a request's hint to its work.
 const HINT_DEVIATION: f64 = 0.15;
-const MOST_LATENCY_MS: u64 = 60_000;
+const MAX_LATENCY_MS: u64 = 60_000;
 const LATENCY_DIGITS: u8 = 3;
 
-/// A class of requests.
+/// A request class.
 struct Class {
     name: &'static str,
     /// Fraction of all requests.
     fraction: f64,
-    /// Mean work in service.
+    /// Mean work in production, before [`WORK_FACTOR`].
     mean_work_s: f64,
-    /// An answer within this time plus `stretch` times the work is in time.
+    /// An answer is in time if it arrives within this time plus `stretch` times the work.
     latency_objective_s: f64,
     stretch: f64,
     timeout_s: f64,
-    /// Priority weight of a second of work.
+    /// Priority weight per second of work.
     weight: f64,
 }
 
@@ -58,16 +58,16 @@
     },
 ];
 
-/// A request and when it comes.
+/// A request and its arrival time.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Since the start.
+    /// Arrival time, relative to the start of the traffic.
     pub at: Duration,
     /// The request.
     pub request: ClientRequest,
 }
 
-/// Draws arrivals over `length` that ask for `work_per_s` seconds of work in a second.
+/// Draws random arrivals for a duration of `length`, with `work_per_s` seconds of work per second on average.
 pub fn draw(prefix: &str, seed: u64, work_per_s: f64, length: Duration) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(seed);
     let mean_work_s: f64 = CLASSES.iter().map(|class| class.fraction * class.mean_work_s * WORK_FACTOR).sum();
@@ -77,7 +77,7 @@
     let (Ok(gaps), Ok(work_spread), Ok(hint_error)) =
         (gaps, log_normal(WORK_DEVIATION), log_normal(HINT_DEVIATION))
     else {
-        return Vec::new(); // the constants are within the distributions' domains: not reached
+        return Vec::new(); // unreachable: the constants are valid parameters
     };
     let mut arrivals = Vec::new();
     let mut at_s = 0.0;
@@ -103,69 +103,69 @@
     }
 }
 
-/// What became of one site's traffic.
+/// The results of the traffic of one site.
 pub struct TrafficResult {
-    /// Requests.
+    /// Number of requests sent.
     pub asked: usize,
-    /// Answered with a result.
+    /// Requests answered with a result.
     pub served: usize,
-    /// Of these, within their latency objective.
+    /// Requests answered with a result within their latency objective.
     pub in_time: usize,
-    /// Answered 429 or 503.
+    /// Requests answered with status 429 or 503.
     pub rejected: usize,
-    /// Answered otherwise.
+    /// Requests answered with any other status.
     pub failed: usize,
-    /// Not answered.
+    /// Requests without an answer.
     pub lost: usize,
-    /// Weight answered in time over weight asked for; weight counts by work.
+    /// Fraction of the requested work that was answered in time, weighted by class priority.
     pub service: f64,
-    /// Of those served, in milliseconds.
+    /// Latency of the served requests in milliseconds.
     pub latency: Histogram<u64>,
 }
 
 impl TrafficResult {
     fn new(asked: usize) -> Self {
-        let latency = Histogram::new_with_bounds(1, MOST_LATENCY_MS, LATENCY_DIGITS)
-            .unwrap_or_else(|_| unreachable!("sound bounds"));
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS)
+            .unwrap_or_else(|_| unreachable!("the histogram bounds are valid"));
         TrafficResult { asked, served: 0, in_time: 0, rejected: 0, failed: 0, lost: 0, service: 0.0, latency }
     }
 }
 
-/// A request with its result.
-struct Finished {
+/// A request and its result.
+struct FinishedRequest {
     request: ClientRequest,
     result: ClientResult,
 }
 
-/// Plays arrivals from `start` on and waits for all answers.
+/// Sends each request at its arrival time after `start`, and waits for all answers.
 pub async fn play(client: Rc<Client>, arrivals: Vec<Arrival>, start: Instant) -> TrafficResult {
-    let mut tasks: Vec<JoinHandle<Finished>> = Vec::new();
+    let mut tasks: Vec<JoinHandle<FinishedRequest>> = Vec::new();
     for Arrival { at, request } in arrivals {
         let client = Rc::clone(&client);
         tasks.push(spawn_local(async move {
             sleep_until(start + at).await;
             let result = client.submit(&request).await;
-            Finished { request, result }
+            FinishedRequest { request, result }
         }));
     }
     let mut traffic = TrafficResult::new(tasks.len());
-    let (mut weight_asked, mut weight_in_time) = (0.0, 0.0);
+    let (mut requested_weight, mut in_time_weight) = (0.0, 0.0);
     for task in tasks {
-        let Ok(Finished { request, result }) = task.await else {
+        let Ok(FinishedRequest { request, result }) = task.await else {
             traffic.lost += 1;
             continue;
         };
         let Some(class) = CLASSES.iter().find(|class| class.name == request.class) else { continue };
         let work_s = request.work.as_secs_f64();
-        weight_asked += class.weight * work_s;
+        requested_weight += class.weight * work_s;
         match result {
             ClientResult::Served(latency) => {
                 traffic.served += 1;
-                // No answer takes longer than the histogram reaches.
+                // Cannot fail: clients time out long before `MAX_LATENCY_MS`.
                 let _ = traffic.latency.record(latency.as_millis() as u64);
                 if latency.as_secs_f64() <= class.latency_objective_s + class.stretch * work_s {
                     traffic.in_time += 1;
-                    weight_in_time += class.weight * work_s;
+                    in_time_weight += class.weight * work_s;
                 }
             }
             ClientResult::Rejected => traffic.rejected += 1,
@@ -173,6 +173,6 @@
             ClientResult::NoAnswer => traffic.lost += 1,
         }
     }
-    traffic.service = if weight_asked > 0.0 { weight_in_time / weight_asked } else { 0.0 };
+    traffic.service = if requested_weight > 0.0 { in_time_weight / requested_weight } else { 0.0 };
     traffic
 }
--- a/crates/test-doubles/src/worker.rs
+++ b/crates/test-doubles/src/worker.rs
@@ -1,5 +1,5 @@
-//! A test worker: takes requests into slots and a bounded queue, runs them for as long as they need at its speed,
-//! reports start, progress and end by callbacks, and drops repeats of an idempotency key within a window.
+//! A test worker with a fixed number of slots and a bounded queue. It simulates the run time of requests, reports their
+//! start, progress and end in callbacks, and deduplicates requests by idempotency key within a window.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -15,61 +15,62 @@
 use crate::journal::RunId;
 use crate::{http, Journal};
 
-/// A callback is tried this often, with this pause in between.
-const CALLBACK_TRIES: usize = 10;
+/// Maximum number of attempts to deliver a callback.
+const MAX_CALLBACK_ATTEMPTS: usize = 10;
+/// Pause between two attempts to deliver a callback.
 const CALLBACK_RETRY_PAUSE: Duration = Duration::from_millis(100);
 const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Gap between two reports of progress.
+/// Interval between progress callbacks.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a worker is like.
+/// The properties of a test worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
-    /// Its name in the endpoint list.
+    /// Name in the endpoint list.
     pub name: String,
-    /// The number of its site.
+    /// Number of the site.
     pub site: usize,
-    /// Requests that run at a time.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Work done in a second of running.
+    /// Seconds of work that a slot does per second.
     pub speed: f64,
-    /// Repeats of a key are dropped for this long.
+    /// How long repeats of an idempotency key are dropped.
     pub deduplication_window: Duration,
-    /// How it warms up; `None` if it is warm from the start.
+    /// How the worker warms up, or `None` if it starts at full speed.
     pub warm_up: Option<WarmUp>,
 }
 
-/// A worker that begins slowly.
+/// The linear warm-up of a worker after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// The fraction of its speed at the start.
+    /// Fraction of the full speed at the start.
     pub initial_fraction: f64,
-    /// It has its full speed after this time.
+    /// Time until the worker reaches its full speed.
     pub duration: Duration,
 }
 
 impl WarmUp {
-    /// The fraction of its speed at this age.
+    /// Fraction of the full speed at this age.
     fn fraction(self, age: Duration) -> f64 {
         let gained = (1.0 - self.initial_fraction) * age.as_secs_f64() / self.duration.as_secs_f64();
         (self.initial_fraction + gained).min(1.0)
     }
 }
 
-/// Where callbacks go, once that is known.
+/// The scheduler that receives callbacks, once it is known.
 type CallbackTarget = Rc<Cell<Option<SocketAddr>>>;
 
-/// A listener of a worker. Callbacks about what comes in here go to one scheduler.
+/// A listener of a worker for one scheduler, which sends requests to it and receives the callbacks about them.
 pub struct WorkerListener {
-    /// Where it listens.
+    /// The address of the listener.
     pub address: SocketAddr,
     callback_target: CallbackTarget,
 }
 
 impl WorkerListener {
-    /// Callbacks go there from now on.
+    /// Sets the scheduler that receives the callbacks about requests to this listener.
     pub fn send_callbacks_to(&self, scheduler: SocketAddr) {
         self.callback_target.set(Some(scheduler));
     }
@@ -88,27 +89,27 @@
     run: RunId,
 }
 
-/// A worker that runs.
+/// A running test worker.
 pub struct TestWorker {
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
     spec: WorkerSpec,
     journal: Journal,
     started_at: Instant,
-    /// Of the listener at `address`.
+    /// Callback target of the listener at `address`.
     callback_target: CallbackTarget,
-    waiting: RefCell<VecDeque<QueuedRequest>>,
+    queued: RefCell<VecDeque<QueuedRequest>>,
     running: RefCell<HashMap<String, RunningRequest>>,
-    /// When each key last began to run.
-    keys: RefCell<HashMap<String, Instant>>,
+    /// When a request with each idempotency key last started to run.
+    key_started_at: RefCell<HashMap<String, Instant>>,
     silent: Cell<bool>,
 }
 
 impl TestWorker {
-    /// Starts one.
+    /// Starts a worker.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the worker cannot listen on loopback.
     pub async fn start(spec: WorkerSpec, journal: Journal) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         journal.free_slots_changed(spec.site, spec.slots as i64);
@@ -118,9 +119,9 @@
             journal,
             started_at: Instant::now(),
             callback_target: CallbackTarget::default(),
-            waiting: RefCell::default(),
+            queued: RefCell::default(),
             running: RefCell::default(),
-            keys: RefCell::default(),
+            key_started_at: RefCell::default(),
             silent: Cell::new(false),
         });
         worker.listen(listener, &worker.callback_target);
@@ -130,7 +131,7 @@
     /// Opens another listener, for another scheduler.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the worker cannot listen on loopback.
     pub async fn add_listener(self: &Rc<Self>) -> io::Result<WorkerListener> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -149,28 +150,29 @@
         });
     }
 
-    /// Its name in the endpoint list.
+    /// Returns the name in the endpoint list.
     pub fn name(&self) -> &str {
         &self.spec.name
     }
 
-    /// Callbacks about what comes in at its address go there from now on.
+    /// Sets the scheduler that receives the callbacks about requests to `address`.
     pub fn send_callbacks_to(&self, scheduler: SocketAddr) {
         self.callback_target.set(Some(scheduler));
     }
 
-    /// From now on it answers nothing and calls nobody, though it works on; or it speaks again.
+    /// Sets whether the worker is silent. A silent worker sends no answers and no callbacks, but continues to run
+    /// requests.
     pub fn set_silent(&self, silent: bool) {
         self.silent.set(silent);
     }
 
     fn load_report(&self) -> String {
-        let (queue, running) = (self.waiting.borrow().len(), self.running.borrow().len());
+        let (queue, running) = (self.queued.borrow().len(), self.running.borrow().len());
         format!("eps=0,latency_ms=0,queue={queue},x0={}", self.spec.slots.saturating_sub(running))
     }
 
     async fn serve(self: Rc<Self>, mut stream: TcpStream, callback_target: CallbackTarget) -> io::Result<()> {
-        // Without it, answers are only slower.
+        // A failure only makes answers slower.
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
         while let Some(message) = http::read_request(&mut stream, &mut buffer).await? {
@@ -179,7 +181,7 @@
             }
             let answer = self.answer(&message, &callback_target);
             http::write(&mut stream, &answer, b"").await?;
-            self.start_waiting();
+            self.start_queued();
         }
         Ok(())
     }
@@ -191,7 +193,7 @@
             return "HTTP/1.1 200 OK".to_owned();
         }
         let Some(id) = message.header("x-request-id") else { return "HTTP/1.1 404 Not Found".to_owned() };
-        // The body says what the request truly needs, in microseconds.
+        // The body is the actual work of the request in microseconds.
         let work_us = std::str::from_utf8(&message.body).ok().and_then(|text| text.trim().parse().ok());
         self.enqueue(QueuedRequest {
             received_at: Instant::now(),
@@ -204,20 +206,20 @@
 
     fn enqueue(&self, request: QueuedRequest) -> String {
         let slots_full = self.running.borrow().len() >= self.spec.slots;
-        let queue_full = self.waiting.borrow().len() >= self.spec.queue;
+        let queue_full = self.queued.borrow().len() >= self.spec.queue;
         if slots_full && queue_full {
             return format!("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Load: {}", self.load_report());
         }
-        self.waiting.borrow_mut().push_back(request);
+        self.queued.borrow_mut().push_back(request);
         "HTTP/1.1 202 Accepted".to_owned()
     }
 
-    /// Starts the waiting requests that fit, in order.
-    fn start_waiting(self: &Rc<Self>) {
+    /// Starts queued requests in order while slots are free.
+    fn start_queued(self: &Rc<Self>) {
         while self.running.borrow().len() < self.spec.slots {
-            let Some(request) = self.waiting.borrow_mut().pop_front() else { return };
+            let Some(request) = self.queued.borrow_mut().pop_front() else { return };
             if self.is_repeat(&request) {
-                // A repeat takes no effect, and its sender is told that it is done.
+                // A repeat has no effect, but its scheduler is notified that it is done.
                 let worker = Rc::clone(self);
                 spawn_local(async move {
                     worker.callback(&request, "done", "\"result\":\"repeat\"").await;
@@ -225,7 +227,7 @@
                 continue;
             }
             if let Some(key) = &request.key {
-                self.keys.borrow_mut().insert(key.clone(), Instant::now());
+                self.key_started_at.borrow_mut().insert(key.clone(), Instant::now());
             }
             let run = self.journal.run_started(
                 self.spec.site,
@@ -242,43 +244,43 @@
 
     fn is_repeat(&self, request: &QueuedRequest) -> bool {
         let Some(key) = &request.key else { return false };
-        let last_run = self.keys.borrow().get(key).copied();
-        last_run.is_some_and(|at| at.elapsed() < self.spec.deduplication_window)
+        let last_started_at = self.key_started_at.borrow().get(key).copied();
+        last_started_at.is_some_and(|at| at.elapsed() < self.spec.deduplication_window)
     }
 
     async fn run(self: Rc<Self>, request: QueuedRequest, run: RunId) {
         let age = self.started_at.elapsed();
         let speed_fraction = self.spec.warm_up.map_or(1.0, |warm_up| warm_up.fraction(age));
         let duration = request.work.div_f64(self.spec.speed * speed_fraction);
-        let (began, end) = (Instant::now(), Instant::now() + duration);
+        let (started_at, end) = (Instant::now(), Instant::now() + duration);
         let request = Rc::new(request);
         self.callback_in_background(&request, "started", String::new());
         while Instant::now() + PROGRESS_INTERVAL < end {
             sleep(PROGRESS_INTERVAL).await;
-            let done = began.elapsed().as_secs_f64() / duration.as_secs_f64();
+            let done = started_at.elapsed().as_secs_f64() / duration.as_secs_f64();
             self.callback_in_background(&request, "running", format!("\"share\":{done:.3}"));
         }
         sleep_until(end).await;
         self.running.borrow_mut().remove(&request.id);
-        self.slot_freed(run);
+        self.end_run(run);
         let result = format!("\"result\":\"map of {}\"", request.id);
-        self.start_waiting();
+        self.start_queued();
         self.callback(&request, "done", &result).await;
     }
 
-    fn slot_freed(&self, run: RunId) {
+    fn end_run(&self, run: RunId) {
         self.journal.run_ended(run);
         self.journal.free_slots_changed(self.spec.site, 1);
     }
 
     fn cancel(self: &Rc<Self>, id: &str) {
-        self.waiting.borrow_mut().retain(|request| request.id != id);
+        self.queued.borrow_mut().retain(|request| request.id != id);
         let running = self.running.borrow_mut().remove(id);
         if let Some(RunningRequest { task, run }) = running {
             task.abort();
-            self.slot_freed(run);
+            self.end_run(run);
         }
-        self.start_waiting();
+        self.start_queued();
     }
 
     fn callback_in_background(
@@ -291,7 +293,7 @@
         spawn_local(async move { worker.callback(&request, state, &detail).await });
     }
 
-    /// Tells the scheduler about a request, with a bounded number of tries.
+    /// Sends the scheduler a callback about a request, with a bounded number of attempts.
     async fn callback(&self, request: &QueuedRequest, state: &str, detail: &str) {
         let load = self.load_report().replace('=', "\":").replace(',', ",\"");
         let separator = if detail.is_empty() { "" } else { "," };
@@ -299,7 +301,7 @@
         let body = format!(
             r#"{{"id":"{id}","from":"{from}","state":"{state}"{separator}{detail},"load":{{"{load}}}}}"#
         );
-        for _ in 0..CALLBACK_TRIES {
+        for _ in 0..MAX_CALLBACK_ATTEMPTS {
             let target = request.callback_target.get().filter(|_| !self.silent.get());
             let Some(address) = target else {
                 sleep(CALLBACK_RETRY_PAUSE).await;
@@ -315,7 +317,7 @@
 
 async fn post_callback(address: SocketAddr, body: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
-    // Without it, the callback is only slower.
+    // A failure only makes the callback slower.
     let _ = stream.set_nodelay(true);
     http::write(&mut stream, "POST /callback HTTP/1.1\r\nConnection: close", body.as_bytes()).await?;
     http::read_response(&mut stream, &mut Vec::new()).await?;
