--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -184,7 +184,7 @@
         }));
     }
     let actions = scheduler.run(9.999);
-    assert!(!dispatched(&actions).is_empty(), "requests are dispatched like any others");
+    assert!(!dispatched(&actions).is_empty(), "some requests are dispatched");
     for id in 0..12 {
         let answers = usize::from(rejected(&actions, id)) + usize::from(failed(&actions, id));
         assert_eq!(answers, 1, "request {id} has one final answer");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -89,6 +89,7 @@
         Self::seeded(settings, 7, workers)
     }
 
+    /// Like [`Self::new`], with this seed for the dispatcher's random draws.
     pub(crate) fn seeded(settings: Settings, seed: u64, workers: Vec<WorkerInfo>) -> Self {
         let mut scheduler = TestScheduler {
             dispatcher: Dispatcher::new(settings, seed),
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,5 @@
-//! Feeds random valid event sequences to the dispatcher and checks its actions independently against the four rules
-//! of `docs/design.md`.
+//! Feeds random valid event sequences to the dispatcher and independently checks its actions against the four rules
+//! of `docs/design.md`, which `tests/scheduling.rs` lists.
 
 mod common;
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -35,7 +35,7 @@
     scheduler.send(Event::RequestReceived(request(1, 0, 100.0)));
     let actions = scheduler.run(0.3);
     assert!(dispatched(&actions).is_empty() && probed(&actions).len() >= 4, "probes other workers instead");
-    assert!(probed(&actions).len() <= 20, "probes less and less often");
+    assert!(probed(&actions).len() <= 20, "probes at a decreasing rate");
 }
 
 #[test]
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,9 @@
-//! Scheduling decisions of a single scheduler. The numbered rules are the four rules of `docs/design.md`.
+//! Scheduling decisions of a single scheduler. The numbered rules are the four rules of `docs/design.md`:
+//!
+//! 1. A request gets one final answer, before its deadline.
+//! 2. A request that may have run is sent again only if its class allows it.
+//! 3. A draining or unlisted worker gets no requests.
+//! 4. A worker in slow start is not overloaded.
 
 mod common;
 
@@ -141,7 +146,7 @@
     }
     // Collapse multiple of 3, capacity fraction of a fifth and a little more (0.25), two slots, one second, one of two
     // schedulers.
-    assert!(sent <= 3.0 * 0.25 * 2.0 / 2.0, "sent {sent} s of work within a second");
+    assert!(sent <= 3.0 * 0.25 * 2.0 / 2.0, "sent {sent} s of work in less than a second");
 }
 
 /// Returns how many of these requests are dispatched. One arrives every `interval_s`, and its client disconnects as
@@ -273,7 +278,7 @@
 
 #[test]
 fn does_not_cancel_request_queued_at_a_worker_that_makes_progress() {
-    // Retrying every request that is queued at a loaded worker would add to the load.
+    // Retrying all requests that are queued at a loaded worker would add load to the fleet.
     let mut scheduler = TestScheduler::new(settings(), fleet(2));
     for id in 0..4 {
         scheduler.send(Event::RequestReceived(request(id, 0, scheduler.now)));
@@ -298,7 +303,7 @@
 
 #[test]
 fn request_past_its_objective_does_not_overtake_newer_ones() {
-    // If priority grew without bound with the waiting time, it would overtake requests of higher priority.
+    // If priority grew without bound with the waiting time, late requests would overtake those of higher priority.
     let mut settings = settings();
     settings.classes[0].weight_after_objective = 0.2;
     let mut scheduler = TestScheduler::new(settings, Vec::new());
@@ -407,7 +412,7 @@
     assert_eq!((sent.len(), sent[0].0), (1, 2), "the valid request is served");
 }
 
-/// A worker that fails fast always has free slots. Without this rule, it could get all attempts of a request.
+/// A worker that fails fast always has free slots, so it could get all attempts of a request.
 #[test]
 fn retries_failed_request_at_another_worker() {
     let mut scheduler =
