--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -250,7 +250,7 @@
         if ended.client_answered || tracked.is_closed() {
             self.close(id);
         } else if self.is_out_of_attempts(tracked) {
-            self.give_final_answer(id); // no further attempt is possible
+            self.reject_or_fail(id); // no further attempt is possible
         } else {
             self.requests.enqueue(id);
         }
--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -81,7 +81,7 @@
             Some(Timer::OverdueCheck) => state.check_overdue(),
             Some(Timer::DiscoveryRetry) => state.emit(Action::WatchEndpointList),
             Some(Timer::Gossip) => state.broadcast_gossip(),
-            Some(Timer::Deadline(request)) => state.give_final_answer(request),
+            Some(Timer::Deadline(request)) => state.reject_or_fail(request),
             None => {}
         }
     }
--- a/src/scheduling/overdue.rs
+++ b/src/scheduling/overdue.rs
@@ -70,7 +70,7 @@
             }
         }
         for id in too_late {
-            self.give_final_answer(id);
+            self.reject_or_fail(id);
         }
         for check in checks {
             if check.is_overdue {
--- a/src/scheduling/round.rs
+++ b/src/scheduling/round.rs
@@ -1,8 +1,11 @@
-//! A scheduling round: orders the queue by priority, drops expired requests and places the rest on free slots.
+//! A scheduling round: sorts the queue by priority, gives up requests that are too late, sheds requests while the queue
+//! takes too long to clear (Eq. 2 of the paper, see `load_shedding.rs`), and places the rest.
 //!
 //! The interval between rounds is short compared with the tightest latency objective, and a freed slot triggers an
-//! early round. A round takes as many requests from the head of the queue as there are known free slots. Requests that
-//! are not placed stay queued and gain priority.
+//! early round. If this scheduler's own traffic shows free slots, a round places requests up to this scheduler's share
+//! of the slots in service plus a margin. Otherwise it has no limit of its own and places requests on workers that have
+//! just answered a capacity probe. Requests that are not placed stay queued, and their priority grows with the time
+//! waited, up to a cap. Requests that are given up or shed are rejected if that is safe, and failed otherwise.
 
 use crate::scheduling::admission::PRIORITY_PENALTY;
 use crate::scheduling::capacity_probe::{FREE_SLOT_LIFETIME_S, PROBE_RETRY_S};
@@ -12,21 +15,25 @@
 use crate::scheduling::request_table::TrackedRequest;
 use crate::scheduling::state::SchedulerState;
 
-/// Lower bound of the attempts that this scheduler may have in flight beyond its share of the slots.
-const MIN_EXTRA_ATTEMPTS: f64 = 3.0;
+/// Minimum margin, in slots, by which this scheduler's attempts may exceed its share of the slots.
+const MIN_EXTRA_SLOTS: f64 = 3.0;
 /// A request is placed if the remaining slot budget covers at least this fraction of its slots.
 const MIN_SLOT_FRACTION: f64 = 0.5;
-/// Minimum time between two rounds, as a fraction of the retry interval of capacity probes.
+/// Minimum delay of the follow-up that a round schedules, as a fraction of the retry interval of capacity probes. A
+/// round that another event triggers can run sooner.
 const ROUND_PROBE_RETRY_FRACTION: f64 = 0.4;
 
-/// The queue of a round, sorted by descending priority, and the requests to drop.
+/// The queue of a round, sorted by descending priority, and the requests to reject or fail.
 struct RoundPlan {
     queue: Vec<QueuedRequest>,
     dropped: Vec<RequestId>,
 }
 
 impl SchedulerState {
-    /// Runs a round, unless a stale timer expired before the next round is due.
+    /// Handles the expiry of a round timer: runs a round if one is due.
+    ///
+    /// A timer that expires more than one event interval before `next_round_at` is stale, because a sooner round has
+    /// run in the meantime, and is ignored.
     pub(crate) fn run_round(&mut self) {
         if self.now < self.next_round_at - self.settings.event_interval_s {
             return;
@@ -36,16 +43,20 @@
         let RoundPlan { mut queue, mut dropped } = self.plan_round();
         dropped.extend(self.shed_excess(&mut queue));
         for id in dropped {
-            self.give_final_answer(id);
+            self.reject_or_fail(id);
         }
         let context = self.round_context(&queue);
-        let mut slot_budget = self.prepare_candidates(&mut queue);
+        let mut slot_budget = self.limit_round(&mut queue);
         self.place_queue(queue, context, &mut slot_budget);
         self.requests.prune_queue();
         self.schedule_round(self.round_interval_s.max(ROUND_PROBE_RETRY_FRACTION * PROBE_RETRY_S));
     }
 
-    /// Sorts the queue by priority and separates the requests that are too late to have any value.
+    /// Sorts the queue by priority and splits off the requests that are too late for an answer to have any value.
+    ///
+    /// A request is late if it would take longer than [`MAX_OBJECTIVE_STRETCH`] times its latency objective even if it
+    /// started now on the fastest kind of worker. It is urgent if it is not late but would probably miss its objective
+    /// by waiting any longer: its latest start is less than two rounds and a mean start delay away.
     fn plan_round(&self) -> RoundPlan {
         let fastest_ratio = self.fastest_run_time_ratio();
         let mut queue = Vec::with_capacity(self.requests.queue.len());
@@ -74,8 +85,8 @@
         kinds.fold(fleet_log_ratio, f64::min).exp()
     }
 
-    /// Whether an answer after the stretched objective still has value. On a full fleet it never does: the request
-    /// would take a slot from one that can still meet its objective.
+    /// Whether an answer to a late request still has value. On a full fleet it never does: the request would take a
+    /// slot from one that can still meet its objective.
     fn has_value_when_late(&self, tracked: &TrackedRequest) -> bool {
         let class = &self.settings.classes[tracked.request.class];
         !self.is_fleet_full() && class.weight_after_objective > 0.0
@@ -93,16 +104,20 @@
         RoundContext { is_mostly_urgent: 2 * urgent > queue.len(), fill_level }
     }
 
-    /// Limits the round to the requests that may be placed, and returns how many slots they may take in total.
+    /// Limits the requests or the candidate workers of the round, and returns how many slots its requests may take in
+    /// total.
+    ///
+    /// If this scheduler's own traffic shows free slots, the slots that it reserves are limited to its share of the
+    /// slots in service plus a margin, because a request that stays queued can still be sent to any worker. The margin
+    /// is one standard deviation of a Poisson count with the share as its mean, but at least [`MIN_EXTRA_SLOTS`]. The
+    /// queue of the round is cut to one request for each slot of the budget and one for each ready worker.
     ///
-    /// If free slots are known from this scheduler's own traffic, its attempts in flight are limited to its share of
-    /// the slots plus one standard deviation, because a request that stays queued can still be sent to any worker.
-    /// Otherwise the candidates are the workers that recently answered a capacity probe.
-    fn prepare_candidates(&mut self, queue: &mut Vec<QueuedRequest>) -> f64 {
+    /// Otherwise the budget is unlimited, and the candidates are the workers that recently answered a capacity probe.
+    fn limit_round(&mut self, queue: &mut Vec<QueuedRequest>) -> f64 {
         if self.sees_free_slots() {
             let sums = self.fleet.in_service_slots();
             let slot_share = sums.slots / self.settings.scheduler_count as f64;
-            let slot_budget = slot_share + slot_share.sqrt().max(MIN_EXTRA_ATTEMPTS) - sums.reserved_here;
+            let slot_budget = slot_share + slot_share.sqrt().max(MIN_EXTRA_SLOTS) - sums.reserved_here;
             queue.truncate(slot_budget.max(0.0).ceil() as usize + self.fleet.candidate_order.len());
             slot_budget
         } else {
@@ -115,11 +130,11 @@
         }
     }
 
-    /// Places requests until the slot budget is used up.
+    /// Places requests until the slot budget is used up, in two passes if any affinity key has preferred workers.
     ///
-    /// The first pass skips requests whose data is probably on no worker with free capacity, whatever their priority,
-    /// because a request that has to fetch its data occupies its slot for longer. The second pass gives them the
-    /// remaining slots.
+    /// The first pass skips requests whose data is probably on none of the workers that can take them, whatever their
+    /// priority, because a request that has to fetch its data occupies its slot for longer. The second pass gives them
+    /// the remaining slots.
     fn place_queue(&mut self, queue: Vec<QueuedRequest>, context: RoundContext, slot_budget: &mut f64) {
         let mut remaining = queue;
         if self.affinity.has_preferred_workers() {
@@ -128,8 +143,8 @@
         self.place_in_order(remaining, context, false, slot_budget);
     }
 
-    /// Places requests in order until the slot budget is used up. Returns the requests deferred to the second pass
-    /// because no worker with free capacity has their data.
+    /// Places requests in order and ends at the first one that exceeds the slot budget, even if a smaller one behind it
+    /// would fit. Returns the requests that the affinity pass defers to the second pass.
     fn place_in_order(
         &mut self,
         queue: Vec<QueuedRequest>,
--- a/src/scheduling/settings.rs
+++ b/src/scheduling/settings.rs
@@ -31,13 +31,16 @@
     pub name: String,
     /// Latency objective of a request without any estimated work; see `objective_per_work`.
     pub latency_objective_s: f64,
-    /// Seconds added to the latency objective for each second of estimated work.
+    /// Seconds added to a request's latency objective for each second of its estimated work. The sum is capped at
+    /// `deadline_s`.
     pub objective_per_work: f64,
-    /// Time after which the client stops waiting.
+    /// Time after which the client of a request stops waiting.
     pub deadline_s: f64,
-    /// Weight of a request, or of a unit of its work, relative to other classes.
+    /// Weight of each request of the class, relative to requests of other classes. Eq. 1 of the paper (priority of a
+    /// request) uses it regardless of the request's estimated work.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the objective still earns.
+    /// Fraction of a request's weight that an answer after its latency objective still earns. The scheduler only
+    /// distinguishes 0 from larger fractions.
     pub weight_after_objective: f64,
     /// Whether requests may run more than once.
     pub idempotency: Idempotency,
@@ -72,7 +75,10 @@
     Other,
 }
 
-/// Settings of a scheduler. [`Settings::default`] has safe values for everything that a deployment does not set.
+/// Settings of a scheduler.
+///
+/// [`Settings::default`] has the values of settings that a deployment does not set: no classes and no tenants, a single
+/// attempt per request, and neither hedging, cancellation, capacity probes nor gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Index of this scheduler among those that share the workers, from 0.
@@ -81,13 +87,14 @@
     pub scheduler_count: usize,
     /// Index of this scheduler's zone.
     pub zone: u16,
-    /// Interval at which events are delivered.
+    /// Interval at which the caller delivers events to the dispatcher. Timers and time limits allow for it.
     pub event_interval_s: f64,
     /// The request classes, by index.
     pub classes: Vec<RequestClass>,
     /// The tenants, by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request that exceeds its tenant's quota, as a fraction of its weight within the quota.
+    /// Weight of a request that exceeds its tenant's quota, as a fraction of the weight of a request within it. At 1
+    /// such a request keeps its full priority.
     pub weight_over_quota: f64,
     /// The fields of a load report, in order.
     pub load_report_fields: Vec<LoadReportField>,
@@ -101,7 +108,8 @@
     pub connect_timeout_s: f64,
     /// Idle time after which workers close a connection.
     pub connection_idle_timeout_s: f64,
-    /// Time after the client's deadline during which a final answer is still accepted.
+    /// Time after a request's deadline during which its client still accepts a final answer. The frontend fails a
+    /// request that the engine has not answered by then.
     pub answer_slack_s: f64,
     /// Whether workers notify the scheduler when a request starts to run.
     pub starts_reported: bool,
@@ -117,28 +125,35 @@
     pub capacity_probes_allowed: bool,
     /// Whether schedulers may send each other gossip.
     pub gossip_allowed: bool,
-    /// Longest `Retry-After` that clients honor; 0 if it is not forwarded to them.
+    /// Longest `Retry-After` that clients honor; 0 if the deployment does not pass it on to clients.
     pub max_retry_after_s: f64,
-    /// Whether the endpoint list must be polled.
+    /// Whether schedulers poll a discovery service that they share. Otherwise an agent on the scheduler's host serves
+    /// the endpoint list.
     pub discovery_polled: bool,
-    /// Whether listed weights show load: the size of a worker divided by 1 + requests per core, a short time ago.
+    /// Whether the weights in the endpoint list show the load of the workers. If so, a worker's listed weight is its
+    /// weight when idle, divided by (1 + its requests per core), as of about a second ago. Otherwise it is the worker's
+    /// size.
     pub weights_show_load: bool,
     /// Maximum interval between polls of the endpoint list if there is no watch.
     pub max_poll_interval_s: f64,
-    /// How long a scheduler may still send requests to a worker after being notified that it is draining.
+    /// How long a scheduler may still send requests to a worker after discovery has notified the scheduler that the
+    /// worker is draining. Discovery derives the delays and timeouts of its polls from this. Placement does not use the
+    /// grace: it sends a draining worker nothing.
     pub drain_grace_s: f64,
     /// Minimum fraction of its capacity that a worker has when it starts.
     pub slow_start_fraction: f64,
     /// Maximum time after its start until a worker has its full capacity.
     pub slow_start_duration_s: f64,
-    /// A worker in slow start collapses if it is sent more than this multiple of its current capacity within
-    /// `overload_window_s`.
+    /// The work that all schedulers together may send to a worker in slow start within `overload_window_s`, as a
+    /// multiple of the work that the worker can process in that time at its current capacity. The worker collapses
+    /// beyond a threshold that allows for some excess; see `slow_start.rs`.
     pub collapse_multiple: f64,
-    /// Window for `collapse_multiple`.
+    /// Length of the window in which the work sent to a worker in slow start is limited.
     pub overload_window_s: f64,
 }
 
-/// Bounds over all classes and tenants by which Eq. 1 normalizes the priority of a request.
+/// Extreme values over all classes and tenants, by which Eq. 1 of the paper (priority of a request) normalizes its
+/// terms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoringBounds {
     /// The tightest latency objective of all classes, in seconds.
@@ -149,11 +164,11 @@
     pub max_priority_weight: f64,
 }
 
-/// Lower limit of the maxima, so that quotas or weights that are all 0 cannot cause a division by zero.
+/// Lower limit of the two maxima, so that quotas or weights that are all 0 cannot cause a division by zero.
 const MIN_BOUND: f64 = 1e-9;
 
 impl Settings {
-    /// Bounds over all classes and tenants by which Eq. 1 normalizes the priority of a request.
+    /// Computes the extreme values of the current classes and tenants.
     pub fn scoring_bounds(&self) -> ScoringBounds {
         let objectives = self.classes.iter().map(|class| class.latency_objective_s);
         let quotas = self.tenants.iter().map(|tenant| tenant.quota_per_s);
--- a/src/scheduling/timer.rs
+++ b/src/scheduling/timer.rs
@@ -16,7 +16,7 @@
     DiscoveryRetry,
     /// The next gossip message is due.
     Gossip,
-    /// The deadline of a request is near: it must get its final answer.
+    /// The deadline of a request is near: it is rejected or failed if it is still open.
     Deadline(RequestId),
 }
 
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,4 +1,8 @@
-//! The states of a client connection. `client_connection` makes the transitions.
+//! The states of a client connection. `client_connection.rs` makes the transitions.
+//!
+//! A message is any HTTP request on the connection: a client's request for a worker, a worker's callback, or a query
+//! for readiness or counters. Each message gets one HTTP response. The successor is the new process of this scheduler
+//! in an upgrade.
 
 use bytes::Bytes;
 
@@ -9,18 +13,20 @@
 pub(super) enum ConnectionState {
     /// No part of a message has been received: the connection is new or idle between two messages.
     Idle,
-    /// A message has been received in part.
+    /// A message is being received.
     ReceivingMessage,
-    /// A whole message has been received. Its response has not been written.
+    /// A whole message has been received and its response has not been written.
     AwaitingAnswer(Message),
-    /// The frontend has written its last response or is closing an idle connection. Further input is read and dropped.
+    /// The frontend has written the last response or is closing an idle connection. The write side is shut down, and
+    /// further input is read and dropped.
     Lingering,
     /// The connection is to be handed over to the successor.
     HandingOver,
-    /// The connection is to be handed over to the successor together with the request on it. The successor answers the
-    /// request and then keeps the connection open if `keep_alive` is set.
+    /// The connection is to be handed over to the successor together with its pending request. The successor writes the
+    /// response and then keeps the connection open if `keep_alive` is set.
     HandingOverRequest { migrated: Box<MigratedRequest>, keep_alive: bool },
-    /// The connection is dropped: the client has disconnected or is owed no response.
+    /// The connection is dropped without a further response: it has broken, the client has closed it or does not read,
+    /// it was evicted in the middle of a message, or it is closed while idle before its first response.
     Closed,
 }
 
--- a/src/server/http/connection.rs
+++ b/src/server/http/connection.rs
@@ -15,8 +15,8 @@
 use super::arrivals::Arrivals;
 use super::MAX_HEAD_BYTES;
 
-/// How often to check for a close behind unread bytes. No attempt may start 0.1 s or more after the client has closed
-/// its connection.
+/// Interval between checks for a close behind unread bytes. It is short because no attempt may start 0.1 s or more
+/// after the client has closed its connection.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Buffer space reserved before each read.
 const READ_BYTES: usize = 4096;
@@ -27,7 +27,7 @@
     stream: TcpStream,
     /// Bytes received and not consumed yet.
     pub(super) buffer: BytesMut,
-    /// When [`Connection::receive`] last returned.
+    /// See [`Connection::last_received`].
     last_received: Rc<Cell<Instant>>,
     arrivals: Arrivals,
     /// Number of times the head parser has run.
@@ -38,7 +38,7 @@
 pub struct ConnectionParts {
     /// The socket.
     pub socket: OwnedFd,
-    /// Bytes received and not consumed.
+    /// Bytes received and not consumed yet.
     pub read_ahead: Bytes,
 }
 
@@ -65,7 +65,8 @@
         TcpStream::connect(address).await.map(Connection::new)
     }
 
-    /// Wraps a connection from which another process has already received `read_ahead`.
+    /// Wraps a connection from which another process has already received `read_ahead`. These bytes count as received
+    /// now, because their receive times are not handed over.
     pub fn with_read_ahead(stream: TcpStream, read_ahead: &[u8]) -> Self {
         let mut connection = Connection { buffer: BytesMut::from(read_ahead), ..Connection::new(stream) };
         connection.arrivals.record(read_ahead.len(), Instant::now());
@@ -81,13 +82,16 @@
         Ok(ConnectionParts { socket, read_ahead: self.buffer.freeze() })
     }
 
-    /// When the last byte of the most recently read message was received. This can be long before the message was read:
-    /// pipelined messages wait in the buffer while their deadlines run.
+    /// When the last byte of the most recently read message was received, which is the last byte taken from the buffer.
+    /// This can be long before the message was read: pipelined messages wait in the buffer while their deadlines run.
     pub fn message_received_at(&mut self) -> Instant {
         self.arrivals.last_taken_received_at(self.buffer.len()).unwrap_or_else(|| self.last_received.get())
     }
 
-    /// The time of the last receive, in a shared cell that is updated by later ones.
+    /// When [`Connection::receive`] last returned, with or without bytes; initially when the connection was wrapped.
+    ///
+    /// The cell is shared, so that connection eviction sees later receives while a task reads from the connection.
+    /// [`Connection::receive_available`] does not update it.
     pub fn last_received(&self) -> Rc<Cell<Instant>> {
         Rc::clone(&self.last_received)
     }
@@ -103,7 +107,10 @@
         !self.buffer.is_empty()
     }
 
-    /// Whether the connection is open and has nothing to read: neither bytes nor the peer's close.
+    /// Whether the connection is open and has nothing to read: neither bytes, nor the peer's close, nor an error.
+    ///
+    /// The check reads from the socket and loses a byte that has arrived, so the caller must drop the connection if it
+    /// returns false.
     pub fn is_open_and_idle(&self) -> bool {
         if self.has_input() {
             return false;
@@ -112,10 +119,11 @@
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Receives bytes that are already available, without waiting. Returns false if there are none.
+    /// Receives bytes that are already available, without waiting. Returns false if it received none, which includes
+    /// the end of the stream and errors.
     pub fn receive_available(&mut self) -> bool {
         self.buffer.reserve(READ_BYTES);
-        // Errors are treated as no data: the next read returns them again.
+        // An error counts as no data. The kernel reports a pending socket error only once, so it is lost here.
         let read = self.stream.try_read_buf(&mut self.buffer).unwrap_or(0);
         self.arrivals.record(read, Instant::now());
         read > 0
@@ -152,7 +160,8 @@
     /// Writes all parts with vectored writes.
     ///
     /// # Errors
-    /// Returns any I/O error of a write. The kernel then did not accept the last byte.
+    /// Returns the I/O error of a failed write. The kernel has not accepted the last byte in that case, so the peer
+    /// cannot receive all of the parts.
     pub async fn write(&mut self, parts: &[&[u8]]) -> io::Result<()> {
         let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
         let mut unwritten = slices.as_mut_slice();
@@ -166,7 +175,7 @@
         Ok(())
     }
 
-    /// Shuts down the write side and drops the buffered bytes.
+    /// Shuts down the write side and drops the buffered input. The caller reads no more messages from the connection.
     pub async fn half_close(&mut self) {
         // If this fails, the connection is broken and the next read returns the error.
         let _ = self.stream.shutdown().await;
@@ -181,8 +190,8 @@
         self.stream.readable().await
     }
 
-    /// Reads and drops available bytes, using `scratch` as the buffer. Returns false once the peer has closed its side
-    /// or the connection has failed.
+    /// Reads available bytes from the socket once, up to the length of `scratch`, and drops them. `scratch` must not be
+    /// empty. Returns false once the peer has closed its side or the connection has failed.
     pub fn discard_received(&self, scratch: &mut [u8]) -> bool {
         match self.stream.try_read(scratch) {
             Ok(read) => read > 0,
