--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -1,7 +1,8 @@
 //! Admission control: decides whether a new request is accepted, and computes its priority.
 //!
-//! A request is rejected immediately if its class is unknown, or if the fleet is full and its priority is below the
-//! mean. All others are queued; `load_shedding.rs` sheds those that the queue cannot serve in time.
+//! A request is rejected immediately if its class is unknown, if its deadline is not finite, or if the fleet is full
+//! and its priority is below the mean. All others are queued; `load_shedding.rs` sheds those that cannot be served in
+//! time.
 
 use crate::scheduling::action::Action;
 use crate::scheduling::affinity::WeightedWorker;
@@ -14,18 +15,19 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::timer::Timer;
 
-/// Weight of the latency objective in Eq. 1 of the paper (alpha).
+/// Weight of the latency objective in Eq. 1 of the paper, the priority of a request (alpha).
 const LATENCY_COEFFICIENT: f64 = 2.0;
 /// Weight of the tenant's quota in Eq. 1 (beta).
 const QUOTA_COEFFICIENT: f64 = 0.3;
 /// Weight of the class's priority weight in Eq. 1 (delta); the paper has the user group here.
 const PRIORITY_COEFFICIENT: f64 = 2.0;
-/// Subtracted from the priority of a request that is over quota or too late for its objective. Larger than any value of
-/// Eq. 1, so that such requests are served last.
+/// Subtracted from the priority of a request that is too late for its objective and, multiplied by
+/// 1 - `weight_over_quota`, from that of a request over its tenant's quota. Larger than any value of Eq. 1, so that
+/// such requests are served after almost all others.
 pub(crate) const PRIORITY_PENALTY: f64 = 5.0;
 /// Lower bound of the latency objective; prevents division by zero.
 const MIN_OBJECTIVE_S: f64 = 1e-3;
-/// Interval between two checks for overdue attempts.
+/// Interval between two checks for overdue attempts, unless capacity probes are the only source of load figures.
 pub(crate) const OVERDUE_CHECK_INTERVAL_S: f64 = 0.1;
 
 impl SchedulerState {
@@ -60,7 +62,7 @@
     }
 
     /// Estimated work of a request in seconds on a standard core: the client's hint, or else the geometric mean
-    /// over recent requests.
+    /// over recent requests, which starts from the latency objective of the class.
     fn estimated_work(&self, request: &Request) -> f64 {
         let hint = request.estimated_work_s.filter(|work| work.is_finite() && *work > 0.0);
         hint.unwrap_or_else(|| {
@@ -100,7 +102,7 @@
 
     /// Eq. 1 of the paper: a weighted sum of the latency objective, the tenant's quota and the class's priority weight,
     /// each normalized by the extreme value over all classes or tenants. A request over its tenant's quota is penalized
-    /// so that it is served last.
+    /// by [`PRIORITY_PENALTY`].
     fn admission_priority(&mut self, request: &Request) -> f64 {
         let is_within_quota = self.consume_quota(request.tenant);
         let class = &self.settings.classes[request.class];
--- a/src/scheduling/attempt_progress.rs
+++ b/src/scheduling/attempt_progress.rs
@@ -23,7 +23,8 @@
 const MIN_STABILITY: f64 = 0.3;
 /// This many resets without a notification in between eject a worker; a healthy worker may cause one.
 const RESETS_UNTIL_EJECTION: u32 = 2;
-/// A worker that rejected an attempt is sent nothing for this time multiplied by its slots.
+/// A worker that rejected an attempt is sent nothing for this time multiplied by its slots, but at least for
+/// [`FREE_SLOT_LIFETIME_S`].
 const REJECTION_BACKOFF_PER_SLOT_S: f64 = 0.1;
 /// Maximum natural logarithm of the gain or loss in speed learned from one run in slow start (a factor of
 /// three).
--- a/src/scheduling/capacity_probe.rs
+++ b/src/scheduling/capacity_probe.rs
@@ -23,7 +23,7 @@
 const PROBE_RETRY_GROWTH: f64 = 1.5;
 /// How long a slot counts as free after a probe found it free.
 pub(crate) const FREE_SLOT_LIFETIME_S: f64 = 0.05;
-/// Maximum response time of a probe that did not wait for a slot.
+/// A probe that is answered within this time plus two event intervals did not wait for a slot.
 pub(crate) const IMMEDIATE_ANSWER_S: f64 = 0.02;
 /// Weight of a load report in the answer to a probe: it is fresh and replaces the estimate.
 const FRESH_LOAD_WEIGHT: f64 = 1.0;
@@ -35,7 +35,8 @@
 }
 
 impl SchedulerState {
-    /// Sends a round of probes for a request unless this scheduler's own traffic shows free slots.
+    /// Sends a round of probes for a request unless this scheduler's own traffic shows free slots. The busy
+    /// fraction counts the first round for a request as not busy and each repeated one as busy.
     pub(crate) fn probe_for_capacity(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.all.get(&id) else { return };
         if self.sees_free_slots() {
--- a/src/scheduling/dispatcher.rs
+++ b/src/scheduling/dispatcher.rs
@@ -11,11 +11,11 @@
 use crate::scheduling::state::SchedulerState;
 use crate::scheduling::timer::Timer;
 
-/// Length of a round as a fraction of the tightest latency objective.
+/// Interval between rounds as a fraction of the tightest latency objective.
 const ROUND_OBJECTIVE_FRACTION: f64 = 0.06;
-/// Upper bound of the objective from which the length of a round is derived.
+/// Upper bound of the objective from which the interval between rounds is derived.
 const MAX_ROUND_OBJECTIVE_S: f64 = 1.0;
-/// Minimum length of a round.
+/// Minimum interval between rounds.
 const MIN_ROUND_S: f64 = 1e-3;
 
 /// Makes the scheduling decisions of one scheduler. The same settings, seed and events give the same actions.
@@ -121,7 +121,7 @@
         Some(RequestRecord(tracked))
     }
 
-    /// Priority of a request by Eq. 1; below 0 if the request is over its tenant's quota.
+    /// Priority of a request by Eq. 1; usually below 0 if the request is over its tenant's quota.
     pub fn priority(&self, id: RequestId) -> Option<f64> {
         self.state.requests.all.get(&id).map(|tracked| tracked.priority)
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// A round is short compared with the tightest latency objective, but lasts at least two event intervals.
+/// The interval between rounds: short compared with the tightest latency objective, but at least two event intervals.
 fn round_interval_s(settings: &Settings) -> f64 {
     let objective_s = settings.scoring_bounds().min_latency_objective_s.min(MAX_ROUND_OBJECTIVE_S);
     (ROUND_OBJECTIVE_FRACTION * objective_s).max(2.0 * settings.event_interval_s).max(MIN_ROUND_S)
--- a/src/scheduling/endpoint_update.rs
+++ b/src/scheduling/endpoint_update.rs
@@ -16,7 +16,8 @@
 const MAX_POLL_DOUBLINGS: u32 = 6;
 
 impl SchedulerState {
-    /// Applies an endpoint list: updates the fleet, the quota share (if the list shows load) and the candidates.
+    /// Applies an endpoint list: updates the fleet and the candidates. A list that shows load and is not the cached
+    /// copy also updates the load estimates and the quota share.
     pub(crate) fn apply_endpoint_list(
         &mut self,
         complete_snapshot: bool,
--- a/src/scheduling/fleet.rs
+++ b/src/scheduling/fleet.rs
@@ -139,8 +139,8 @@
         self.loads_listed_at = now;
     }
 
-    /// Learns the load that one request causes on each kind of worker: the smallest load ever listed for the kind. Its
-    /// inverse is the number of cores.
+    /// Learns the load that one request causes on each kind of worker: the smallest load above [`MIN_LOAD`] ever listed
+    /// for the kind. Its inverse is the number of cores.
     fn learn_load_per_request(&mut self, listed: &[WorkerId]) {
         let loads: Vec<_> = listed.iter().filter_map(|id| self.listed_load(*id)).collect();
         for ListedLoad { kind, load } in loads {
--- a/src/scheduling/gossip.rs
+++ b/src/scheduling/gossip.rs
@@ -2,8 +2,8 @@
 //!
 //! A load report arrives only when a request ends, and only at the scheduler that sent the request. Between two reports
 //! the load from other schedulers must be estimated, and gossip improves that estimate. Each message contains all
-//! reservations of its sender, so messages may be lost, delayed, duplicated or reordered: only the newest message of
-//! each sender counts, for at most [`MESSAGE_LIFETIME_S`].
+//! reservations of its sender that fit, so messages may be lost, delayed, duplicated or reordered: only the newest
+//! message of each sender counts, for at most [`MESSAGE_LIFETIME_S`].
 //!
 //! Gossip is only a hint. It adjusts the estimated load of a worker; it never makes a worker eligible, ineligible or
 //! trusted.
@@ -14,7 +14,8 @@
 
 /// Maximum length of a message.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
-/// Interval at which messages are due. Nine in a row may be lost before the sender counts as silent.
+/// Interval at which messages are due. While the sender's reservations change, nine messages in a row may be lost
+/// before the sender counts as silent; while they do not change, one.
 pub(crate) const INTERVAL_S: f64 = 0.05;
 /// Number of intervals between messages while the reservations do not change.
 const KEEPALIVE_INTERVALS: u32 = 4;
--- a/src/scheduling/load_estimate.rs
+++ b/src/scheduling/load_estimate.rs
@@ -19,7 +19,8 @@
 /// The fleet counts as full if more than this fraction of workers had no free slot when probed or sent a request. On a
 /// full fleet, late requests would only take slots from others.
 const OVERLOADED_BUSY_FRACTION: f64 = 0.55;
-/// Up to this many schedulers see enough of the load in their own traffic, so all workers are candidates.
+/// Up to this many schedulers, or half as many as there are ready workers, see enough of the load in their own traffic,
+/// so all workers are candidates.
 pub(crate) const SMALL_GROUP_SCHEDULERS: usize = 4;
 /// Minimum listed weight, so that a weight of 0 cannot cause a division by zero.
 const MIN_WEIGHT: f64 = 0.01;
--- a/src/scheduling/load_shedding.rs
+++ b/src/scheduling/load_shedding.rs
@@ -1,14 +1,15 @@
-//! Load shedding: drops queued requests that cannot be served in time.
+//! Load shedding: gives up queued requests that cannot be served in time.
 //!
-//! There are two rules. A request that can no longer finish within [`MAX_OBJECTIVE_STRETCH`] times its objective has
-//! expired, unless a late answer still has value (`plan_round` in `round.rs`). And while clearing the whole queue takes
-//! too long, the requests of lowest priority are shed (Eq. 2 of the paper).
+//! There are two rules. A request that can no longer finish within [`MAX_OBJECTIVE_STRETCH`] times its latency
+//! objective is given up, unless a late answer still has value (`plan_round` in `round.rs`). And while clearing the
+//! whole queue takes too long, the requests of lowest priority are shed (Eq. 2 of the paper).
 
 use crate::scheduling::identifiers::RequestId;
 use crate::scheduling::random::poisson_upper_bound;
 use crate::scheduling::state::SchedulerState;
 
-/// Requests that would take longer than this factor times their latency objective are dropped (limit from the paper).
+/// A request is late if it would take longer than this factor times its latency objective (limit from the paper). Eq. 2
+/// stretches the mean latency objective by the same factor.
 pub(crate) const MAX_OBJECTIVE_STRETCH: f64 = 1.25;
 
 /// A queued request, as seen by one scheduling round.
@@ -29,9 +30,10 @@
 impl SchedulerState {
     /// Sheds requests from the end of `queue`, which is sorted by descending priority, until the rest clears in time.
     ///
-    /// Eq. 2 compares the time to clear the queue with this scheduler's share of all slots against the mean latency
-    /// objective plus a control delay, stretched by [`MAX_OBJECTIVE_STRETCH`]. At least one request always remains.
-    /// Returns the shed requests in the order of shedding.
+    /// Eq. 2 compares the time to clear the queue with the time allowed for it. The first is computed for this
+    /// scheduler's share of all slots plus two standard deviations ([`poisson_upper_bound`]), the second is the mean
+    /// latency objective plus a control delay, stretched by [`MAX_OBJECTIVE_STRETCH`]. At least one request always
+    /// remains. Returns the shed requests in the order of shedding.
     pub(crate) fn shed_excess(&self, queue: &mut Vec<QueuedRequest>) -> Vec<RequestId> {
         let own_slots = poisson_upper_bound(self.fleet.ready_slots() / self.settings.scheduler_count as f64);
         let work_per_s = own_slots / self.fleet_run_time_ratio();
--- a/src/scheduling/outlier_detection.rs
+++ b/src/scheduling/outlier_detection.rs
@@ -51,7 +51,7 @@
 }
 
 impl SchedulerState {
-    /// Ejects a worker until it has answered a health check, which is sent after its backoff.
+    /// Ejects a worker until it is readmitted; the module documentation says when.
     ///
     /// A connection failure always ejects; other reasons do not while more than [`MAX_EJECTED_FRACTION`] of
     /// the fleet is ejected.
--- a/src/scheduling/overdue.rs
+++ b/src/scheduling/overdue.rs
@@ -7,9 +7,10 @@
 //! | has started, with progress reported | two missed notifications plus [`MIN_OVERDUE_S`] |
 //! | has started, without progress reports | [`MIN_OVERDUE_S`] plus a multiple of its estimated run time |
 //!
-//! The worker is ejected (`outlier_detection.rs`), and the attempt is replaced where that is allowed
-//! (`hedging.rs`). A request that has not started and can no longer meet its latency objective is given up,
-//! because it would only delay the requests queued behind it.
+//! The worker is ejected unless most of the fleet is (`outlier_detection.rs`), and the attempt is replaced
+//! where that is allowed (`hedging.rs`). A sent request that has not started and can no longer meet its latency
+//! objective is rejected if a late answer has no value and the client can safely retry, because it would only
+//! delay the requests queued behind it.
 
 use crate::scheduling::admission::OVERDUE_CHECK_INTERVAL_S;
 use crate::scheduling::capacity_probe::IMMEDIATE_ANSWER_S;
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -7,8 +7,8 @@
 //! 2. Score ([`SchedulerState::score`]): ranks the eligible workers; lower is better. Urgent requests prefer
 //!    the worker that finishes first, bulk prefers the worker with the most free slots that still meets the
 //!    latency objective.
-//! 3. Draw ([`draw_best`]): takes the best of a few candidates that are drawn at random, weighted by free
-//!    capacity. The draw keeps schedulers apart: all see the same free slots at the same time, so the best
+//! 3. Draw ([`draw_best`]): takes the best of a few candidates that are drawn at random, weighted by
+//!    `draw_weight`. The draw keeps schedulers apart: all see the same free slots at the same time, so the best
 //!    worker for one is the best for all.
 
 use crate::scheduling::action::Action;
@@ -260,7 +260,9 @@
     }
 
     /// Whether the worker is estimated to have free slots. Where listed weights show load, a worker below the
-    /// fill level takes one request of this scheduler in addition to those of other schedulers.
+    /// fill level takes one request of this scheduler in addition to those of other schedulers. Where capacity
+    /// probes are the only source of load figures, every candidate counts as free, because it has just answered
+    /// one.
     fn has_free_slots(
         &self,
         needed_slots: f64,
@@ -324,9 +326,10 @@
 
     // ---- Draw ----
 
-    /// Weight of a worker in the random draw: its free capacity where that is known, otherwise its size, zone
-    /// and pooled connection. A worker in slow start is always drawn, as its allowance already limits the
-    /// requests sent there.
+    /// Weight of a worker with free capacity in the random draw. Where listed weights show load, it is the
+    /// worker's slots below the fill level, weighted by zone. Otherwise it is equal for all workers if overload
+    /// can be detected, and depends on relative capacity, zone and pooled connection if not. A worker in slow
+    /// start is always drawn, as its allowance already limits the requests sent there.
     fn draw_weight(&self, worker: &Worker, estimate: &PlacementEstimate, context: &PlacementContext) -> f64 {
         if !estimate.has_free_capacity {
             return BUSY_DRAW_WEIGHT;
--- a/src/scheduling/recent_sends.rs
+++ b/src/scheduling/recent_sends.rs
@@ -1,4 +1,4 @@
-//! Work recently sent to a worker in slow start.
+//! Work recently sent to a worker. It is recorded for all workers and limits what is sent to those in slow start.
 //!
 //! A worker collapses if all schedulers together send it too much work within a window, relative to its current
 //! capacity. Everything that arrives counts, even requests that are cancelled before they run. Clients' hints alone
--- a/src/scheduling/request.rs
+++ b/src/scheduling/request.rs
@@ -4,7 +4,7 @@
 
 use crate::scheduling::identifiers::RequestId;
 
-/// A client request, which the scheduler must answer exactly once.
+/// A client request. The scheduler must answer it exactly once, unless its client disconnects first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
     /// Identifier assigned by the caller.
@@ -36,9 +36,11 @@
     RejectedByWorker,
     /// No answer arrived in time; the attempt may have been executed.
     TimedOut,
-    /// No connection could be established, so the attempt was not executed.
+    /// No connection could be established, or it broke before the whole request was sent, so the attempt was not
+    /// executed.
     ConnectFailed,
-    /// The connection was reset; the attempt may have been executed.
+    /// The connection was reset, or the worker's agent reported the request as lost; the attempt may have been
+    /// executed.
     ConnectionReset,
     /// The pooled connection was already closed when it was reused. The attempt may still have been executed, but this
     /// says nothing about the worker's health.
--- a/src/scheduling/request_table.rs
+++ b/src/scheduling/request_table.rs
@@ -198,7 +198,7 @@
     pub objective_s: f64,
     /// When the client first sent the request, estimated from its deadline.
     pub first_requested_at: f64,
-    /// Priority by Eq. 1; below 0 if the request is over its tenant's quota.
+    /// Priority by Eq. 1; usually below 0 if the request is over its tenant's quota.
     pub priority: f64,
     pub attempts: Vec<Attempt>,
     /// Whether its placement takes affinity into account.
--- a/src/scheduling/run_time_estimate.rs
+++ b/src/scheduling/run_time_estimate.rs
@@ -69,8 +69,8 @@
     /// The fraction of its full speed at which a worker runs during slow start.
     ///
     /// This is the minimum according to the settings. If overload of a worker cannot be distinguished from a fault, the
-    /// minimum is raised by the observed speed of workers in slow start; otherwise the minimum has proved accurate
-    /// enough.
+    /// minimum is multiplied by the observed gain in speed of workers in slow start; otherwise the minimum has proved
+    /// accurate enough.
     fn speed_fraction(&self, worker: &Worker) -> f64 {
         let min_fraction = self.capacity_fraction(worker, 0.0);
         if self.detects_overload() || min_fraction >= 1.0 {
--- a/src/scheduling/slow_start.rs
+++ b/src/scheduling/slow_start.rs
@@ -4,10 +4,10 @@
 //! requests within the overload window from the settings ([`scheduler_share::collapse_threshold`]). N is the
 //! number that the settings allow at the worker's age; higher performance observed at the worker does not
 //! raise it. No scheduler sees the sum, so each one keeps to its own allowance, computed from the settings,
-//! the endpoint list and its own index:
+//! the endpoint list, its own index, and the sizes and speeds that it has observed:
 //!
 //! - With up to nine schedulers ([`scheduler_share::fixed_shares_suffice`]), a fixed share of the worker's
-//!   budget.
+//!   budget, scaled by the gain in speed observed at the worker.
 //! - With more schedulers, whole requests that are granted at random per interval. A grant is worth an
 //!   average request, regardless of class: if it were counted in the class of the request at hand, classes
 //!   with little work would be granted too often. The intervals of each scheduler have their own phase;
--- a/src/scheduling/state.rs
+++ b/src/scheduling/state.rs
@@ -22,7 +22,7 @@
     pub seed: u64,
     /// Time of the current event, in seconds on the caller's clock.
     pub now: f64,
-    /// Interval between two scheduling rounds.
+    /// Usual interval between scheduling rounds. Some events trigger a round sooner, such as the end of an attempt.
     pub round_interval_s: f64,
     pub fleet: Fleet,
     pub requests: RequestTable,
--- a/src/scheduling/worker.rs
+++ b/src/scheduling/worker.rs
@@ -90,7 +90,7 @@
     pub free_slot_seen_at: f64,
     /// When an attempt was last sent to the worker.
     pub last_dispatched_at: f64,
-    /// Work recently sent to the worker while in slow start.
+    /// Work recently sent to the worker. It limits further sends while the worker is in slow start.
     pub recent_sends: RecentSends,
     /// Affinity keys of requests recently sent to the worker, most recent first.
     pub recent_affinity_keys: Vec<u64>,
