--- a/src/server/peers/site_links/settings.rs
+++ b/src/server/peers/site_links/settings.rs
@@ -20,7 +20,7 @@
         source: io::Error,
     },
     /// The secret is too short.
-    #[error("gateway secret in {path:?} is shorter than {min_bytes} bytes", min_bytes = Secret::LEAST_BYTES)]
+    #[error("gateway secret in {path:?} is shorter than {min_bytes} bytes", min_bytes = Secret::MIN_BYTES)]
     TooShort {
         /// The file.
         path: PathBuf,
