--- a/crates/fault-injection/src/agreement.rs
+++ b/crates/fault-injection/src/agreement.rs
@@ -1,58 +1,60 @@
-//! The trial `agreement-network`: voters and learners of the replicated register on a virtual network, by seed.
+//! The trial `agreement-network`: a simulation of the replicated register's voters and learners on a virtual network.
 //!
-//! Messages are lost, late, duplicated and reordered; members are partitioned, killed, started anew with their disk or
-//! without it, and halted; voters come and go; each member counts time on a clock of its own. The same seed plays the
-//! same to the last message.
+//! Messages are lost, delayed, duplicated and reordered. Members are partitioned, paused, killed, and restarted with or
+//! without their disk. Voters are added and replaced. Each member has its own drifting clock. A seed determines the
+//! simulation down to the last message.
 //!
-//! Judged from outside, at every event: a version has one body, a change that was reported as committed is seen by
-//! whoever asks afterwards, and no two processes act on different versions alone. At the end, after a calm, all act on
-//! the newest alone.
+//! Invariants checked at every event: a version has one body; a confirmation that is requested after a change was
+//! reported as committed includes that change; and no two processes act on different current versions. At the end,
+//! after a period without faults, every process acts on the newest version.
 //!
-//! | file | question |
+//! | file | contents |
 //! | --- | --- |
-//! | `world` | members, clocks, disks, the network and the queue of events |
-//! | `schedule` | which faults and proposals a seed draws |
-//! | `events` | what an event does |
-//! | `judge` | which promises are checked |
+//! | `simulation` | members, clocks, disks, the network and the event queue |
+//! | `schedule` | random faults and proposals |
+//! | `events` | event handlers |
+//! | `invariants` | invariant checks |
 
 mod events;
-mod judge;
+mod invariants;
 mod schedule;
-mod world;
+mod simulation;
 
 use serde::Serialize;
 
-use world::World;
+use simulation::Simulation;
 
-/// What came of a number of seeds. The keys are printed, and keep their names.
+/// Results for a range of seeds. Scripts read the JSON keys, so they must not change.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Report {
-    /// Seeds played.
+pub struct AgreementReport {
+    /// Number of seeds simulated.
     pub seeds: u64,
-    /// Versions that were reported as committed.
+    /// Number of versions reported as committed.
     pub versions: u64,
-    /// Changes of the voters.
+    /// Number of changes of the electorate.
     pub epochs: u64,
-    /// Checks of a process that acted on one version alone.
+    /// Number of checks that found a process acting on a single current version.
     #[serde(rename = "plain")]
     pub current: u64,
-    /// Voters without their disk at the end.
+    /// Number of voters without a disk at the end.
     pub without_disk: usize,
-    /// Promises broken, with the seeds that broke them. Promised: none.
-    pub broken: Vec<String>,
+    /// Violated invariants with the seeds that violated them. Must be empty.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-/// Plays the seeds from `first` on.
-pub fn play(first: u64, seeds: u64) -> Report {
-    let mut report = Report { seeds, ..Report::default() };
+/// Simulates `seeds` consecutive seeds, beginning with `first`.
+pub fn run(first: u64, seeds: u64) -> AgreementReport {
+    let mut report = AgreementReport { seeds, ..AgreementReport::default() };
     for seed in first..first + seeds {
-        let mut world = World::new(seed);
-        world.play();
-        report.versions += world.newest_committed;
-        report.epochs += world.newest_epoch;
-        report.current += world.checks_of_current;
-        report.without_disk += world.without_disk();
-        report.broken.extend(world.broken.iter().map(|promise| format!("seed {seed}: {promise}")));
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        report.versions += simulation.newest_committed;
+        report.epochs += simulation.newest_epoch;
+        report.current += simulation.current_checks;
+        report.without_disk += simulation.without_disk();
+        let violations = simulation.violations.iter();
+        report.violations.extend(violations.map(|violation| format!("seed {seed}: {violation}")));
     }
     report
 }
--- a/crates/fault-injection/src/agreement/events.rs
+++ b/crates/fault-injection/src/agreement/events.rs
@@ -1,18 +1,18 @@
-//! What each event does to the world.
+//! Event handlers of the simulation.
 
 use chutesaddle_replicated_register::{
     Change, Confirmation, Decision, MemberId, Message, NewVoter, ProposedChange, Validity, Value,
 };
 
-use super::world::{Event, World};
+use super::simulation::{Event, Simulation};
 
-/// The document that all changes are about.
+/// Name of the only document in the simulation.
 const DOCUMENT: &str = "rules";
-/// Numbers under which voters decide.
+/// Numbers of the proposed changes, which distinguish the decisions on the two kinds of change.
 const DOCUMENT_CHANGE: u64 = 1;
 const VOTERS_CHANGE: u64 = 2;
 
-/// The version of the document in a value; 0 if it is not there.
+/// Returns the version of the document in `value`; 0 if the value does not contain it.
 pub(super) fn version_in(value: &Value) -> u64 {
     value.newest(DOCUMENT).map_or(0, |document| document.version)
 }
@@ -21,18 +21,20 @@
     MemberId(member as u16)
 }
 
-impl World {
-    pub(super) fn run(&mut self, event: Event) {
+impl Simulation {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrives { from, to, message } => self.arrived(from, usize::from(to.0), message),
-            Event::TimerDue { member, incarnation } => self.timer_due(member, incarnation),
+            Event::MessageArrives { from, to, message } => {
+                self.handle_message(from, usize::from(to.0), message)
+            }
+            Event::TimerDue { member, incarnation } => self.handle_timer(member, incarnation),
             Event::Propose { member } => self.propose(member),
-            Event::Replace { proposer, new, old } => self.replace_voter(proposer, new, old),
+            Event::ReplaceVoter { proposer, new, old } => self.replace_voter(proposer, new, old),
             Event::Kill { member, loses_disk } => self.kill(member, loses_disk),
             Event::Start { member } => self.start(member),
-            Event::Halt { member, until } => {
+            Event::Pause { member, until } => {
                 if let Some(process) = self.processes[member].as_mut() {
-                    process.halted_until = until;
+                    process.paused_until = until;
                 }
             }
             Event::Partition { side } => self.partition_side = side,
@@ -40,67 +42,68 @@
         }
     }
 
-    fn arrived(&mut self, from: MemberId, member: usize, message: Message) {
+    fn handle_message(&mut self, from: MemberId, member: usize, message: Message) {
         match message {
-            Message::Confirmation(confirmation) => self.confirmed(member, confirmation),
+            Message::Confirmation(confirmation) => self.handle_confirmation(member, confirmation),
             Message::Redirect(voters) => {
-                self.act(member, |process, now, _| process.learner.redirected(now, voters));
+                self.with_process(member, |process, now, _| process.learner.redirected(now, voters));
             }
             message => {
-                self.act(member, |process, now, outputs| {
+                self.with_process(member, |process, now, outputs| {
                     process.voter.receive(now, from, message, outputs);
                 });
             }
         }
     }
 
-    fn confirmed(&mut self, member: usize, confirmation: Confirmation) {
+    fn handle_confirmation(&mut self, member: usize, confirmation: Confirmation) {
         let Some(process) = self.processes[member].as_mut() else { return };
-        let least = process.committed_when_asked.remove(&confirmation.number).unwrap_or(0);
+        let min_version = process.committed_at_request.remove(&confirmation.number).unwrap_or(0);
         if let Some(value) = &confirmation.new_value {
-            self.check_told(value, least);
+            self.check_confirmed_value(value, min_version);
         }
-        self.act(member, |process, now, _| process.learner.confirmed(now, confirmation));
+        self.with_process(member, |process, now, _| process.learner.confirmed(now, confirmation));
     }
 
-    /// A learner is told of a value after it asked, when this version was committed.
-    fn check_told(&mut self, value: &Value, least: u64) {
+    /// Checks a confirmed value. `min_version` is the newest version that had been reported as committed when the learner
+    /// sent its request; the value must not be older. Each version must always have the same body.
+    fn check_confirmed_value(&mut self, value: &Value, min_version: u64) {
         let newest = version_in(value);
-        if newest < least {
-            self.broken.push(format!("version {least} was made and is lost: {newest} is told"));
+        if newest < min_version {
+            self.violations.push(format!("version {min_version} was made and is lost: {newest} is told"));
         }
         for document in value.history(DOCUMENT) {
-            let known = *self.bodies.entry(document.version).or_insert(document.digest);
-            if known != document.digest {
-                self.broken.push(format!("two bodies of {}", document.version));
+            let known_digest = *self.digests.entry(document.version).or_insert(document.digest);
+            if known_digest != document.digest {
+                self.violations.push(format!("two bodies of {}", document.version));
             }
         }
     }
 
-    fn timer_due(&mut self, member: usize, incarnation: u64) {
+    fn handle_timer(&mut self, member: usize, incarnation: u64) {
         let is_running =
             self.processes[member].as_ref().is_some_and(|process| process.incarnation == incarnation);
         if !is_running {
             return;
         }
         let committed = self.newest_committed;
-        let mut question = None;
-        self.act(member, |process, now, outputs| {
+        let mut request = None;
+        self.with_process(member, |process, now, outputs| {
             process.voter.tick(now, outputs);
-            question = process.learner.tick(now);
-            if let Some((_, Message::ConfirmationRequest(number, _))) = &question {
-                process.committed_when_asked.insert(*number, committed);
+            request = process.learner.tick(now);
+            if let Some((_, Message::ConfirmationRequest(number, _))) = &request {
+                process.committed_at_request.insert(*number, committed);
             }
         });
-        if let Some((to, message)) = question {
+        if let Some((to, message)) = request {
             self.send(member_id(member), to, message);
         }
     }
 
-    /// A member proposes a change of the document as it knows it.
+    /// Makes a member propose a change based on the document version that it knows.
     fn propose(&mut self, member: usize) {
         let body = format!("quota \"acme\" {}", self.last_event);
-        self.act(member, |process, now, outputs| {
+        self.with_process(member, |process, now, outputs| {
             let known = match process.learner.validity(now) {
                 Validity::Current(value) => Some(value),
                 Validity::Transition(values) | Validity::Stale(values) => values.first().copied(),
@@ -118,18 +121,18 @@
 
     fn replace_voter(&mut self, proposer: usize, new: usize, old: Option<usize>) {
         let mut disk_key = None;
-        self.act(new, |process, _, outputs| disk_key = process.voter.join(outputs));
+        self.with_process(new, |process, _, outputs| disk_key = process.voter.join(outputs));
         let Some(disk_key) = disk_key else { return };
         let add = Some(NewVoter { member: member_id(new), disk_key });
         let change = Change::Voters { add, remove: old.map(member_id) };
-        self.act(proposer, |process, now, outputs| {
+        self.with_process(proposer, |process, now, outputs| {
             let parent = process.voter.electorate().epoch;
             let proposed = ProposedChange { number: VOTERS_CHANGE, name: String::new(), parent, change };
             process.voter.propose(now, proposed, outputs);
         });
     }
 
-    pub(super) fn decided(&mut self, number: u64, decision: &Decision) {
+    pub(super) fn handle_decision(&mut self, number: u64, decision: &Decision) {
         match (number, decision) {
             (DOCUMENT_CHANGE, Decision::Committed(version)) => {
                 self.newest_committed = self.newest_committed.max(*version);
@@ -143,7 +146,7 @@
 
     fn kill(&mut self, member: usize, loses_disk: bool) {
         self.processes[member] = None;
-        // As many disks as the others can do without.
+        // A majority of the initial voters keeps its disks.
         let may_lose_disk = self.lost_disks < self.config.voters.len() / 2;
         if loses_disk && may_lose_disk && self.disks[member].is_some() {
             self.lost_disks += 1;
@@ -153,7 +156,7 @@
 
     fn heal(&mut self) {
         self.partition_side.fill(false);
-        self.loss = 0.0;
+        self.loss_probability = 0.0;
         for member in 0..self.processes.len() {
             self.start(member);
         }
--- a/crates/fault-injection/src/agreement/schedule.rs
+++ b/crates/fault-injection/src/agreement/schedule.rs
@@ -1,73 +1,75 @@
-//! Which faults and proposals a seed draws. The order of the draws is part of what a seed means.
+//! Random faults and proposals. A seed must reproduce the same simulation, so the order of the random draws must not
+//! change.
 
 use rand::RngExt;
 
-use super::world::{Event, World, FAULTS_END_S};
+use super::simulation::{Event, Simulation, FAULTS_END_S};
 
-const FAULTS: std::ops::Range<usize> = 2..14;
-const PROPOSALS: usize = 30;
-const MOST_LOSS: f64 = 0.3;
+const FAULT_COUNT: std::ops::Range<usize> = 2..14;
+const PROPOSAL_COUNT: usize = 30;
+const MAX_LOSS_PROBABILITY: f64 = 0.3;
 
-impl World {
-    /// Draws all that happens from outside.
-    pub(super) fn schedule(&mut self) {
+impl Simulation {
+    /// Schedules all faults and proposals.
+    pub(super) fn schedule_all(&mut self) {
         for member in 0..self.processes.len() {
-            self.at(0.0, Event::Start { member });
+            self.schedule_at(0.0, Event::Start { member });
         }
-        let faults = self.random.random_range(FAULTS);
+        let faults = self.random.random_range(FAULT_COUNT);
         for _ in 0..faults {
             self.schedule_fault();
         }
-        for _ in 0..PROPOSALS {
+        for _ in 0..PROPOSAL_COUNT {
             self.schedule_proposal();
         }
         if self.random.random_bool(0.6) {
             let voters = self.config.voters.len();
-            // Members that did not vote take the place of others, or come in addition.
+            // Members that are not voters replace voters or are added to them.
             for new in voters..voters + self.random.random_range(1..4) {
                 self.schedule_replacement(new);
             }
         }
-        self.at(FAULTS_END_S, Event::Heal);
+        self.schedule_at(FAULTS_END_S, Event::Heal);
         let is_lossy = self.random.random_bool(0.7);
-        self.loss = if is_lossy { MOST_LOSS * self.random.random::<f64>() } else { 0.0 };
+        self.loss_probability =
+            if is_lossy { MAX_LOSS_PROBABILITY * self.random.random::<f64>() } else { 0.0 };
     }
 
     fn schedule_fault(&mut self) {
         let members = self.processes.len();
-        let (at, lasts) = (2.0 + 15.0 * self.random.random::<f64>(), 3.0 * self.random.random::<f64>());
+        let (start, duration) = (2.0 + 15.0 * self.random.random::<f64>(), 3.0 * self.random.random::<f64>());
         let member = self.random.random_range(0..members);
         match self.random.random_range(0..5) {
-            0 => self.schedule_kill(member, false, at, lasts),
-            1 => self.schedule_kill(member, true, at, lasts),
-            2 => self.at(at, Event::Halt { member, until: at + lasts }),
+            0 => self.schedule_kill(member, false, start, duration),
+            1 => self.schedule_kill(member, true, start, duration),
+            2 => self.schedule_at(start, Event::Pause { member, until: start + duration }),
             3 => {
-                // All voters at once.
+                // Kills all voters at once.
                 for voter in 0..self.config.voters.len() {
-                    self.schedule_kill(voter, false, at, 0.1);
+                    self.schedule_kill(voter, false, start, 0.1);
                 }
             }
             _ => {
                 let side = (0..members).map(|_| self.random.random_bool(0.4)).collect();
-                self.at(at, Event::Partition { side });
-                self.at(at + lasts, Event::Partition { side: vec![false; members] });
+                self.schedule_at(start, Event::Partition { side });
+                self.schedule_at(start + duration, Event::Partition { side: vec![false; members] });
             }
         }
     }
 
-    fn schedule_kill(&mut self, member: usize, loses_disk: bool, at: f64, lasts: f64) {
-        self.at(at, Event::Kill { member, loses_disk });
-        self.at(at + lasts, Event::Start { member });
+    fn schedule_kill(&mut self, member: usize, loses_disk: bool, start: f64, duration: f64) {
+        self.schedule_at(start, Event::Kill { member, loses_disk });
+        self.schedule_at(start + duration, Event::Start { member });
     }
 
     fn schedule_proposal(&mut self) {
         let voters = self.config.voters.len();
-        let at = 1.0 + 18.0 * self.random.random::<f64>();
+        let start = 1.0 + 18.0 * self.random.random::<f64>();
         let member = self.random.random_range(0..voters);
-        self.at(at, Event::Propose { member });
+        self.schedule_at(start, Event::Propose { member });
         if self.random.random_bool(0.3) {
             let member = self.random.random_range(0..voters);
-            self.at(at, Event::Propose { member }); // two in the same instant
+            self.schedule_at(start, Event::Propose { member }); // two proposals at the same time
         }
     }
 
@@ -75,19 +77,19 @@
         let voters = self.config.voters.len();
         let (proposer, old) = (self.random.random_range(0..voters), self.random.random_range(0..voters));
         let old = self.random.random_bool(0.7).then_some(old);
-        let at = 2.0 + 14.0 * self.random.random::<f64>();
-        self.at(at, Event::Replace { proposer, new, old });
-        // Meanwhile others propose changes of what the old voters hold.
+        let start = 2.0 + 14.0 * self.random.random::<f64>();
+        self.schedule_at(start, Event::ReplaceVoter { proposer, new, old });
+        // The voters propose changes of the document while they are being replaced.
         for member in 0..voters {
-            let soon = at + 0.15 * self.random.random::<f64>();
-            self.at(soon, Event::Propose { member });
+            let proposed_at = start + 0.15 * self.random.random::<f64>();
+            self.schedule_at(proposed_at, Event::Propose { member });
         }
-        // It may lose its disk on the way.
+        // The new voter may lose its disk while it joins.
         if self.random.random_bool(0.3) {
-            let lost = at + 4.0 * self.random.random::<f64>();
-            self.schedule_kill(new, true, lost, 0.3);
+            let killed_at = start + 4.0 * self.random.random::<f64>();
+            self.schedule_kill(new, true, killed_at, 0.3);
         }
-        // An operator who heard nothing tries again, elsewhere.
-        self.at(at + 3.0, Event::Replace { proposer: (proposer + 1) % voters, new, old });
+        // An operator who received no response retries at another voter.
+        self.schedule_at(start + 3.0, Event::ReplaceVoter { proposer: (proposer + 1) % voters, new, old });
     }
 }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers and schedulers of one deployment, and what a plan does to them.
+//! The workers and schedulers of a test deployment, and the faults injected into them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,80 +17,82 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::gossip_network::GossipNetwork;
-use crate::plan::{Degradation, FaultKind, Plan};
+use crate::plan::{Degradation, FaultKind, FaultPlan};
 
-/// Repeats of a key are dropped by the workers for this long.
+/// Time during which workers drop repeated requests with the same idempotency key.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(40);
 
-/// A time in which a scheduler did not serve.
+/// Period during which a scheduler was killed or paused.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    from: Instant,
-    /// `None` while it lasts.
-    until: Option<Instant>,
+    started_at: Instant,
+    /// `None` while the outage continues.
+    ended_at: Option<Instant>,
 }
 
-/// One scheduler, whatever process it is at the time.
+/// A scheduler, which may run as several processes one after the other.
 pub struct Node {
     process: RefCell<Option<SchedulerProcess>>,
     config_file: PathBuf,
     dir: PathBuf,
     listeners: Vec<WorkerListener>,
-    /// It may gossip, and has a socket for that.
-    gossips: bool,
+    /// Whether gossip is enabled.
+    gossip_enabled: bool,
     client: RefCell<Option<Rc<Client>>>,
     paused: Cell<bool>,
     outages: RefCell<Vec<Outage>>,
 }
 
 impl Node {
-    /// Its clients; `None` while it does not serve.
+    /// Returns a client connected to the scheduler; `None` while the scheduler is killed or paused.
     pub fn client(&self) -> Option<Rc<Client>> {
         self.client.borrow().clone().filter(|_| !self.paused.get())
     }
 
-    /// Whether it was killed or paused at any time from `began` to `ended`.
-    pub fn had_outage(&self, began: Instant, ended: Instant) -> bool {
-        let overlaps =
-            |outage: &Outage| outage.from <= ended && outage.until.is_none_or(|until| until >= began);
+    /// Returns whether the scheduler was killed or paused at any time between `from` and `to`.
+    pub fn had_outage(&self, from: Instant, to: Instant) -> bool {
+        let overlaps = |outage: &Outage| {
+            outage.started_at <= to && outage.ended_at.is_none_or(|ended_at| ended_at >= from)
+        };
         self.outages.borrow().iter().any(overlaps)
     }
 }
 
-/// Whether a fault begins or ends.
+/// Start or end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Begins,
-    Ends,
+    Start,
+    End,
 }
 
-/// The beginning or the end of a fault.
-struct Step<'a> {
+/// Scheduled start or end of a fault.
+struct FaultTransition<'a> {
     at: Duration,
     phase: Phase,
     kind: &'a FaultKind,
 }
 
-/// A deployment.
+/// A test deployment.
 pub struct Fleet {
     program: PathBuf,
-    /// Its schedulers.
+    /// Schedulers, by number.
     pub nodes: Vec<Node>,
-    /// Its workers. Each is a site of its own in the journal.
+    /// Workers. The journal records each one as a separate site.
     pub workers: Vec<Rc<TestWorker>>,
-    /// What processes that were killed had logged.
-    past_logs: RefCell<Vec<String>>,
-    /// What happened at the workers.
+    /// Log lines of killed processes.
+    killed_process_logs: RefCell<Vec<String>>,
+    /// Runs and free slots at the workers.
     pub journal: Journal,
-    /// The network between the schedulers.
+    /// Gossip network between the schedulers.
     pub network: Rc<GossipNetwork>,
 }
 
 impl Fleet {
-    /// Starts the workers and `nodes` schedulers, with files in `dir`. `adjust` changes each one's configuration.
+    /// Starts the workers and `nodes` schedulers. `adjust` modifies the configuration of each scheduler. Files are written
+    /// to `dir`.
     ///
     /// # Errors
-    /// If something does not come up.
+    /// Returns an error if a worker, a scheduler or the network cannot be started.
     pub async fn start(
         program: &Path,
         dir: &Path,
@@ -100,7 +102,7 @@
     ) -> io::Result<Rc<Self>> {
         let (journal, network) = (Journal::default(), GossipNetwork::start(nodes, seed).await?);
         let workers = start_workers(&journal).await?;
-        let mut all = Vec::new();
+        let mut schedulers = Vec::new();
         for number in 0..nodes {
             let discovery = Discovery::start().await?;
             let listeners = publish_workers(&workers, &discovery).await?;
@@ -112,19 +114,20 @@
             std::fs::create_dir_all(&dir)?;
             let config_file = dir.join("config.json");
             std::fs::write(&config_file, value.to_string())?;
-            all.push(Node {
+            schedulers.push(Node {
                 process: RefCell::default(),
                 config_file,
                 dir,
                 listeners,
-                gossips: value["settings"]["allowed"]["peer_messages"] == json!(true),
+                gossip_enabled: value["settings"]["allowed"]["peer_messages"] == json!(true),
                 client: RefCell::default(),
                 paused: Cell::default(),
                 outages: RefCell::default(),
             });
         }
-        let (program, past_logs) = (program.to_owned(), RefCell::default());
-        let fleet = Rc::new(Fleet { program, nodes: all, workers, past_logs, journal, network });
+        let (program, killed_process_logs) = (program.to_owned(), RefCell::default());
+        let fleet =
+            Rc::new(Fleet { program, nodes: schedulers, workers, killed_process_logs, journal, network });
         for number in 0..nodes {
             fleet.start_process(number).await?;
         }
@@ -135,7 +138,7 @@
         let node = &self.nodes[number];
         let process = SchedulerProcess::start(&self.program, &node.config_file, None, &node.dir)?;
         let address = process.address("serving clients address=").await?;
-        if node.gossips {
+        if node.gossip_enabled {
             let gossip_address = process.address("listening for gossip address=").await?;
             self.network.set_receiver(number, Some(gossip_address));
         }
@@ -145,33 +148,33 @@
         *node.process.borrow_mut() = Some(process);
         *node.client.borrow_mut() = Some(Rc::new(Client::new(address)));
         if let Some(outage) = node.outages.borrow_mut().last_mut() {
-            outage.until.get_or_insert(Instant::now());
+            outage.ended_at.get_or_insert(Instant::now());
         }
         Ok(())
     }
 
-    /// Does what the plan says, and returns when its last fault is over.
+    /// Injects the faults of the plan and returns when the last one has ended.
     ///
     /// # Errors
-    /// If a process cannot be started anew or paused.
-    pub async fn apply_plan(&self, plan: &Plan, start: Instant) -> io::Result<()> {
-        let mut steps: Vec<Step> = Vec::new();
+    /// Returns an error if a process cannot be restarted, paused or resumed.
+    pub async fn apply_plan(&self, plan: &FaultPlan, start: Instant) -> io::Result<()> {
+        let mut transitions: Vec<FaultTransition> = Vec::new();
         for fault in &plan.0 {
-            steps.push(Step { at: fault.at, phase: Phase::Begins, kind: &fault.kind });
-            steps.push(Step { at: fault.ends_at(), phase: Phase::Ends, kind: &fault.kind });
+            transitions.push(FaultTransition { at: fault.starts_at, phase: Phase::Start, kind: &fault.kind });
+            transitions.push(FaultTransition { at: fault.ends_at(), phase: Phase::End, kind: &fault.kind });
         }
-        steps.sort_by_key(|step| step.at);
-        for step in steps {
-            sleep_until(start + step.at).await;
-            self.apply(step.kind, step.phase).await?;
+        transitions.sort_by_key(|transition| transition.at);
+        for transition in transitions {
+            sleep_until(start + transition.at).await;
+            self.apply(transition.kind, transition.phase).await?;
         }
         Ok(())
     }
 
     async fn apply(&self, kind: &FaultKind, phase: Phase) -> io::Result<()> {
         match (kind, phase) {
-            (FaultKind::Kill(number), Phase::Begins) => self.kill(*number),
-            (FaultKind::Kill(number), Phase::Ends) => self.start_process(*number).await?,
+            (FaultKind::Kill(number), Phase::Start) => self.kill(*number),
+            (FaultKind::Kill(number), Phase::End) => self.start_process(*number).await?,
             (FaultKind::Pause(number), phase) => self.set_paused(*number, phase)?,
             (FaultKind::PartitionOneWay { from, to }, phase) => self.set_partition(*from, *to, phase),
             (FaultKind::Partition(side), phase) => {
@@ -181,10 +184,10 @@
                     }
                 }
             }
-            (FaultKind::Degrade(number, degradation), Phase::Begins) => {
+            (FaultKind::Degrade(number, degradation), Phase::Start) => {
                 self.network.set_degradation(*number, *degradation);
             }
-            (FaultKind::Degrade(number, _), Phase::Ends) => {
+            (FaultKind::Degrade(number, _), Phase::End) => {
                 self.network.set_degradation(*number, Degradation::default());
             }
         }
@@ -193,12 +196,12 @@
 
     fn kill(&self, number: usize) {
         let node = &self.nodes[number];
-        node.outages.borrow_mut().push(Outage { from: Instant::now(), until: None });
+        node.outages.borrow_mut().push(Outage { started_at: Instant::now(), ended_at: None });
         *node.client.borrow_mut() = None;
         self.network.set_receiver(number, None);
         if let Some(mut process) = node.process.borrow_mut().take() {
             process.kill();
-            self.past_logs.borrow_mut().extend(process.log());
+            self.killed_process_logs.borrow_mut().extend(process.log());
         }
     }
 
@@ -206,20 +209,20 @@
         let node = &self.nodes[number];
         let id = node.process.borrow().as_ref().map(SchedulerProcess::id);
         let pid = id.and_then(|id| Pid::from_raw(id.try_into().ok()?));
-        let pid = pid.ok_or_else(|| io::Error::other("no process to halt"))?;
+        let pid = pid.ok_or_else(|| io::Error::other(format!("scheduler {number} is not running")))?;
         let signal = match phase {
-            Phase::Begins => Signal::STOP,
-            Phase::Ends => Signal::CONT,
+            Phase::Start => Signal::STOP,
+            Phase::End => Signal::CONT,
         };
         kill_process(pid, signal)?;
-        node.paused.set(phase == Phase::Begins);
+        node.paused.set(phase == Phase::Start);
         let now = Instant::now();
         let mut outages = node.outages.borrow_mut();
         match phase {
-            Phase::Begins => outages.push(Outage { from: now, until: None }),
-            Phase::Ends => {
+            Phase::Start => outages.push(Outage { started_at: now, ended_at: None }),
+            Phase::End => {
                 if let Some(outage) = outages.last_mut() {
-                    outage.until = Some(now);
+                    outage.ended_at = Some(now);
                 }
             }
         }
@@ -228,15 +231,15 @@
 
     fn set_partition(&self, from: usize, to: usize, phase: Phase) {
         match phase {
-            Phase::Begins => self.network.begin_partition(from, to),
-            Phase::Ends => self.network.end_partition(from, to),
+            Phase::Start => self.network.begin_partition(from, to),
+            Phase::End => self.network.end_partition(from, to),
         }
     }
 
-    /// Log lines of all processes that tell of a panic or of a part that has stopped.
+    /// Returns the log lines of all processes that report a panic or a stopped component.
     pub fn logged_failures(&self) -> Vec<String> {
         let log = |node: &Node| node.process.borrow().as_ref().map(SchedulerProcess::log).unwrap_or_default();
-        let lines = self.nodes.iter().flat_map(log).chain(self.past_logs.borrow().clone());
+        let lines = self.nodes.iter().flat_map(log).chain(self.killed_process_logs.borrow().clone());
         lines.filter(|line| line.contains("panicked") || line.contains("has stopped")).collect()
     }
 }
@@ -258,7 +261,7 @@
     Ok(workers)
 }
 
-/// Opens a listener of each worker for one scheduler, and publishes them to it.
+/// Opens a listener at each worker for one scheduler and publishes it through that scheduler's discovery service.
 async fn publish_workers(
     workers: &[Rc<TestWorker>],
     discovery: &Discovery,
@@ -279,11 +282,11 @@
     nodes: usize,
     network: &GossipNetwork,
 ) -> io::Result<()> {
-    let (to_all, peers) = network.addresses(number)?;
+    let (broadcast_address, peers) = network.addresses(number)?;
     value["settings"]["balancers"] = json!(nodes);
     value["settings"]["index"] = json!(number);
     value["peer_listen"] = json!("127.0.0.1:0");
-    value["peers_all"] = json!(to_all);
+    value["peers_all"] = json!(broadcast_address);
     value["peers"] = json!(peers);
     Ok(())
 }
--- a/crates/fault-injection/src/gossip.rs
+++ b/crates/fault-injection/src/gossip.rs
@@ -1,7 +1,7 @@
-//! The trial `notes`: schedulers gossip about what they reserve at workers, while processes die and pause and gossip
-//! messages are lost, late, duplicated, reordered or cut off.
+//! The trial `notes`: schedulers gossip about their reservations at workers while processes are killed and paused and
+//! gossip messages are lost, delayed, duplicated, reordered or blocked by partitions.
 //!
-//! Promised: a fault of the gossip costs no request, and no request runs twice.
+//! Invariants: gossip faults lose no request, and no request runs twice.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,150 +19,166 @@
 
 use crate::fleet::{Fleet, DEDUPLICATION_WINDOW};
 use crate::gossip_network::DatagramCounts;
-use crate::plan::Plan;
+use crate::plan::FaultPlan;
 
-/// A request that waited longer than this at a worker ...
-const WAITED: Duration = Duration::from_millis(25);
-/// ... while another had a slot free all through this time before it came was sent to the wrong one.
-const FREE_BEFORE: Duration = Duration::from_millis(60);
-/// Time between the start of the processes and the first request.
-const HEAD_START: Duration = Duration::from_millis(300);
+/// A request is misplaced if it waited at its worker for longer than this while another worker had a free slot.
+const MISPLACED_WAIT: Duration = Duration::from_millis(25);
+/// A slot counts as free for a request if it was free for this long before the request arrived.
+const MIN_FREE_TIME: Duration = Duration::from_millis(60);
+/// Delay between the start of the processes and the start of the traffic.
+const STARTUP_DELAY: Duration = Duration::from_millis(300);
 
-/// What to play.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// For the traffic and the network.
+    /// Seed of the traffic and the network.
     pub seed: u64,
-    /// Schedulers.
+    /// Number of schedulers.
     pub nodes: usize,
-    /// How long clients keep coming.
+    /// Duration of the traffic in seconds.
     pub seconds: u64,
-    /// Fraction of the workers' capacity that is asked for.
+    /// Offered load as a fraction of the workers' capacity.
     pub load: f64,
     /// Whether the schedulers gossip.
     pub gossip: bool,
 }
 
-/// What came of it. The keys are printed, and keep their names.
+/// Results of a run. Scripts read the JSON keys, so they must not change.
 #[derive(Clone, Debug, Serialize)]
-pub struct Report {
-    /// Requests.
+pub struct GossipReport {
+    /// Number of requests.
     #[serde(rename = "jobs")]
     pub requests: usize,
-    /// Answered with a result.
+    /// Requests that received a result.
     pub served: usize,
-    /// Answered 429 or 503.
+    /// Requests rejected with 429 or 503.
     pub rejected: usize,
-    /// Answered otherwise.
+    /// Requests that received any other response.
     pub failed: usize,
-    /// Not answered, by a scheduler that was killed or paused meanwhile.
+    /// Requests without a response whose scheduler was killed or paused in the meantime.
     #[serde(rename = "lost_with_theirs")]
     pub lost_with_scheduler: usize,
-    /// Not answered by one that ran all the time. Promised: 0.
+    /// Requests without a response whose scheduler ran throughout. Must be 0.
     pub lost: usize,
-    /// Runs beyond the first of a request or key. Promised: 0.
+    /// Runs beyond the first for a request or idempotency key. Must be 0.
     #[serde(rename = "doubled")]
     pub duplicate_runs: usize,
-    /// Runs whose request waited at its worker while another had a slot free.
+    /// Runs whose request waited at its worker while another worker had a free slot.
     pub misplaced: usize,
-    /// Runs at the workers.
+    /// Number of runs at the workers.
     pub runs: usize,
-    /// Milliseconds from the request to the result: median and 99th percentile.
+    /// Median and 99th percentile of the latency in milliseconds.
     pub latency_ms: [u64; 2],
-    /// What became of the gossip.
+    /// Gossip datagrams by outcome.
     pub datagrams: DatagramCounts,
-    /// Faults, by their words.
+    /// Number of faults by name.
     pub faults: BTreeMap<&'static str, usize>,
-    /// Failures in the schedulers' logs. Promised: none.
+    /// Failures in the schedulers' logs. Must be empty.
     #[serde(rename = "complaints")]
     pub logged_failures: Vec<String>,
 }
 
-impl Report {
-    /// Which promises are broken.
-    pub fn broken(&self) -> Vec<String> {
-        let promises = [
+impl GossipReport {
+    /// Returns a description of each violated invariant.
+    pub fn violations(&self) -> Vec<String> {
+        let violations = [
             (self.lost, "jobs lost by a scheduler that was there"),
             (self.duplicate_runs, "runs too many"),
             (self.failed, "jobs failed"),
             (self.datagrams.too_long as usize, "datagrams over 256 bytes"),
             (self.logged_failures.len(), "complaints in the logs"),
         ];
-        promises
+        violations
             .iter()
             .filter(|(count, _)| *count > 0)
-            .map(|(count, what)| format!("{count} {what}"))
+            .map(|(count, description)| format!("{count} {description}"))
             .collect()
     }
 }
 
-/// A client's request, and what became of it.
-struct Submitted {
+/// A request and its result.
+struct SubmittedRequest {
     node: usize,
-    from: Instant,
-    to: Instant,
+    sent_at: Instant,
+    finished_at: Instant,
     result: ClientResult,
 }
 
-/// Plays the scenario's traffic while `plan` happens, with files in `dir`.
+/// Runs the scenario's traffic while injecting the faults of `plan`. Files are written to `dir`.
 ///
 /// # Errors
-/// If the schedulers, the workers or the network cannot be started, or a fault cannot be applied.
-pub async fn play(program: &Path, dir: &Path, scenario: &Scenario, plan: &Plan) -> io::Result<Report> {
+/// Returns an error if the schedulers, the workers or the network cannot be started, or a fault cannot be applied.
+pub async fn run(
+    program: &Path,
+    dir: &Path,
+    scenario: &Scenario,
+    plan: &FaultPlan,
+) -> io::Result<GossipReport> {
     let gossip = scenario.gossip;
-    let adjust = |config: &mut serde_json::Value| {
+    let enable_gossip = |config: &mut serde_json::Value| {
         config["settings"]["allowed"]["peer_messages"] = json!(gossip);
     };
-    let fleet = Fleet::start(program, dir, scenario.nodes, scenario.seed, adjust).await?;
+    let fleet = Fleet::start(program, dir, scenario.nodes, scenario.seed, enable_gossip).await?;
     let length = Duration::from_secs(scenario.seconds);
     let arrivals = draw("job", scenario.seed, scenario.load * capacity(), length);
-    let start = Instant::now() + HEAD_START;
+    let start = Instant::now() + STARTUP_DELAY;
     let mut tasks = Vec::new();
     for (number, arrival) in arrivals.into_iter().enumerate() {
         tasks.push(spawn_local(submit(Rc::clone(&fleet), number, arrival, start)));
     }
     fleet.apply_plan(plan, start).await?;
     let mut submitted = Vec::new();
-    let mut without_scheduler = 0;
+    let mut unsubmitted = 0;
     for task in tasks {
         match task.await {
             Ok(Some(request)) => submitted.push(request),
-            Ok(None) | Err(_) => without_scheduler += 1,
+            Ok(None) | Err(_) => unsubmitted += 1,
         }
     }
-    Ok(report(&fleet, &submitted, without_scheduler, plan))
+    Ok(build_report(&fleet, &submitted, unsubmitted, plan))
 }
 
-/// Submits a request to one of the schedulers that serve, as a front load balancer would choose; `None` if none does.
-async fn submit(fleet: Rc<Fleet>, number: usize, arrival: Arrival, start: Instant) -> Option<Submitted> {
+/// Submits a request to an available scheduler, as a load balancer in front of the schedulers would. Returns `None` if
+/// no scheduler is available.
+async fn submit(
+    fleet: Rc<Fleet>,
+    number: usize,
+    arrival: Arrival,
+    start: Instant,
+) -> Option<SubmittedRequest> {
     sleep_until(start + arrival.at).await;
     let nodes = fleet.nodes.len();
-    let serving = |step: usize| {
+    let available = |step: usize| {
         let node = (number + step) % nodes;
         Some((node, fleet.nodes[node].client()?))
     };
-    let (node, client) = (0..nodes).find_map(serving)?;
-    let from = Instant::now();
+    let (node, client) = (0..nodes).find_map(available)?;
+    let sent_at = Instant::now();
     let result = client.submit(&arrival.request).await;
-    Some(Submitted { node, from, to: Instant::now(), result })
+    Some(SubmittedRequest { node, sent_at, finished_at: Instant::now(), result })
 }
 
-fn report(fleet: &Fleet, submitted: &[Submitted], without_scheduler: usize, plan: &Plan) -> Report {
-    let count = |wanted: fn(&ClientResult) -> bool| submitted.iter().filter(|s| wanted(&s.result)).count();
+fn build_report(
+    fleet: &Fleet,
+    submitted: &[SubmittedRequest],
+    unsubmitted: usize,
+    plan: &FaultPlan,
+) -> GossipReport {
+    let count = |matches: fn(&ClientResult) -> bool| submitted.iter().filter(|s| matches(&s.result)).count();
     let unanswered = submitted.iter().filter(|request| request.result == ClientResult::NoAnswer);
-    let (lost_with_scheduler, lost): (Vec<_>, Vec<_>) =
-        unanswered.partition(|request| fleet.nodes[request.node].had_outage(request.from, request.to));
+    let (lost_with_scheduler, lost): (Vec<_>, Vec<_>) = unanswered
+        .partition(|request| fleet.nodes[request.node].had_outage(request.sent_at, request.finished_at));
     let runs = fleet.journal.runs();
     let mut faults = BTreeMap::new();
     for fault in &plan.0 {
         *faults.entry(fault.kind.name()).or_default() += 1;
     }
-    Report {
-        requests: submitted.len() + without_scheduler,
+    GossipReport {
+        requests: submitted.len() + unsubmitted,
         served: count(|result| matches!(result, ClientResult::Served(_))),
         rejected: count(|result| *result == ClientResult::Rejected),
         failed: count(|result| *result == ClientResult::Failed),
-        lost_with_scheduler: lost_with_scheduler.len() + without_scheduler,
+        lost_with_scheduler: lost_with_scheduler.len() + unsubmitted,
         lost: lost.len(),
         duplicate_runs: fleet.journal.duplicates(DEDUPLICATION_WINDOW),
         misplaced: runs.iter().filter(|run| is_misplaced(fleet, run)).count(),
@@ -174,15 +190,15 @@
     }
 }
 
-/// Whether a request waited at its worker while another had a slot free.
+/// Returns whether a request waited at its worker while another worker had a free slot.
 fn is_misplaced(fleet: &Fleet, run: &Run) -> bool {
-    let waited = run.started_at.duration_since(run.received_at) > WAITED;
+    let has_waited = run.started_at.duration_since(run.received_at) > MISPLACED_WAIT;
     let mut others = (0..fleet.workers.len()).filter(|worker| *worker != run.site);
-    waited && others.any(|other| fleet.journal.had_free_slot(other, run.received_at, FREE_BEFORE))
+    has_waited && others.any(|other| fleet.journal.had_free_slot(other, run.received_at, MIN_FREE_TIME))
 }
 
-/// Median and 99th percentile of the latencies of those served, in milliseconds.
-fn latency_percentiles(submitted: &[Submitted]) -> [u64; 2] {
+/// Returns the median and 99th percentile of the latency of served requests, in milliseconds.
+fn latency_percentiles(submitted: &[SubmittedRequest]) -> [u64; 2] {
     let mut latencies: Vec<u64> = Vec::new();
     for request in submitted {
         if let ClientResult::Served(latency) = request.result {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,13 +1,13 @@
-//! Fault-injection tests: several processes of the real program on loopback, faults between them by a plan, and one
-//! history that is judged from outside, by what workers ran and clients were answered.
+//! Fault-injection tests: several scheduler processes run on loopback while a plan injects faults into the processes
+//! and the network. The results are checked from the outside: by the runs at the workers and the responses to clients.
 //!
-//! A [`plan::Plan`] comes from a seed or from a KDL file. [`fleet::Fleet`] starts the workers and the schedulers, and
-//! does to them and to the network between them what the plan says. [`gossip`] plays traffic meanwhile and judges.
-//! When it fails, [`plan::Plan::without_one`] gives the smaller plans to try.
+//! A [`plan::FaultPlan`] is generated from a seed or read from a KDL file. [`fleet::Fleet`] starts the workers and the
+//! schedulers and applies the plan. [`gossip`] generates the traffic and checks the invariants. When a plan fails,
+//! [`plan::FaultPlan::with_one_fault_removed`] yields smaller plans to try.
 //!
-//! [`agreement`] plays the protocol of the replicated register on a virtual network instead, without processes.
+//! [`agreement`] simulates the replicated register protocol on a virtual network instead, without processes.
 //!
-//! The command is `cargo trial`; `docs/trials.md` is its page.
+//! The tests run with `cargo trial`; see `docs/trials.md`.
 #![warn(missing_docs)]
 
 pub mod agreement;
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,4 +1,5 @@
-//! Plans: which faults, when and for how long. A plan is drawn from a seed or read from KDL (`file`).
+//! Fault plans: the faults to inject with their start times and durations. A plan is generated from a seed (`draw`) or
+//! read from a KDL file (`file`).
 
 mod draw;
 mod file;
@@ -6,39 +7,39 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What the network from and to a scheduler does to datagrams while it is degraded.
+/// Degradation of the network paths from and to a scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Degradation {
-    /// The fraction that is lost.
+    /// Fraction of datagrams lost.
     pub lost: f64,
-    /// The fraction that arrives twice.
+    /// Fraction of datagrams duplicated.
     pub duplicated: f64,
-    /// Each is delayed by up to this, drawn anew each time, so that they overtake each other.
-    pub longest_delay: Duration,
+    /// Maximum additional delay. Each datagram gets a random delay up to this, so datagrams are reordered.
+    pub max_delay: Duration,
 }
 
-/// A kind of fault. Schedulers go by number, from 0.
+/// A kind of fault. Schedulers are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// SIGKILL; the process is started anew afterwards.
+    /// SIGKILL; the process is restarted when the fault ends.
     Kill(usize),
-    /// SIGSTOP; SIGCONT afterwards.
+    /// SIGSTOP; SIGCONT when the fault ends.
     Pause(usize),
-    /// A partition in one direction.
+    /// A one-way partition.
     PartitionOneWay {
-        /// Nothing that it sends ...
+        /// Scheduler whose datagrams are dropped.
         from: usize,
-        /// ... reaches this one.
+        /// Scheduler that no longer receives them.
         to: usize,
     },
-    /// A partition between these and all others.
+    /// A partition between these schedulers and all others.
     Partition(Vec<usize>),
-    /// The network from and to a scheduler is degraded.
+    /// Degradation of the network paths from and to a scheduler.
     Degrade(usize, Degradation),
 }
 
 impl FaultKind {
-    /// Its word in a plan.
+    /// Name of the fault in a plan file.
     pub fn name(&self) -> &'static str {
         match self {
             FaultKind::Kill(_) => "kill",
@@ -49,11 +50,11 @@
         }
     }
 
-    /// What two faults must not change at the same time; `None` for partitions, which add up.
+    /// The target that only one fault may affect at a time; `None` for partitions, which may overlap.
     fn target(&self) -> Option<FaultTarget> {
         match self {
             FaultKind::Kill(node) | FaultKind::Pause(node) => Some(FaultTarget::Process(*node)),
-            FaultKind::Degrade(node, _) => Some(FaultTarget::NetworkOf(*node)),
+            FaultKind::Degrade(node, _) => Some(FaultTarget::Network(*node)),
             FaultKind::PartitionOneWay { .. } | FaultKind::Partition(_) => None,
         }
     }
@@ -62,29 +63,29 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FaultTarget {
     Process(usize),
-    NetworkOf(usize),
+    Network(usize),
 }
 
-/// One fault.
+/// A fault and when it is active.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, since the start of the traffic.
-    pub at: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// What happens.
+    /// Start of the fault, relative to the start of the traffic.
+    pub starts_at: Duration,
+    /// Duration of the fault.
+    pub duration: Duration,
+    /// Kind of fault.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// When it is over.
+    /// Returns the end of the fault, relative to the start of the traffic.
     pub fn ends_at(&self) -> Duration {
-        self.at + self.lasts
+        self.starts_at + self.duration
     }
 
-    /// Whether both are about the same process, or the network of the same scheduler, at overlapping times.
-    fn collides_with(&self, other: &Fault) -> bool {
-        let overlap = self.at < other.ends_at() && other.at < self.ends_at();
+    /// Returns whether both faults affect the same process, or the network of the same scheduler, at overlapping times.
+    fn conflicts_with(&self, other: &Fault) -> bool {
+        let overlap = self.starts_at < other.ends_at() && other.starts_at < self.ends_at();
         let target = self.kind.target();
         overlap && target.is_some() && target == other.kind.target()
     }
@@ -103,30 +104,33 @@
             }
             FaultKind::Degrade(node, degradation) => {
                 let (lost, duplicated) = (degradation.lost * 100.0, degradation.duplicated * 100.0);
-                let late = degradation.longest_delay.as_millis();
-                write!(f, " {node} lost=\"{lost:.0}%\" doubled=\"{duplicated:.0}%\" late=\"{late}ms\"")?;
+                let max_delay_ms = degradation.max_delay.as_millis();
+                write!(
+                    f,
+                    " {node} lost=\"{lost:.0}%\" doubled=\"{duplicated:.0}%\" late=\"{max_delay_ms}ms\""
+                )?;
             }
         }
-        write!(f, " at=\"{}ms\" for=\"{}ms\"", self.at.as_millis(), self.lasts.as_millis())
+        write!(f, " at=\"{}ms\" for=\"{}ms\"", self.starts_at.as_millis(), self.duration.as_millis())
     }
 }
 
-/// Faults in the order of their times.
+/// Faults to inject, ordered by start time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan(pub Vec<Fault>);
+pub struct FaultPlan(pub Vec<Fault>);
 
-impl fmt::Display for Plan {
+impl fmt::Display for FaultPlan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|fault| writeln!(f, "{fault}"))
     }
 }
 
-impl Plan {
-    /// The plans with one fault less.
-    pub fn without_one(&self) -> impl Iterator<Item = Plan> + '_ {
-        (0..self.0.len()).map(|left_out| {
-            let kept = self.0.iter().enumerate().filter(|(index, _)| *index != left_out);
-            Plan(kept.map(|(_, fault)| fault.clone()).collect())
+impl FaultPlan {
+    /// Returns every plan that results from removing one fault.
+    pub fn with_one_fault_removed(&self) -> impl Iterator<Item = FaultPlan> + '_ {
+        (0..self.0.len()).map(|removed| {
+            let kept = self.0.iter().enumerate().filter(|(index, _)| *index != removed);
+            FaultPlan(kept.map(|(_, fault)| fault.clone()).collect())
         })
     }
 }
--- a/crates/fault-injection/tests/report_keys.rs
+++ b/crates/fault-injection/tests/report_keys.rs
@@ -1,13 +1,13 @@
-//! The keys of the trials' last line are read by scripts: they keep their names, whatever the fields are called.
+//! Scripts read the JSON keys of the last output line: renaming a field must not change its key.
 
 use std::collections::BTreeMap;
 
-use chutesaddle_fault_injection::gossip::Report;
+use chutesaddle_fault_injection::gossip::GossipReport;
 use chutesaddle_fault_injection::gossip_network::DatagramCounts;
 
 #[test]
-fn report_keeps_its_printed_keys() {
-    let report = Report {
+fn report_keeps_its_json_keys() {
+    let report = GossipReport {
         requests: 1,
         served: 2,
         rejected: 3,
