--- a/crates/benchmarks/src/gateway/figures.rs
+++ b/crates/benchmarks/src/gateway/figures.rs
@@ -1,4 +1,4 @@
-//! The printed result: the table, the last line, and whether the promises were kept.
+//! Results of the gateway benchmark: the requirements, the printed table and the last line of JSON.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,35 +8,41 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use super::play::Played;
+use super::scenario::ScenarioResult;
 use super::{Arguments, DELAY};
 
-/// Repeats of a key are dropped for this long.
+/// Time during which repeated requests with the same idempotency key are dropped.
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(40);
-/// A slot that was free for this long before a request was forwarded was free capacity: the way, a look at the load and
-/// a callback.
-const FREE_BEFORE: Duration = Duration::from_millis(60);
-/// What is promised of the gain in service.
-const LEAST_GAIN: f64 = 0.25;
-/// What is promised of requests forwarded while there was free capacity, as a fraction.
-const MOST_FORWARDED_WHILE_FREE: f64 = 0.01;
-/// Points of service in 100 that a forwarded request costs.
-const PRICE: f64 = 3.0;
+/// A slot counts as free capacity if it was free for this long before a request was forwarded. This covers the network
+/// delay, a load report and a callback.
+const MIN_FREE_TIME: Duration = Duration::from_millis(60);
+/// Required gain in service at the overloaded site.
+const MIN_GAIN: f64 = 0.25;
+/// Maximum fraction of forwarded requests that may be forwarded while there is free capacity.
+const MAX_FORWARDED_WHILE_FREE: f64 = 0.01;
+/// Cost of a forwarded request, in percentage points of service.
+const FORWARDING_COST: f64 = 3.0;
 
-/// The last line. Its keys are printed, and keep their names.
+/// The last line of the output. Scripts read its JSON keys, so they must not change.
 #[derive(Serialize)]
-pub(super) struct Figures {
+pub(super) struct GatewayFigures {
     measure: &'static str,
     seed: u64,
     pub(super) ok: bool,
-    /// Fewer than one request in a hundred was forwarded while a worker here had a slot free, known to the scheduler
-    /// or not.
+    /// Whether free local capacity was used before forwarding: at most one in a hundred forwarded requests was
+    /// forwarded while a local worker had a free slot, known to the scheduler or not.
     #[serde(rename = "room_kept")]
     capacity_used_first: bool,
-    service_alone: Option<f64>,
-    service_gateway: f64,
-    service_alone_other: Option<f64>,
-    service_gateway_other: f64,
+    /// Fraction of the priority weight that was answered in time at the overloaded site.
+    #[serde(rename = "service_alone")]
+    service_without_gateway: Option<f64>,
+    #[serde(rename = "service_gateway")]
+    service_with_gateway: f64,
+    /// The same for the other site.
+    #[serde(rename = "service_alone_other")]
+    peer_service_without_gateway: Option<f64>,
+    #[serde(rename = "service_gateway_other")]
+    peer_service_with_gateway: f64,
     asked: usize,
     answered: usize,
     lost: usize,
@@ -45,7 +51,8 @@
     forwarded: u64,
     #[serde(rename = "crossed_while_room")]
     forwarded_while_free: usize,
-    /// While a slot was free on a worker that the scheduler of that site had ejected, which is no free capacity.
+    /// Requests forwarded while their home site had a free slot and an ejected worker. The slot is attributed to the
+    /// ejected worker and does not count as free capacity.
     #[serde(rename = "crossed_while_avoided")]
     forwarded_while_ejected: usize,
     forwarded_twice: usize,
@@ -53,33 +60,38 @@
     resumed: u64,
     unknown: u64,
     failed: usize,
-    /// Points of service in 100 that forwarding cost.
-    price: f64,
+    /// Cost of all forwarded requests, in percentage points of service.
+    #[serde(rename = "price")]
+    forwarding_cost: f64,
 }
 
-impl Figures {
-    pub(super) fn new(arguments: &Arguments, alone: Option<&Played>, with: &Played) -> Self {
-        let sum = |count: fn(&TrafficResult) -> usize| with.sites.iter().map(count).sum::<usize>();
-        let metric = |name: &str| with.metrics.get(name).copied().unwrap_or_default();
+impl GatewayFigures {
+    pub(super) fn new(
+        arguments: &Arguments,
+        without_gateway: Option<&ScenarioResult>,
+        with_gateway: &ScenarioResult,
+    ) -> Self {
+        let sum = |count: fn(&TrafficResult) -> usize| with_gateway.sites.iter().map(count).sum::<usize>();
+        let metric = |name: &str| with_gateway.metrics.get(name).copied().unwrap_or_default();
         let (asked, lost) = (sum(|site| site.asked), sum(|site| site.lost));
         let forwarded = metric("svc.gateway.crossed");
-        let duplicates = with.journal.duplicates(DEDUPLICATION_WINDOW);
-        let audit = ForwardingAudit::of(with);
-        let [service, service_other] = [with.sites[0].service, with.sites[1].service];
-        let gain = alone.map(|alone| service - alone.sites[0].service);
-        let most_while_free = (MOST_FORWARDED_WHILE_FREE * forwarded as f64).max(1.0);
+        let duplicates = with_gateway.journal.duplicates(DEDUPLICATION_WINDOW);
+        let audit = ForwardingAudit::new(with_gateway);
+        let [service, peer_service] = [with_gateway.sites[0].service, with_gateway.sites[1].service];
+        let gain = without_gateway.map(|baseline| service - baseline.sites[0].service);
+        let max_while_free = (MAX_FORWARDED_WHILE_FREE * forwarded as f64).max(1.0);
         let is_safe = duplicates == 0 && lost == 0 && audit.ran_at_both == 0;
-        // With the network failing for a good part of the time, only safety is promised.
-        let gains = arguments.cuts > 0 || gain.is_none_or(|gain| gain >= LEAST_GAIN);
-        Figures {
+        // No gain is required if network faults are injected, because the network then fails for much of the time.
+        let has_gain = arguments.cuts > 0 || gain.is_none_or(|gain| gain >= MIN_GAIN);
+        GatewayFigures {
             measure: "gateway",
             seed: arguments.seed,
-            ok: is_safe && gains,
-            capacity_used_first: audit.while_free as f64 <= most_while_free,
-            service_alone: alone.map(|alone| alone.sites[0].service),
-            service_gateway: service,
-            service_alone_other: alone.map(|alone| alone.sites[1].service),
-            service_gateway_other: service_other,
+            ok: is_safe && has_gain,
+            capacity_used_first: audit.while_free as f64 <= max_while_free,
+            service_without_gateway: without_gateway.map(|baseline| baseline.sites[0].service),
+            service_with_gateway: service,
+            peer_service_without_gateway: without_gateway.map(|baseline| baseline.sites[1].service),
+            peer_service_with_gateway: peer_service,
             asked,
             answered: asked - lost,
             lost,
@@ -92,26 +104,26 @@
             resumed: metric("svc.gateway.resumed"),
             unknown: metric("svc.gateway.unknown"),
             failed: sum(|site| site.failed),
-            price: PRICE * forwarded as f64 / asked.max(1) as f64,
+            forwarding_cost: FORWARDING_COST * forwarded as f64 / asked.max(1) as f64,
         }
     }
 }
 
-/// What the runs at the workers say of forwarded requests.
+/// Forwarded requests, classified by the runs at the workers.
 #[derive(Default)]
 struct ForwardingAudit {
-    /// Forwarded while a slot was free where they came from.
+    /// Forwarded while their home site had a free slot and no ejected worker.
     while_free: usize,
-    /// Forwarded while a slot was free only on a worker that was ejected.
+    /// Forwarded while their home site had a free slot and an ejected worker.
     while_ejected: usize,
-    /// Run at both sites.
+    /// Run at both sites, which the gateway must prevent.
     ran_at_both: usize,
 }
 
 impl ForwardingAudit {
-    fn of(played: &Played) -> Self {
+    fn new(result: &ScenarioResult) -> Self {
         let mut audit = ForwardingAudit::default();
-        let runs = played.journal.runs();
+        let runs = result.journal.runs();
         let (mut at_home, mut away) = (BTreeSet::new(), BTreeSet::new());
         for run in &runs {
             let id = run.request_id.as_str();
@@ -120,45 +132,45 @@
                 continue;
             }
             away.insert(id);
-            audit.add_forwarded(played, run);
+            audit.count_forwarded(result, run);
         }
         audit.ran_at_both = at_home.intersection(&away).count();
         audit
     }
 
-    fn add_forwarded(&mut self, played: &Played, run: &Run) {
+    fn count_forwarded(&mut self, result: &ScenarioResult, run: &Run) {
         let home = home_site(&run.request_id);
         let sent_at: Instant = run.started_at - *DELAY.end();
-        let had_free_slot = played.journal.had_free_slot(home, sent_at, FREE_BEFORE);
-        // What a failing network held back was sent at a time that cannot be told from its arrival.
-        if !had_free_slot || played.faults.may_have_held_back(run.started_at) {
+        let had_free_slot = result.journal.had_free_slot(home, sent_at, MIN_FREE_TIME);
+        // The time of sending cannot be derived from the arrival of a request that a network fault delayed.
+        if !had_free_slot || result.faults.may_have_delayed(run.started_at) {
             return;
         }
-        match played.ejected.any(home, run.started_at) {
+        match result.ejected.any(home, run.started_at) {
             true => self.while_ejected += 1,
             false => self.while_free += 1,
         }
     }
 }
 
-/// The site whose client sent a request.
+/// Returns the site whose client sent the request.
 fn home_site(request_id: &str) -> usize {
     usize::from(request_id.starts_with('b'))
 }
 
-pub(super) fn print_table(alone: Option<&Played>, with: &Played) {
+pub(super) fn print_table(without_gateway: Option<&ScenarioResult>, with_gateway: &ScenarioResult) {
     println!(
         "{:<18}{:>7}{:>8}{:>9}{:>10}{:>8}{:>6}{:>9}{:>9}{:>9}",
         "", "asked", "served", "in time", "rejected", "failed", "lost", "service", "p50 ms", "p95 ms"
     );
-    if let Some(alone) = alone {
-        print_rows("alone", alone);
+    if let Some(baseline) = without_gateway {
+        print_rows("alone", baseline);
     }
-    print_rows("with gateway", with);
+    print_rows("with gateway", with_gateway);
 }
 
-fn print_rows(name: &str, played: &Played) {
-    for (site, result) in ["a", "b"].into_iter().zip(&played.sites) {
+fn print_rows(name: &str, scenario: &ScenarioResult) {
+    for (site, result) in ["a", "b"].into_iter().zip(&scenario.sites) {
         let TrafficResult { asked, served, in_time, rejected, failed, lost, service, latency } = result;
         let [p50, p95] = [0.5, 0.95].map(|quantile| latency.value_at_quantile(quantile));
         let row = format!("{name}, site {site}");
--- a/crates/benchmarks/src/gateway/play.rs
+++ b/crates/benchmarks/src/gateway/scenario.rs
@@ -1,4 +1,4 @@
-//! Starts two sites, plays their traffic, and collects what became of it.
+//! Starts two sites, runs their traffic and collects the results.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,79 +15,81 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-use crate::sites::{metrics, operator_file, wait_for_metric, SITE_LINK_ADDRESS};
+use crate::sites::{metrics, operator_file, wait_for_metric, SITE_LINK_LOG_PREFIX};
 
-use super::network_faults::{inject, NetworkFaults, Schedule};
+use super::network_faults::{inject_faults, FaultSchedule, NetworkFaults};
 use super::{Arguments, DELAY};
 
-/// Load of the two sites, in capacities.
-const LOADS: [f64; 2] = [1.5, 0.3];
-/// Bursts before the traffic, which count for nothing.
+/// Offered load of the two sites as a fraction of their capacity.
+const OFFERED_LOADS: [f64; 2] = [1.5, 0.3];
+/// Number of bursts before the measured traffic.
 const WARM_UP_BURSTS: usize = 4;
 const WARM_UP_BURST_REQUESTS: usize = 10;
-const WARM_UP_GAP: Duration = Duration::from_millis(1800);
-/// Time between the end of the bursts and the traffic.
-const HEAD_START: Duration = Duration::from_millis(300);
-/// How often sites are asked how many workers they have ejected.
-const EJECTED_POLL: Duration = Duration::from_millis(50);
+const WARM_UP_BURST_INTERVAL: Duration = Duration::from_millis(1800);
+/// Delay between the end of the bursts and the start of the traffic.
+const TRAFFIC_START_DELAY: Duration = Duration::from_millis(300);
+/// Interval at which sites are polled for their number of ejected workers.
+const EJECTED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the sites have a gateway.
+/// Whether the gateway is enabled at the sites.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Mode {
-    Alone,
+    WithoutGateway,
     WithGateway,
 }
 
-/// How many workers a site had ejected when it was asked.
+/// Number of workers that a site had ejected at a point in time.
 struct EjectedSample {
     at: Instant,
     workers: u64,
 }
 
-/// The ejected workers of both sites over time.
+/// Ejected workers of both sites over time.
 #[derive(Clone, Default)]
 pub(super) struct EjectedWorkers(Rc<RefCell<[Vec<EjectedSample>; 2]>>);
 
 impl EjectedWorkers {
-    /// Whether a site had ejected a worker around this time.
+    /// Returns whether a site had an ejected worker around this time.
     pub(super) fn any(&self, site: usize, at: Instant) -> bool {
-        let is_near = |asked: Instant| asked + 2 * EJECTED_POLL > at && asked < at + 2 * EJECTED_POLL;
+        let is_near = |sampled_at: Instant| {
+            sampled_at + 2 * EJECTED_POLL_INTERVAL > at && sampled_at < at + 2 * EJECTED_POLL_INTERVAL
+        };
         self.0.borrow()[site].iter().any(|sample| is_near(sample.at) && sample.workers > 0)
     }
 }
 
-/// What happened.
-pub(super) struct Played {
+/// Results of a run.
+pub(super) struct ScenarioResult {
     pub(super) ejected: EjectedWorkers,
     pub(super) sites: [TrafficResult; 2],
     pub(super) faults: NetworkFaults,
     pub(super) journal: Journal,
-    /// The counters of both schedulers, added up.
+    /// Sums of the metrics of both schedulers.
     pub(super) metrics: HashMap<String, u64>,
     pub(super) logs: String,
 }
 
-/// Plays the traffic of both sites once, with files in `dir`.
+/// Runs the traffic of both sites once. Files are written to `dir`.
 ///
 /// # Errors
-/// If the sites cannot be started or asked.
-pub(super) async fn play(
+/// Returns an error if the sites cannot be started or queried.
+pub(super) async fn run_scenario(
     program: &Path,
     dir: &Path,
     arguments: &Arguments,
     mode: Mode,
-) -> io::Result<Played> {
+) -> io::Result<ScenarioResult> {
     std::fs::create_dir_all(dir)?;
     let (journal, seed) = (Journal::default(), arguments.seed);
     let proxies = [FaultyProxy::start(DELAY, seed).await?, FaultyProxy::start(DELAY, seed + 1000).await?];
     let sites = start_sites(program, dir, &proxies, mode, &journal).await?;
     warm_up(&sites, seed).await?;
     let length = Duration::from_secs(arguments.seconds);
-    let start = Instant::now() + HEAD_START;
+    let start = Instant::now() + TRAFFIC_START_DELAY;
     let mut traffic = Vec::new();
     for (number, site) in sites.iter().enumerate() {
         let prefix = ["a", "b"][number];
-        let work_per_s = LOADS[number] * capacity();
+        let work_per_s = OFFERED_LOADS[number] * capacity();
         let arrivals = traffic::draw(prefix, 2 * seed + number as u64, work_per_s, length);
         traffic.push(spawn_local(traffic::play(Rc::clone(&site.client), arrivals, start)));
     }
@@ -95,19 +97,20 @@
     if mode == Mode::WithGateway {
         for (number, proxy) in proxies.iter().enumerate() {
             let seed = 7 * seed + number as u64;
-            let schedule = Schedule { seed, faults: arguments.cuts, start, length };
-            spawn_local(inject(Rc::clone(proxy), schedule, faults.clone()));
+            let schedule = FaultSchedule { seed, faults: arguments.cuts, start, length };
+            spawn_local(inject_faults(Rc::clone(proxy), schedule, faults.clone()));
         }
     }
     let ejected = EjectedWorkers::default();
     let addresses = [sites[0].operator_address, sites[1].operator_address];
-    let watch = spawn_local(watch_ejected(addresses, ejected.clone()));
-    let results = wait_with_progress(traffic, arguments.seconds, mode).await?;
-    watch.abort();
-    let sites_results = results.try_into().map_err(|_| io::Error::other("two sites"))?;
-    let metrics = added_metrics(&sites).await?;
+    let ejected_poller = spawn_local(poll_ejected(addresses, ejected.clone()));
+    let traffic_results = wait_with_progress(traffic, arguments.seconds, mode).await?;
+    ejected_poller.abort();
+    let site_results =
+        traffic_results.try_into().map_err(|_| io::Error::other("expected traffic results of two sites"))?;
+    let metrics = sum_metrics(&sites).await?;
     let logs = sites.iter().map(|site| format!("{}\n", site.scheduler.log().join("\n"))).collect();
-    Ok(Played { ejected, sites: sites_results, faults, journal, metrics, logs })
+    Ok(ScenarioResult { ejected, sites: site_results, faults, journal, metrics, logs })
 }
 
 async fn start_sites(
@@ -126,8 +129,8 @@
         sites.push(TestSite::start(program, dir, number, operator.as_deref(), journal).await?);
     }
     if mode == Mode::WithGateway {
-        proxies[0].set_target(sites[1].scheduler.address(SITE_LINK_ADDRESS).await?);
-        proxies[1].set_target(sites[0].scheduler.address(SITE_LINK_ADDRESS).await?);
+        proxies[0].set_target(sites[1].scheduler.address(SITE_LINK_LOG_PREFIX).await?);
+        proxies[1].set_target(sites[0].scheduler.address(SITE_LINK_LOG_PREFIX).await?);
         for site in &sites {
             wait_for_metric(site, "svc.gateway.out.up", 1).await?;
         }
@@ -135,8 +138,8 @@
     Ok(sites)
 }
 
-/// Plays some bursts, each of which ends with idle workers: schedulers learn the size of a worker from the load that it
-/// reports then, and what they do not know of cannot be called free capacity.
+/// Runs bursts that each end with idle workers. Schedulers learn the capacity of a worker from its load reports while
+/// it is idle. Capacity that a scheduler does not know of must not count as free.
 async fn warm_up(sites: &[TestSite], seed: u64) -> io::Result<()> {
     let mut bursts = Vec::new();
     for (number, site) in sites.iter().enumerate() {
@@ -154,16 +157,16 @@
     arrivals.retain(|arrival| arrival.request.class == "draw-map");
     arrivals.truncate(WARM_UP_BURST_REQUESTS * WARM_UP_BURSTS);
     for (index, arrival) in arrivals.iter_mut().enumerate() {
-        arrival.at = WARM_UP_GAP * (index / WARM_UP_BURST_REQUESTS) as u32;
+        arrival.at = WARM_UP_BURST_INTERVAL * (index / WARM_UP_BURST_REQUESTS) as u32;
     }
     arrivals
 }
 
-/// Asks both sites again and again how many workers they have ejected.
-async fn watch_ejected(operator_addresses: [SocketAddr; 2], ejected: EjectedWorkers) {
+/// Polls both sites for their number of ejected workers.
+async fn poll_ejected(operator_addresses: [SocketAddr; 2], ejected: EjectedWorkers) {
     loop {
         for (site, address) in operator_addresses.into_iter().enumerate() {
-            // A site that does not answer is asked again.
+            // A failed query is repeated at the next interval.
             let metrics = metrics(address).await.unwrap_or_default();
             let found = metrics.iter().find(|metric| metric.name == "svc.pool_ejected");
             if let Some(metric) = found {
@@ -171,11 +174,11 @@
                 ejected.0.borrow_mut()[site].push(sample);
             }
         }
-        sleep(EJECTED_POLL).await;
+        sleep(EJECTED_POLL_INTERVAL).await;
     }
 }
 
-/// Waits for the traffic and shows how far it is.
+/// Waits for the traffic to complete and shows a progress bar.
 async fn wait_with_progress(
     traffic: Vec<JoinHandle<TrafficResult>>,
     seconds: u64,
@@ -203,23 +206,23 @@
 fn progress_bar(mode: Mode, seconds: u64) -> ProgressBar {
     let bar = ProgressBar::new(seconds);
     if let Ok(style) =
-        ProgressStyle::with_template("{msg} [{bar:40}] {pos} of {len} s, then the last answers")
+        ProgressStyle::with_template("{msg} [{bar:40}] {pos} of {len} s, then outstanding responses")
     {
         bar.set_style(style);
     }
     bar.set_message(match mode {
-        Mode::Alone => "alone",
+        Mode::WithoutGateway => "alone",
         Mode::WithGateway => "with the gateway",
     });
     bar
 }
 
-async fn added_metrics(sites: &[TestSite]) -> io::Result<HashMap<String, u64>> {
-    let mut added = HashMap::new();
+async fn sum_metrics(sites: &[TestSite]) -> io::Result<HashMap<String, u64>> {
+    let mut sums = HashMap::new();
     for site in sites {
         for metric in metrics(site.operator_address).await? {
-            *added.entry(metric.name).or_default() += metric.value;
+            *sums.entry(metric.name).or_default() += metric.value;
         }
     }
-    Ok(added)
+    Ok(sums)
 }
--- a/crates/benchmarks/src/gateway_price.rs
+++ b/crates/benchmarks/src/gateway_price.rs
@@ -1,5 +1,5 @@
-//! `measure gateway-price`: the CPU that a scheduler needs and the latency of its answers, with the gateway off and with
-//! it on and idle, side by side on the same traffic.
+//! `measure gateway-price`: CPU time and latency of a scheduler with the gateway disabled, and of one with the gateway
+//! enabled but idle. Both receive the same traffic at the same time.
 
 use std::io;
 use std::ops::RangeInclusive;
@@ -15,67 +15,72 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-use crate::sites::{metrics, operator_file, wait_for_metric, SITE_LINK_ADDRESS};
+use crate::sites::{metrics, operator_file, wait_for_metric, SITE_LINK_LOG_PREFIX};
 
-/// Work of each request: so short that a site of a few workers is never full.
+/// Work of each request, short enough that a site with few workers never reaches its capacity.
 const WORK: Duration = Duration::from_millis(4);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(7);
 const DELAY: RangeInclusive<Duration> = Duration::from_micros(5600)..=Duration::from_millis(10);
 const WARM_UP: Duration = Duration::from_secs(2);
-/// What is promised: at most this much more of its core, and this much more latency at the median.
-const MOST_MORE: f64 = 0.02;
+/// Maximum increase in CPU time, as a fraction of one core, and in median latency, as a fraction of the latency without
+/// the gateway.
+const MAX_INCREASE: f64 = 0.02;
 
 #[derive(clap::Args)]
 pub(crate) struct Arguments {
-    /// For the traffic
+    /// Seed of the traffic
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long both are given the same traffic
+    /// Duration of the traffic in seconds
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(5..=600))]
     seconds: u64,
-    /// Requests a second for each of the two
+    /// Requests per second at each of the two sites
     #[arg(long, default_value_t = 250, value_parser = clap::value_parser!(u64).range(1..=1000))]
     rate: u64,
 }
 
-/// The last line. Its keys are printed, and keep their names.
+/// The last line of the output. Scripts read its JSON keys, so they must not change.
 #[derive(Serialize)]
-struct Figures {
+struct OverheadFigures {
     measure: &'static str,
     seed: u64,
     ok: bool,
     #[serde(rename = "jobs")]
     requests: usize,
     #[serde(rename = "cpu_us_a_job_off")]
-    cpu_us_a_request_off: f64,
+    cpu_us_per_request_off: f64,
     #[serde(rename = "cpu_us_a_job_idle")]
-    cpu_us_a_request_idle: f64,
-    /// As a fraction of the CPU without the gateway.
-    cpu_more: f64,
-    /// As a fraction of the one core.
-    core_more: f64,
+    cpu_us_per_request_idle: f64,
+    /// Increase in CPU time as a fraction of the CPU time without the gateway.
+    #[serde(rename = "cpu_more")]
+    cpu_increase: f64,
+    /// Increase in CPU time as a fraction of one core.
+    #[serde(rename = "core_more")]
+    core_increase: f64,
     p50_us_off: u64,
     p50_us_idle: u64,
-    latency_more: f64,
+    /// Increase in median latency as a fraction of the latency without the gateway.
+    #[serde(rename = "latency_more")]
+    latency_increase: f64,
     #[serde(rename = "crossings")]
     forwarded: u64,
 }
 
-/// The two sites that are compared, and the peer of the second.
+/// The two sites that are compared, and the peer of the one with the gateway.
 struct Sites {
     off: TestSite,
     idle: TestSite,
-    /// Kept so that it runs.
+    /// Owned so that the peer keeps running.
     _peer: TestSite,
 }
 
-/// What one of the two sites did with the traffic.
-struct Measured {
+/// Latencies and CPU time of one site.
+struct SiteMeasurement {
     latencies: Vec<Duration>,
     cpu: Duration,
 }
 
-impl Measured {
+impl SiteMeasurement {
     fn median_us(&self) -> u64 {
         let mut latencies = self.latencies.clone();
         latencies.sort();
@@ -87,21 +92,21 @@
     }
 }
 
-/// Plays and prints; whether the promises were kept.
+/// Runs the benchmark and prints the results. Returns whether all requirements were met.
 ///
 /// # Errors
-/// If the sites cannot be started or asked, or the system tells no CPU time.
+/// Returns an error if the sites cannot be started or queried, or the CPU time of a process is not available.
 pub(crate) async fn run(arguments: &Arguments) -> io::Result<bool> {
     let program = build_scheduler()?;
     let directory = TempDirectory::new("price")?;
     let sites = start_sites(&program, &directory.0).await?;
-    play(&sites, arguments, WARM_UP, "w").await?;
+    run_traffic(&sites, arguments, WARM_UP, "w").await?;
     let length = Duration::from_secs(arguments.seconds);
     let [off, idle] = measure(&sites, arguments, length).await?;
-    let figures = figures(arguments, &off, &idle, forwarded(&sites.idle).await?);
-    println!("{:<16}{:>14}{:>12}", "gateway", "CPU us a job", "median us");
-    println!("{:<16}{:>14.1}{:>12}", "off", figures.cpu_us_a_request_off, figures.p50_us_off);
-    println!("{:<16}{:>14.1}{:>12}", "on and idle", figures.cpu_us_a_request_idle, figures.p50_us_idle);
+    let figures = compare(arguments, &off, &idle, forwarded(&sites.idle).await?);
+    println!("{:<16}{:>14}{:>12}", "gateway", "CPU us/request", "median us");
+    println!("{:<16}{:>14.1}{:>12}", "off", figures.cpu_us_per_request_off, figures.p50_us_off);
+    println!("{:<16}{:>14.1}{:>12}", "on and idle", figures.cpu_us_per_request_idle, figures.p50_us_idle);
     println!("{}", serde_json::to_string(&figures).map_err(io::Error::other)?);
     Ok(figures.ok)
 }
@@ -116,43 +121,50 @@
     let off = TestSite::start(program, dir, 0, None, &journal).await?;
     let idle = TestSite::start(program, dir, 1, Some(&idle_file), &journal).await?;
     let peer = TestSite::start(program, dir, 2, Some(&peer_file), &journal).await?;
-    proxies[0].set_target(peer.scheduler.address(SITE_LINK_ADDRESS).await?);
-    proxies[1].set_target(idle.scheduler.address(SITE_LINK_ADDRESS).await?);
+    proxies[0].set_target(peer.scheduler.address(SITE_LINK_LOG_PREFIX).await?);
+    proxies[1].set_target(idle.scheduler.address(SITE_LINK_LOG_PREFIX).await?);
     wait_for_metric(&idle, "svc.gateway.out.up", 1).await?;
     Ok(Sites { off, idle, _peer: peer })
 }
 
-async fn measure(sites: &Sites, arguments: &Arguments, length: Duration) -> io::Result<[Measured; 2]> {
+async fn measure(sites: &Sites, arguments: &Arguments, length: Duration) -> io::Result<[SiteMeasurement; 2]> {
     let before = [cpu_time(&sites.off)?, cpu_time(&sites.idle)?];
-    let [off, idle] = play(sites, arguments, length, "m").await?;
+    let [off, idle] = run_traffic(sites, arguments, length, "m").await?;
     let after = [cpu_time(&sites.off)?, cpu_time(&sites.idle)?];
-    let off = Measured { latencies: off, cpu: after[0] - before[0] };
-    let idle = Measured { latencies: idle, cpu: after[1] - before[1] };
+    let off = SiteMeasurement { latencies: off, cpu: after[0] - before[0] };
+    let idle = SiteMeasurement { latencies: idle, cpu: after[1] - before[1] };
     Ok([off, idle])
 }
 
 fn cpu_time(site: &TestSite) -> io::Result<Duration> {
-    site.scheduler.cpu_time().ok_or_else(|| io::Error::other("no CPU time is told here"))
+    site.scheduler
+        .cpu_time()
+        .ok_or_else(|| io::Error::other("the CPU time of the scheduler process is not available"))
 }
 
-fn figures(arguments: &Arguments, off: &Measured, idle: &Measured, forwarded: u64) -> Figures {
+fn compare(
+    arguments: &Arguments,
+    off: &SiteMeasurement,
+    idle: &SiteMeasurement,
+    forwarded: u64,
+) -> OverheadFigures {
     let requests = off.latencies.len();
     let (p50_us_off, p50_us_idle) = (off.median_us(), idle.median_us());
-    let cpu_more = idle.cpu_us() / off.cpu_us() - 1.0;
-    let core_more = (idle.cpu_us() - off.cpu_us()) / 1e6 / arguments.seconds as f64;
-    let latency_more = p50_us_idle as f64 / p50_us_off as f64 - 1.0;
-    Figures {
+    let cpu_increase = idle.cpu_us() / off.cpu_us() - 1.0;
+    let core_increase = (idle.cpu_us() - off.cpu_us()) / 1e6 / arguments.seconds as f64;
+    let latency_increase = p50_us_idle as f64 / p50_us_off as f64 - 1.0;
+    OverheadFigures {
         measure: "gateway-price",
         seed: arguments.seed,
-        ok: requests > 0 && forwarded == 0 && core_more < MOST_MORE && latency_more < MOST_MORE,
+        ok: requests > 0 && forwarded == 0 && core_increase < MAX_INCREASE && latency_increase < MAX_INCREASE,
         requests,
-        cpu_us_a_request_off: off.cpu_us() / requests.max(1) as f64,
-        cpu_us_a_request_idle: idle.cpu_us() / requests.max(1) as f64,
-        cpu_more,
-        core_more,
+        cpu_us_per_request_off: off.cpu_us() / requests.max(1) as f64,
+        cpu_us_per_request_idle: idle.cpu_us() / requests.max(1) as f64,
+        cpu_increase,
+        core_increase,
         p50_us_off,
         p50_us_idle,
-        latency_more,
+        latency_increase,
         forwarded,
     }
 }
@@ -163,8 +175,8 @@
     Ok(found.map_or(0, |metric| metric.value))
 }
 
-/// Plays the same requests at the same times at both sites; the latencies of those that both served.
-async fn play(
+/// Sends the same requests to both sites at the same times. Returns the latencies of the requests that both served.
+async fn run_traffic(
     sites: &Sites,
     arguments: &Arguments,
     length: Duration,
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,5 +1,6 @@
-//! Benchmarks with real processes on loopback, run by `cargo measure`. Each prints its progress on standard error, a table, and one last
-//! line of JSON; it exits 1 if a promise is broken and 2 if it could not be made.
+//! Benchmarks with real processes on loopback, run with `cargo measure`. Each benchmark prints its progress to standard
+//! error, then a table and a last line of JSON. The exit status is 1 if a requirement is not met and 2 if the benchmark
+//! could not be run.
 
 mod gateway;
 mod gateway_price;
@@ -10,19 +11,19 @@
 use clap::{Parser, Subcommand};
 use tokio::task::LocalSet;
 
-/// Measure the scheduler against what is promised.
+/// Run benchmarks of the scheduler and check their requirements.
 #[derive(Parser)]
 #[command(name = "measure", version, after_help = "Example:\n  cargo measure gateway --seed 3 --seconds 20")]
 struct Arguments {
     #[command(subcommand)]
-    measurement: Measurement,
+    benchmark: Benchmark,
 }
 
 #[derive(Subcommand)]
-enum Measurement {
-    /// Two sites, one with too much work, over a network that fails: with the gateway and without
+enum Benchmark {
+    /// Two sites, one of them overloaded, over an unreliable network: with and without the gateway
     Gateway(gateway::Arguments),
-    /// What the gateway costs in CPU and latency while it is on and idle, against one that is off
+    /// CPU and latency overhead of an idle gateway, compared with a disabled one
     GatewayPrice(gateway_price::Arguments),
 }
 
@@ -30,25 +31,25 @@
     let arguments = Arguments::parse();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&error),
+        Err(error) => return report_failure(&error),
     };
-    let measured = LocalSet::new().block_on(&runtime, async {
-        match arguments.measurement {
-            Measurement::Gateway(arguments) => gateway::run(&arguments).await,
-            Measurement::GatewayPrice(arguments) => gateway_price::run(&arguments).await,
+    let passed = LocalSet::new().block_on(&runtime, async {
+        match arguments.benchmark {
+            Benchmark::Gateway(arguments) => gateway::run(&arguments).await,
+            Benchmark::GatewayPrice(arguments) => gateway_price::run(&arguments).await,
         }
     });
-    match measured {
+    match passed {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(error) => failed(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
-/// The measurement could not be made.
-const EXIT_NOT_MEASURED: u8 = 2;
+/// Exit status when a benchmark could not be run.
+const EXIT_NOT_RUN: u8 = 2;
 
-fn failed(error: &std::io::Error) -> ExitCode {
-    eprintln!("error: the measurement could not be made: {error}");
-    ExitCode::from(EXIT_NOT_MEASURED)
+fn report_failure(error: &std::io::Error) -> ExitCode {
+    eprintln!("error: cannot run the benchmark: {error}");
+    ExitCode::from(EXIT_NOT_RUN)
 }
--- a/crates/benchmarks/src/sites.rs
+++ b/crates/benchmarks/src/sites.rs
@@ -1,4 +1,4 @@
-//! What both measurements need of sites with a gateway: the operator's file, the link, and the counters.
+//! Helpers for benchmarks of sites with a gateway: operator file, site link and metrics.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,13 +8,13 @@
 use chutesaddle_test_doubles::{client, TestSite};
 use tokio::time::{sleep, Instant};
 
-/// The log line behind which a scheduler says where it listens for other sites.
-pub(crate) const SITE_LINK_ADDRESS: &str = "listening for site links address=";
-/// How long a counter may take to reach a value that it must reach.
+/// Prefix of the log line with the address on which a scheduler accepts site links.
+pub(crate) const SITE_LINK_LOG_PREFIX: &str = "listening for site links address=";
+/// Maximum time to wait for a metric to reach its expected value.
 const METRIC_TIMEOUT: Duration = Duration::from_secs(10);
-const METRIC_POLL: Duration = Duration::from_millis(10);
+const METRIC_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The operator's file of a site with one peer.
+/// Returns the operator file of a site with one peer.
 pub(crate) fn operator_file(site: &str, peer: &str, connect: SocketAddr, secret: &Path) -> String {
     let secret = secret.display().to_string();
     format!(
@@ -23,37 +23,39 @@
     )
 }
 
-/// A counter of a scheduler.
+/// An integer metric of a scheduler.
 pub(crate) struct Metric {
     pub(crate) name: String,
     pub(crate) value: u64,
 }
 
-/// The counters of a site's scheduler that are whole numbers.
+/// Returns the integer metrics of a site's scheduler.
 ///
 /// # Errors
-/// If it does not answer.
+/// Returns an error if the scheduler does not respond.
 pub(crate) async fn metrics(operator_address: SocketAddr) -> io::Result<Vec<Metric>> {
     let text = client::operator_command(operator_address, "METRICS").await?;
     let pairs = text.lines().filter_map(|line| line.split_once('='));
-    let whole =
+    let integers =
         pairs.filter_map(|(name, value)| Some(Metric { name: name.to_owned(), value: value.parse().ok()? }));
-    Ok(whole.collect())
+    Ok(integers.collect())
 }
 
-/// Waits until a counter whose name begins like this has a value.
+/// Waits until a metric whose name starts with `prefix` has the expected value.
 ///
 /// # Errors
-/// If it does not come in time.
-pub(crate) async fn wait_for_metric(site: &TestSite, name: &str, wanted: u64) -> io::Result<()> {
-    let until = Instant::now() + METRIC_TIMEOUT;
-    while Instant::now() < until {
+/// Returns an error if no such metric reaches the value in time, or if the scheduler does not respond.
+pub(crate) async fn wait_for_metric(site: &TestSite, prefix: &str, expected: u64) -> io::Result<()> {
+    let deadline = Instant::now() + METRIC_TIMEOUT;
+    while Instant::now() < deadline {
         let metrics = metrics(site.operator_address).await?;
-        if metrics.iter().any(|metric| metric.name.starts_with(name) && metric.value == wanted) {
+        if metrics.iter().any(|metric| metric.name.starts_with(prefix) && metric.value == expected) {
             return Ok(());
         }
-        sleep(METRIC_POLL).await;
+        sleep(METRIC_POLL_INTERVAL).await;
     }
     let log = site.scheduler.log().join("\n");
-    Err(io::Error::other(format!("{name} does not become {wanted}: {log}")))
+    Err(io::Error::other(format!(
+        "metric {prefix} did not reach {expected} within {METRIC_TIMEOUT:?}: {log}"
+    )))
 }
--- a/crates/fault-injection/src/agreement.rs
+++ b/crates/fault-injection/src/agreement.rs
@@ -35,7 +35,7 @@
     pub epochs: u64,
     /// Number of checks that found a process acting on a single current version.
     #[serde(rename = "plain")]
-    pub current: u64,
+    pub current_checks: u64,
     /// Number of voters without a disk at the end.
     pub without_disk: usize,
     /// Violated invariants with the seeds that violated them. Must be empty.
@@ -51,7 +51,7 @@
         simulation.run();
         report.versions += simulation.newest_committed;
         report.epochs += simulation.newest_epoch;
-        report.current += simulation.current_checks;
+        report.current_checks += simulation.current_checks;
         report.without_disk += simulation.without_disk();
         let violations = simulation.violations.iter();
         report.violations.extend(violations.map(|violation| format!("seed {seed}: {violation}")));
--- a/crates/fault-injection/src/agreement/events.rs
+++ b/crates/fault-injection/src/agreement/events.rs
@@ -65,8 +65,8 @@
         self.with_process(member, |process, now, _| process.learner.confirmed(now, confirmation));
     }
 
-    /// Checks a confirmed value. `min_version` is the newest version that had been reported as committed when the learner
-    /// sent its request; the value must not be older. Each version must always have the same body.
+    /// Checks a confirmed value. `min_version` is the newest version that had been reported as committed when the
+    /// learner sent its request; the value must not be older. Each version must always have the same body.
     fn check_confirmed_value(&mut self, value: &Value, min_version: u64) {
         let newest = version_in(value);
         if newest < min_version {
--- a/crates/fault-injection/src/agreement/invariants.rs
+++ b/crates/fault-injection/src/agreement/invariants.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Returns the version that a member's process acts on; `None` if the process does not run or acts on more than one or
-    /// on an unconfirmed version.
+    /// Returns the version that a member's process acts on; `None` unless the process is running and has exactly one
+    /// confirmed version.
     fn current_version(&self, member: usize) -> Option<u64> {
         let process = self.processes[member].as_ref()?;
         if process.paused_until > self.now_s {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Checks, after the period without faults, that every process acts on the newest version and that no voters are
-    /// without a disk except those whose disk was lost.
+    /// Checks, after the period without faults, that every process acts on the newest version and that no more voters
+    /// lack a disk than disks were lost.
     pub(super) fn check_final_state(&mut self) {
         for member in 0..self.processes.len() {
             let local_time = self.local_time(member);
--- a/crates/fault-injection/src/agreement/simulation.rs
+++ b/crates/fault-injection/src/agreement/simulation.rs
@@ -29,7 +29,8 @@
 const MAX_JITTER_S: f64 = 0.03;
 /// Maximum random delay of a late message on top of the minimum.
 const MAX_LATE_JITTER_S: f64 = 0.8;
-/// Timers fire this much later than they are due. Without the margin, rounding could make them fire before they are due.
+/// Timers fire this much later than they are due. Without the margin, rounding could make them fire before they are
+/// due.
 const TIMER_MARGIN_S: f64 = 1e-5;
 
 /// Events of the simulation.
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Calls `action` with a member's process, if it is running, and its local time. Then sets the next timer and carries
-    /// out the outputs.
+    /// Calls `action` with a member's process, if it is running, and its local time. Then sets the next timer and
+    /// carries out the outputs.
     pub(super) fn with_process(
         &mut self,
         member: usize,
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -88,8 +88,8 @@
 }
 
 impl Fleet {
-    /// Starts the workers and `nodes` schedulers. `adjust` modifies the configuration of each scheduler. Files are written
-    /// to `dir`.
+    /// Starts the workers and `nodes` schedulers. `adjust` modifies the configuration of each scheduler. Files are
+    /// written to `dir`.
     ///
     /// # Errors
     /// Returns an error if a worker, a scheduler or the network cannot be started.
--- a/crates/fault-injection/src/gossip.rs
+++ b/crates/fault-injection/src/gossip.rs
@@ -115,10 +115,10 @@
     plan: &FaultPlan,
 ) -> io::Result<GossipReport> {
     let gossip = scenario.gossip;
-    let enable_gossip = |config: &mut serde_json::Value| {
+    let configure_gossip = |config: &mut serde_json::Value| {
         config["settings"]["allowed"]["peer_messages"] = json!(gossip);
     };
-    let fleet = Fleet::start(program, dir, scenario.nodes, scenario.seed, enable_gossip).await?;
+    let fleet = Fleet::start(program, dir, scenario.nodes, scenario.seed, configure_gossip).await?;
     let length = Duration::from_secs(scenario.seconds);
     let arrivals = draw("job", scenario.seed, scenario.load * capacity(), length);
     let start = Instant::now() + STARTUP_DELAY;
--- a/crates/fault-injection/src/gossip_network.rs
+++ b/crates/fault-injection/src/gossip_network.rs
@@ -1,8 +1,8 @@
 //! Simulated network for gossip datagrams between schedulers. Each direction of each pair of schedulers is a path that
 //! can be degraded or partitioned.
 //!
-//! Each scheduler sends its datagrams to one ingress socket. The network delivers them from a separate egress socket per
-//! sender and receiver, so that the receiver can tell its peers apart by their addresses.
+//! Each scheduler sends its datagrams to one ingress socket. The network delivers them from a separate egress socket
+//! per sender and receiver, so that the receiver can tell its peers apart by their addresses.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,7 +22,7 @@
 
 /// Delay of a healthy path.
 const DELAY_MS: Range<u64> = 3..22;
-/// Maximum length of a datagram on the platform.
+/// Maximum datagram length that the platform allows.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// Datagrams by outcome. Scripts read the JSON keys, so they must not change.
@@ -55,7 +55,7 @@
     egress_sockets: Vec<Vec<UdpSocket>>,
     /// Gossip address of each scheduler; `None` while it is not running.
     receiver_addresses: Vec<Cell<Option<SocketAddr>>>,
-    /// Number of active active_partitions, by sender and receiver.
+    /// Number of active partitions, by sender and receiver.
     active_partitions: Vec<Vec<Cell<u32>>>,
     /// Degradation of the paths from and to each scheduler.
     degradations: Vec<Cell<Degradation>>,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Returns the addresses for a scheduler's configuration: the address that it sends to, and the source addresses of its
-    /// peers.
+    /// Returns the addresses for a scheduler's configuration: the address that it sends to, and the source addresses of
+    /// its peers.
     ///
     /// # Errors
     /// Returns an error if the local address of a socket cannot be determined.
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -177,8 +177,8 @@
     let GossipArguments { seed, nodes, seconds, load, .. } = arguments;
     println!("smallest failing plan found ({} faults):\n{plan}", plan.0.len());
     println!(
-        "to reproduce, save it as plan.kdl and run: cargo trial notes --seed {seed} --nodes {nodes} --seconds {seconds} \
-         --load {load} --alone --plan plan.kdl"
+        "to reproduce, save it as plan.kdl and run: cargo trial notes --seed {seed} --nodes {nodes} \
+         --seconds {seconds} --load {load} --alone --plan plan.kdl"
     );
 }
 
@@ -193,8 +193,8 @@
     let GossipReport { requests, served, rejected, lost, lost_with_scheduler, .. } = &report;
     let GossipReport { duplicate_runs, misplaced, runs, .. } = &report;
     println!(
-        "{name:15} {requests} requests: {served} served, {rejected} rejected, {lost} lost, {lost_with_scheduler} lost in \
-         scheduler outages; {runs} runs: {misplaced} misplaced, {duplicate_runs} duplicate; median {} ms",
+        "{name:15} {requests} requests: {served} served, {rejected} rejected, {lost} lost, {lost_with_scheduler} lost \
+         in scheduler outages; {runs} runs: {misplaced} misplaced, {duplicate_runs} duplicate; median {} ms",
         report.latency_ms[0]
     );
     Ok(report)
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -25,11 +25,14 @@
     );
 }
 
+/// Guards against gossip that, when it is lost, delayed or stale, makes a scheduler drop a request or send it twice.
 #[test]
 fn random_faults_neither_lose_nor_duplicate_requests() {
     assert_invariants_hold("drawn", 11, &FaultPlan::random(11, 4, Duration::from_secs(4)));
 }
 
+/// Schedulers crash, pause and resume during overlapping partitions and on a degraded network. No request may be lost
+/// or run twice because of outdated or missing gossip.
 #[test]
 fn a_scheduler_that_halts_and_one_that_dies_in_a_partition_are_told_again() {
     let plan = "split 0 1 at=\"500ms\" for=\"2s\"
@@ -40,9 +43,11 @@
     assert_invariants_hold("written", 12, &FaultPlan::parse("plan.kdl", plan, 4).unwrap());
 }
 
+/// Guards against split brain and lost updates in the replicated register: with drifting clocks and lost disks, two
+/// members could otherwise act on different versions, or a committed version could disappear.
 #[test]
 fn members_never_act_on_different_versions_and_no_version_is_lost() {
     let report = agreement::run(0, 150);
     assert_eq!(report.violations, Vec::<String>::new());
-    assert!(report.versions > 150 && report.epochs > 75 && report.current > 15_000, "{report:?}");
+    assert!(report.versions > 150 && report.epochs > 75 && report.current_checks > 15_000, "{report:?}");
 }
