--- a/crates/gateway/src/candidate.rs
+++ b/crates/gateway/src/candidate.rs
@@ -61,8 +61,8 @@
     ForwardedBefore,
     /// The tenant is over its quota.
     OverQuota,
-    /// The idempotency key may have run at this site or at a site that cannot be reached, or it cannot be
-    /// recorded.
+    /// The idempotency key may have run where the peers with capacity cannot deduplicate it: at this site, or at
+    /// a peer that cannot be reached or has no capacity. Also returned if the key cannot be recorded.
     KeyBoundElsewhere,
     /// This site is draining.
     Draining,
--- a/crates/gateway/src/gateway/routing.rs
+++ b/crates/gateway/src/gateway/routing.rs
@@ -1,7 +1,8 @@
 //! Decides whether a request is forwarded, and on which link.
 //!
-//! Forwarding costs performance, so a request is forwarded only if it would otherwise be rejected or late,
-//! and only if it can still finish in time at the other site.
+//! Forwarding adds latency, so a request is forwarded only if it would otherwise be rejected or late, or if its
+//! idempotency key is bound to another site. In either case, the time until the client gives up must exceed the
+//! round trip plus the forwarding margin.
 
 use bytes::Bytes;
 
@@ -34,29 +35,33 @@
             Idempotency::WithKey { key, .. } => Some(key),
             Idempotency::NonIdempotent => return Err(NotForwarded::NonIdempotent),
         };
-        let is_bound = key.is_some_and(|key| self.bound_elsewhere(now, key));
+        let is_bound_elsewhere = key.is_some_and(|key| self.bound_elsewhere(now, key));
         let beyond_quota = !candidate.within_quota && !self.config.forward_over_quota;
-        if !is_bound && beyond_quota {
+        if !is_bound_elsewhere && beyond_quota {
             return Err(NotForwarded::OverQuota);
         }
-        if !is_bound && !self.load.may_forward(now, &self.config) {
+        if !is_bound_elsewhere && !self.load.may_forward(now, &self.config) {
             return Err(NotForwarded::LocalCapacity);
         }
-        self.nearest_route(now, candidate, key, is_bound).map(|route| route.link)
+        self.nearest_route(now, candidate, key, is_bound_elsewhere).map(|route| route.link)
     }
 
-    /// Returns the nearest site that can take the candidate. Forwarding costs the same everywhere, so the
-    /// nearest site is best. If there is none, the reason is that of the last site that had capacity.
+    /// Returns the route with the shortest round trip to a site that can take the candidate. Only the round
+    /// trip differs between links: the forwarding margin is the same for all. Links whose round trip has not
+    /// been measured are skipped.
+    ///
+    /// If there is no route, the reason is that of the last site that had capacity. If no site had capacity,
+    /// it is `KeyBoundElsewhere` for a key bound to another site, and `NoPeerCapacity` otherwise.
     fn nearest_route(
         &self,
         now: Time,
         candidate: &Candidate,
         key: Option<&Bytes>,
-        is_bound: bool,
+        is_bound_elsewhere: bool,
     ) -> Result<Route, NotForwarded> {
         let location = key.and_then(|key| self.keys.location(now, key));
         let mut reason =
-            if is_bound { NotForwarded::KeyBoundElsewhere } else { NotForwarded::NoPeerCapacity };
+            if is_bound_elsewhere { NotForwarded::KeyBoundElsewhere } else { NotForwarded::NoPeerCapacity };
         let mut nearest: Option<Route> = None;
         for (&link, outbound) in &self.outbound_links {
             let Some(round_trip) = outbound.round_trip else { continue };
@@ -67,7 +72,7 @@
                 reason = NotForwarded::KeyBoundElsewhere;
                 continue;
             }
-            if let Err(timing_reason) = self.check_timing(candidate, round_trip, is_bound) {
+            if let Err(timing_reason) = self.check_timing(candidate, round_trip, is_bound_elsewhere) {
                 reason = timing_reason;
                 continue;
             }
@@ -103,15 +108,15 @@
         &self,
         candidate: &Candidate,
         round_trip: Time,
-        is_bound: bool,
+        is_bound_elsewhere: bool,
     ) -> Result<(), NotForwarded> {
-        let cost = round_trip / 2 + self.config.forwarding_margin;
-        let is_urgent = candidate.start_in <= cost + self.config.forwarding_lead
+        let forwarding_delay = round_trip / 2 + self.config.forwarding_margin;
+        let is_urgent = candidate.start_in <= forwarding_delay + self.config.forwarding_lead
             || self.load.backlog_exceeds(candidate.start_in);
-        if !is_urgent && !candidate.rejected && !is_bound {
+        if !is_urgent && !candidate.rejected && !is_bound_elsewhere {
             return Err(NotForwarded::CanStillWait);
         }
-        let starts_in_time = candidate.start_in > cost || is_bound;
+        let starts_in_time = candidate.start_in > forwarding_delay || is_bound_elsewhere;
         let answer_in_time = candidate.time_left > round_trip + self.config.forwarding_margin;
         if !starts_in_time || !answer_in_time {
             return Err(NotForwarded::TooLate);
--- a/crates/gateway/src/ledger.rs
+++ b/crates/gateway/src/ledger.rs
@@ -9,8 +9,8 @@
 
 use crate::{ForwardedRequestId, Incarnation, Origin, Outcome, RemoteStatus, SiteId, Time};
 
-/// Maximum number of senders whose highest forgotten ID is stored. It must cover the incarnations of all
-/// peers within the longest retention time.
+/// Number of senders whose highest forgotten ID is stored before an idle sender is dropped. It is exceeded if
+/// no sender is idle. It must cover the incarnations of all peers within the longest retention time.
 const MAX_SENDERS: usize = 1024;
 
 /// One incarnation of a peer's process.
@@ -26,11 +26,11 @@
     }
 }
 
-/// A stored request. An entry is running, then ended, then removed. It is removed at once if the request ends
-/// unstarted or is cancelled.
+/// A stored request. An entry is first `Running`, then `Ended`, then removed. It is removed at once if the
+/// request ends unstarted or is cancelled.
 #[derive(Debug)]
 enum Entry {
-    /// The request is with the local scheduler.
+    /// The request is with the local scheduler, queued or running.
     Running { outcome_retention: Duration },
     /// The outcome is stored until it is acknowledged or `forget_at` passes.
     Ended { outcome: Outcome, forget_at: Time },
@@ -88,7 +88,8 @@
         highest.is_some_and(|highest| origin.forwarded <= *highest)
     }
 
-    /// Adds a request that is handed to the scheduler. Returns false if it was received before.
+    /// Adds a request that is handed to the scheduler. Returns false, without adding it, if it was received
+    /// before or may have been, because its ID is not above the sender's highest forgotten ID.
     pub(crate) fn accept(&mut self, origin: Origin, outcome_retention: Duration) -> bool {
         if self.lookup(origin).status != RemoteStatus::NeverReceived {
             return false;
@@ -104,7 +105,8 @@
         let forget_at = now + *outcome_retention;
         self.running -= 1;
         if outcome == Outcome::Unstarted {
-            // The request never ran, so status queries are answered as for one never received.
+            // The request never ran, so it is not marked as forgotten. Status queries report it as never
+            // received, unless a higher ID of the same sender was forgotten.
             self.entries.remove(&origin);
             return true;
         }
@@ -132,8 +134,8 @@
         }
     }
 
-    /// Forgets the outcomes whose retention time is over, and those next in order while the stored outcomes
-    /// exceed `max_outcomes` or `max_bytes`.
+    /// Forgets the outcomes whose retention time is over. If the remaining outcomes exceed `max_outcomes` or
+    /// `max_bytes`, also forgets those that expire next until they fit.
     pub(crate) fn forget(&mut self, now: Time, max_outcomes: usize, max_bytes: usize) {
         while let Some(&(forget_at, origin)) = self.forget_order.first() {
             let within_bounds = self.forget_order.len() <= max_outcomes && self.stored_bytes <= max_bytes;
@@ -171,8 +173,10 @@
         *highest = (*highest).max(origin.forwarded);
     }
 
-    /// Drops the sender with the lowest incarnation. A dropped sender counts as never seen, so senders with
-    /// entries are not dropped.
+    /// Drops the idle sender with the lowest incarnation, if any. A sender is idle if it has no entries.
+    ///
+    /// A dropped sender counts as never seen: status queries report its forgotten requests as never received.
+    /// Senders with entries are therefore not dropped.
     fn drop_oldest_idle_sender(&mut self) {
         let is_idle = |sender: &Sender| !self.entries.keys().any(|origin| Sender::from(*origin) == *sender);
         let oldest =
--- a/crates/site-link/src/config.rs
+++ b/crates/site-link/src/config.rs
@@ -8,13 +8,15 @@
     /// Interval between heartbeats. Default 200 ms: short compared to the lowest latency objective of a request class,
     /// and still cheap on an idle link.
     pub heartbeat: Duration,
-    /// A link ends if no frame is received for this time. Default 700 ms: three lost heartbeats and a pause.
+    /// A link ends if no frame is received for this time. Default 700 ms: three heartbeat intervals,
+    /// plus 100 ms for a pause.
     pub silence_timeout: Duration,
     /// Maximum duration of the handshake. Default 2 s.
     pub handshake_timeout: Duration,
     /// Delay before a lost link is redialled.
     pub reconnect: ReconnectBackoff,
-    /// Maximum frame size in bytes. Default 256 KiB: four times the size of a 64 KiB body or result with its headers.
+    /// Maximum frame size in bytes. Default 256 KiB: four times the 64 KiB limit of a body or result, to leave room
+    /// for its headers.
     pub max_frame_bytes: usize,
     /// Maximum number of bytes queued for writing. Default 1 MiB. Exceeding it ends the link.
     pub max_queued_bytes: usize,
--- a/src/server/engine/endpoint_list.rs
+++ b/src/server/engine/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Applies updates of the endpoint list to the engine's workers and translates them for the dispatcher.
+//! Applies endpoint list updates to the engine's workers and translates them for the dispatcher.
 //!
 //! [`crate::server::discovery`] watches the list. The dispatcher decides which workers are ejected.
 
@@ -26,8 +26,10 @@
         found.map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// Applies an update of the endpoint list. `from_cache` is true for a list stored by an earlier run.
+    /// Applies an endpoint list update. `from_cache` is true for a list stored by an earlier run.
     pub(super) fn endpoint_list_changed(&mut self, update: EndpointListUpdate, from_cache: bool) {
+        // An unreadable entry may be that of a worker missing from `entries`, so unlisted workers
+        // are then not removed.
         let complete_snapshot = update.complete_snapshot && update.unreadable_entries == 0;
         if complete_snapshot {
             self.remove_unlisted(&update.entries);
@@ -67,7 +69,8 @@
         worker.update(address, active, entry.started_at_s);
     }
 
-    /// Merges the learned state of another process, which uses different worker IDs.
+    /// Translates the worker IDs in the learned state of another process, drops the workers that are
+    /// unknown here, and passes the state to the dispatcher.
     pub(super) fn learned_state_received(&mut self, learned: LearnedState, names: &[(WorkerId, String)]) {
         let local_id = |id: WorkerId| {
             let (_, name) = names.iter().find(|(other, _)| *other == id)?;
--- a/src/server/lifecycle/operator_file.rs
+++ b/src/server/lifecycle/operator_file.rs
@@ -22,11 +22,10 @@
     Secret(#[from] SecretError),
 }
 
-/// Loads the operator's file and its secret if a path is given. Returns `None` if there is no file or it does not configure
-/// a gateway.
+/// Loads the operator's file and its secret. Returns `None` if no path is given or the file has no gateway section.
 ///
 /// # Errors
-/// Returns an error if a file cannot be read or is invalid. Validation errors give their line and column.
+/// Returns an error if a file is missing, cannot be read or is invalid. Validation errors give their line and column.
 pub fn load_optional(path: Option<&Path>) -> Result<Option<SiteLinkSettings>, OperatorFileError> {
     match path {
         Some(path) => load(path),
@@ -37,7 +36,7 @@
 fn load(path: &Path) -> Result<Option<SiteLinkSettings>, OperatorFileError> {
     let text = std::fs::read_to_string(path).map_err(|error| OperatorFileError::File(path.into(), error))?;
     let file = chutesaddle_operator_config::read(&path.display().to_string(), &text)?;
-    let Some(file) = file.gateway else { return Ok(None) };
-    let secret = read_secret(&file.secret)?;
-    Ok(Some(SiteLinkSettings { file, secret }))
+    let Some(gateway) = file.gateway else { return Ok(None) };
+    let secret = read_secret(&gateway.secret)?;
+    Ok(Some(SiteLinkSettings { file: gateway, secret }))
 }
--- a/src/server/peers/site_links/frames.rs
+++ b/src/server/peers/site_links/frames.rs
@@ -12,7 +12,7 @@
 use super::dialer::PeerAddressWatch;
 use super::handshake::EstablishedLink;
 use super::links::{CloseReason, Direction, SiteLinks, READ_BYTES};
-use crate::server::peers::site_messages::{LinkInbox, LinkOutbox, SiteLinkEvent};
+use crate::server::peers::site_messages::{LinkOutbox, OutboxReceiver, SiteLinkEvent};
 
 /// Write timeout for the last frame of a link, which tells the peer the close reason.
 const BYE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -29,7 +29,7 @@
     ) -> CloseReason {
         let EstablishedLink { mut stream, link, peer, direction } = established;
         let id = self.next_link_id();
-        let (outbox, inbox) = LinkOutbox::channel();
+        let (outbox, outbox_receiver) = LinkOutbox::channel();
         self.notify(SiteLinkEvent::Up {
             link: id,
             site: peer.site,
@@ -39,7 +39,7 @@
         });
         let mut driver =
             LinkDriver { links: self, id, link, pending_write: None, frames: Vec::new(), round_trip: None };
-        let reason = driver.run(&mut stream, inbox, address_watch).await;
+        let reason = driver.run(&mut stream, outbox_receiver, address_watch).await;
         self.notify(SiteLinkEvent::Down(id));
         if reason.should_notify_peer() {
             send_close_reason(&mut stream, &mut driver.link, &reason).await;
@@ -88,7 +88,7 @@
     async fn run<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         stream: &mut S,
-        mut inbox: LinkInbox,
+        mut outbox_receiver: OutboxReceiver,
         address_watch: &mut Option<PeerAddressWatch>,
     ) -> CloseReason {
         let (mut reader, mut writer) = split(stream);
@@ -99,7 +99,7 @@
             let result = tokio::select! {
                 written = write_some(&mut writer, self.pending_write.as_ref()) => self.handle_written(written),
                 count = reader.read_buf(&mut buffer) => self.handle_read(count, &mut buffer),
-                frame = inbox.recv() => self.send(frame),
+                frame = outbox_receiver.recv() => self.send(frame),
                 () = sleep_until(next_tick_at) => self.link.tick(self.links.now()).map_err(CloseReason::from),
                 () = address_changed(address_watch) => Err(CloseReason::Closed),
             };
--- a/src/server/peers/site_messages.rs
+++ b/src/server/peers/site_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the site links and the engine. Like [`crate::server::messages`], this module depends on neither of
-//! the two, which avoids circular module dependencies.
+//! Messages between the site links and the engine. Like [`crate::server::messages`], this module depends on neither the
+//! site links nor the engine, which avoids circular module dependencies.
 
 use std::time::Duration;
 
@@ -16,12 +16,13 @@
 #[derive(Debug)]
 pub struct LinkOutbox(mpsc::Sender<Frame>);
 
-/// The link task's side: receives the frames to send. The task closes the link when the channel is closed.
-pub type LinkInbox = mpsc::Receiver<Frame>;
+/// The link task's side: receives the frames that the engine queued for the peer. The task closes the link when
+/// the channel is closed.
+pub type OutboxReceiver = mpsc::Receiver<Frame>;
 
 impl LinkOutbox {
     /// Creates a channel and returns both sides.
-    pub fn channel() -> (Self, LinkInbox) {
+    pub fn channel() -> (Self, OutboxReceiver) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         (LinkOutbox(sender), receiver)
     }
@@ -32,7 +33,8 @@
     }
 }
 
-/// Notifications from the site links to the engine.
+/// Events for the engine's site forwarding: changes of the links, received frames, answers to requests from other
+/// sites, and changes of the drain state and the settings.
 #[derive(Debug)]
 pub enum SiteLinkEvent {
     /// A link has completed its handshake.
@@ -71,7 +73,7 @@
         /// The measured round-trip time.
         round_trip: Duration,
     },
-    /// A request forwarded by another site has been answered.
+    /// This site has answered a request that another site forwarded to it.
     RequestAnswered {
         /// Origin of the request.
         origin: Origin,
