--- a/src/server/load_report.rs
+++ b/src/server/load_report.rs
@@ -28,7 +28,7 @@
     report.map(|report| from_object(&report)).unwrap_or_default()
 }
 
-/// Parses a response body: a JSON object, a JSON object with the report in [`REPORT_FIELD`], or the header format.
+/// Parses a response body: a JSON object, a JSON object with the report in its `load` field, or the header format.
 pub fn from_body(mut body: Vec<u8>) -> RawLoadReport {
     let is_object = body.trim_ascii().starts_with(b"{");
     if !is_object {
