--- a/tests/server/attempts.rs
+++ b/tests/server/attempts.rs
@@ -1,9 +1,11 @@
-//! Attempts on sockets: each way to end, cancelling, and pooled connections to workers.
+//! Attempts over sockets: how they end, cancellation, and pooled connections to workers.
 
 use rstest::rstest;
 
-use crate::scenario::{play, World, PLAIN};
+use crate::scenario::{run_scenario, Environment, DEFAULT};
 
+/// Callbacks arrive early, twice, from the wrong worker or with unusual content. The client must receive exactly one
+/// response, from the worker that ran the request.
 #[rstest]
 #[case::forwarded_unchanged(
     "c1 send request r1 publish-map
@@ -17,7 +19,7 @@
     c2 expect 200
     c1 expect HTTP/1.1 200 & drawn"
 )]
-#[case::done_before_the_202(
+#[case::done_callback_before_the_202(
     "c1 send request r1
     m1 expect r1
     c2 send callback r1 m1 done
@@ -41,13 +43,13 @@
     c1 expect third
     s wait flows_ended_done 2"
 )]
-#[case::result_that_is_not_text_is_answered_as_json(
+#[case::non_text_result_is_returned_as_json(
     "c1 send request r1
     m1 expect r1
     c2 send callback r1 m1 done \"result\":{\"tiles\":[1,2]}
     c1 expect 200 & {\"tiles\":[1,2]}"
 )]
-#[case::callback_of_another_worker_is_ignored(
+#[case::callback_from_another_worker_is_ignored(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -59,7 +61,7 @@
     c2 send callback r1 m1 done
     c1 expect drawn"
 )]
-#[case::load_report_may_come_with_any_end(
+#[case::load_report_in_a_callback_and_in_a_rejection(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -72,22 +74,23 @@
     s wait flows_ended_returned 1"
 )]
 fn completed_request_is_answered_once(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+    run_scenario(&DEFAULT, scenario);
 }
 
-/// Only m1 is listed when the request arrives, and only m2 when the first attempt ends.
+/// The first attempt ends without a result, in each of the possible ways. Only m1 is listed when the request arrives,
+/// and only m2 when the first attempt ends, so the retry goes to m2.
 #[rstest]
 #[case::failed("m1 send 202\nc2 send callback r1 m1 failed\nc2 expect 200", "failed")]
 #[case::lost("m1 send 202\nc2 send callback r1 m1 lost\nc2 expect 200", "lost")]
 #[case::returned("m1 send 202\nc2 send callback r1 m1 returned\nc2 expect 200", "returned")]
-#[case::error("m1 send 500", "failed")]
+#[case::internal_server_error("m1 send 500", "failed")]
 #[case::rejected_as_not_run("m1 send 503 X-Not-Run: 1", "returned")]
 #[case::overloaded_but_may_have_run("m1 send 503", "failed")]
-#[case::closed_before_the_answer("m1 close", "broke_waiting")]
+#[case::closed_before_the_response("m1 close", "broke_waiting")]
 #[case::not_http("m1 send raw nonsense\\r\\n\\r\\n", "garbled")]
-fn each_end_is_counted_and_the_request_is_retried(#[case] end: &str, #[case] counter: &str) {
-    play(
-        &PLAIN,
+fn attempt_without_a_result_is_counted_by_its_end_and_retried(#[case] end: &str, #[case] counter: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "d expect new follow=1
             d send 200 Transfer-Encoding: chunked
@@ -106,9 +109,10 @@
     );
 }
 
+/// A worker may close a pooled connection at any time. A request sent on a closed or unusable connection would fail.
 #[rstest]
-#[case::free_again_after_the_202(
-    PLAIN,
+#[case::reused_after_the_202(
+    DEFAULT,
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -120,8 +124,8 @@
     m1 expect r2
     s wait member_reuses 1"
 )]
-#[case::closed_by_the_worker(
-    PLAIN,
+#[case::not_reused_once_closed_by_the_worker(
+    DEFAULT,
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -135,8 +139,8 @@
     c1 expect 200
     s wait member_connects 2"
 )]
-#[case::with_an_unexpected_answer(
-    PLAIN,
+#[case::not_reused_after_an_unexpected_response(
+    DEFAULT,
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -146,8 +150,8 @@
     c1 send request r2
     m1 expect new r2"
 )]
-#[case::the_worker_says_close(
-    PLAIN,
+#[case::not_reused_after_connection_close(
+    DEFAULT,
     "c1 send request r1
     m1 expect r1
     m1 send 202 Connection: close
@@ -156,8 +160,8 @@
     c1 send request r2
     m1 expect new r2"
 )]
-#[case::closed_as_the_next_request_arrives(
-    PLAIN,
+#[case::closed_while_the_next_request_is_sent(
+    DEFAULT,
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -176,8 +180,8 @@
     c1 send request r3
     m1 expect new r3"
 )]
-#[case::closed_when_idle_before_the_worker_would(
-    World { conn_idle_s: 0.2, ..PLAIN },
+#[case::closed_before_the_idle_timeout_of_the_worker(
+    Environment { worker_idle_timeout_s: 0.2, ..DEFAULT },
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -185,10 +189,12 @@
     c2 send callback r1 m1 done
     c1 expect 200"
 )]
-fn connections_are_reused_only_when_sound(#[case] world: World, #[case] scenario: &str) {
-    play(&world, scenario);
+fn pooled_connection_is_reused_only_while_usable(#[case] environment: Environment, #[case] scenario: &str) {
+    run_scenario(&environment, scenario);
 }
 
+/// An attempt whose client has disconnected, or whose deadline has passed, must not occupy the worker any longer. The
+/// DELETE may meet a closed connection, a silent worker or the callback of the attempt.
 #[rstest]
 #[case::client_disconnects_after_the_202(
     "c1 send request r1
@@ -204,7 +210,7 @@
     c3 send request r2
     m1 expect r2"
 )]
-#[case::connection_for_the_delete_is_gone(
+#[case::connection_closes_during_the_delete(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -252,26 +258,26 @@
     s wait answered_rejected 1"
 )]
 fn unneeded_attempt_is_cancelled(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+    run_scenario(&DEFAULT, scenario);
 }
 
-/// The silent worker has not notified that the request has started, so it is retried elsewhere. No second attempt may
-/// begin before the first is cancelled.
+/// m1 accepts the request but never notifies that it has started, so the request is retried on m2. The retry waits until m1
+/// has confirmed the DELETE: two attempts must not run at the same time.
 #[rstest]
-#[case::to_a_worker_that_serves("m2 send 202\nc2 send callback r1 m2 done\nc1 expect drawn")]
-#[case::and_the_first_completes_after_all(
+#[case::retry_completes("m2 send 202\nc2 send callback r1 m2 done\nc1 expect drawn")]
+#[case::first_attempt_completes_after_all(
     "m2 send 202\nc2 send callback r1 m1 done\nc1 expect drawn\nm2 expect DELETE"
 )]
-fn silent_worker_loses_the_request(#[case] then: &str) {
-    play(
-        &PLAIN,
+fn request_at_a_silent_worker_is_cancelled_and_then_retried(#[case] then: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "d expect new follow=1
             d send 200 Transfer-Encoding: chunked
             c1 send request r1 draw-map 8000
             m1 expect r1
             m1 send 202
-            d send some m2:active
+            d send diff m2:active
             m1 expect DELETE /jobs/r1
             m2 expect silence
             m1 send 200
@@ -281,11 +287,11 @@
     );
 }
 
-/// A request whose DELETE cannot be sent may still run: sent elsewhere, it would run twice.
+/// If the DELETE cannot be sent, the request may still be running. A retry elsewhere would run it twice.
 #[test]
-fn request_at_an_unreachable_worker_is_not_sent_elsewhere() {
-    play(
-        &PLAIN,
+fn request_at_an_unreachable_worker_is_not_retried_before_it_is_lost() {
+    run_scenario(
+        &DEFAULT,
         "d expect new follow=1
         d send 200 Transfer-Encoding: chunked
         c1 send request r1
@@ -294,7 +300,7 @@
         c2 send callback r1 m1 started
         c2 expect 200
         m1 close listener
-        d send some m2:active
+        d send diff m2:active
         s wait deletes 2
         m2 expect silence
         c2 send callback r1 m1 lost
@@ -306,11 +312,12 @@
     );
 }
 
-/// Another connection is opened for the DELETE as soon as the only one is in use again.
+/// When the last idle connection to a worker is taken for a request, another one is opened, so that a DELETE never
+/// waits for a connection.
 #[test]
-fn connection_is_kept_free_for_cancelling() {
-    play(
-        &PLAIN,
+fn one_connection_stays_idle_for_cancellation() {
+    run_scenario(
+        &DEFAULT,
         "c1 send request r1
         m1 expect r1
         m1 send 202
@@ -325,12 +332,13 @@
     );
 }
 
+/// A worker refuses connections or never responds. The client must receive a 503 in time and not wait for the worker.
 #[rstest]
 #[case::connection_refused("m1 close listener\nc1 send request r1 draw-map 900", "connect_refused")]
 #[case::worker_silent_before_the_202("c1 send request r1 draw-map 900\nm1 expect r1", "withdrawn")]
-fn request_that_cannot_be_served_is_rejected_in_time(#[case] first: &str, #[case] counter: &str) {
-    play(
-        &PLAIN,
+fn request_that_cannot_be_served_is_rejected_before_its_deadline(#[case] first: &str, #[case] counter: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "{first}
             c1 expect HTTP/1.1 503 & Retry-After: 2.000
@@ -341,7 +349,7 @@
     );
 }
 
-/// Where the settings allow probes, an ejected worker is tried with one and not with a client's request.
+/// If probes are enabled, an ejected worker is tested with a capacity probe and not with a client's request.
 #[rstest]
 #[case::free_slots("200", "Content-Length: 4\\r\\n\\r\\nx0=2")]
 #[case::load_in_an_object("200", "Content-Length: 8\\r\\n\\r\\n{\"x0\":2}")]
@@ -364,5 +372,5 @@
         c1 expect drawn
         s wait probes 1"
     );
-    play(&PLAIN, &scenario);
+    run_scenario(&DEFAULT, &scenario);
 }
--- a/tests/server/gateway.rs
+++ b/tests/server/gateway.rs
@@ -1,11 +1,12 @@
-//! The gateway between two sites: what is forwarded, what comes back, and what a cut between them leaves of it.
+//! The gateway between two sites: which requests are forwarded, how they are answered, and how they survive failures
+//! of the site link and of either scheduler.
 
 use rstest::rstest;
 
-use crate::scenario::{play, SITES};
+use crate::scenario::{run_scenario, TWO_SITES};
 
-/// Both slots of the site `a` are in use, and the site `b` has granted its two.
-const FULL: &str = "
+/// Both slots of site `a` are in use, and site `b` has granted its two slots.
+const SITE_A_FULL: &str = "
     c1 send request r1
     m1 expect r1
     m1 send 202
@@ -17,8 +18,8 @@
     o1 wait METRICS => svc.gateway.out.limit.b=2
 ";
 
-/// A request with an idempotency key is forwarded, and the worker of the other site has it.
-const FORWARDED: &str = "
+/// A request with an idempotency key is forwarded and runs on the worker of site `b`.
+const FORWARD_R3: &str = "
     c3 send request r3 publish-map 8000 3
     m2 expect r3 & map of r3 & Idempotency-Key: k3
     m2 send 202
@@ -26,6 +27,8 @@
     o2 wait METRICS => svc.gateway.open_out=1
 ";
 
+/// A request of site `a` runs at site `b` while the link fails, a scheduler stops or dies, or the settings change. It
+/// must not be answered twice and must not run a second time at site `a`.
 #[rstest]
 #[case::is_answered_once(
     "
@@ -46,33 +49,33 @@
     r1 wait METRICS => svc.gateway.open_in=0
     o3 wait METRICS => svc.gateway.open_out=0"
 )]
-#[case::survives_a_cut_after_it_was_accepted(
+#[case::survives_a_partition_after_it_was_accepted(
     "
-    w send cut
+    w send drop
     s expect log site link down site=b
-    w send sound
+    w send forward
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send callback r3 m2 done
     c3 expect 200 & drawn"
 )]
-#[case::completed_during_the_cut(
+#[case::completed_during_a_partition(
     "
-    w send cut
+    w send drop
     s expect log site link down site=b
     f1 send callback r3 m2 done
     f1 expect 200
     r1 wait METRICS => svc.ok.publish-map=1
-    w send sound
+    w send forward
     c3 expect 200 & drawn
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::survives_the_loss_of_the_answer(
+#[case::survives_the_loss_of_the_response(
     "
-    w send back
+    w send drop-replies
     f1 send callback r3 m2 done
     f1 expect 200
     s expect log site link down site=b
-    w send sound
+    w send forward
     c3 expect 200 & drawn"
 )]
 #[case::survives_a_connection_reset(
@@ -82,7 +85,7 @@
     f1 send callback r3 m2 done
     c3 expect 200 & drawn"
 )]
-#[case::other_process_dies(
+#[case::other_scheduler_is_killed(
     "
     t send KILL
     s expect log site link down site=b
@@ -102,7 +105,7 @@
     o3 wait METRICS => svc.gateway.out.up.b=0
     o4 wait METRICS => svc.gateway.unknown=0"
 )]
-#[case::own_process_is_stopped(
+#[case::own_scheduler_is_stopped(
     "
     s send TERM
     s expect log stopping waiting_requests=3
@@ -114,7 +117,7 @@
     c2 expect 200
     s expect exit 0"
 )]
-#[case::other_process_is_stopped(
+#[case::other_scheduler_is_stopped(
     "
     t send TERM
     t expect log stopping
@@ -122,7 +125,7 @@
     c3 expect 200 & drawn
     t expect exit 0"
 )]
-#[case::repeat_of_its_key_follows_it(
+#[case::repeat_of_its_key_is_forwarded_too(
     "
     f1 send callback r3 m2 done
     c3 expect 200 & drawn
@@ -138,7 +141,7 @@
     c6 expect 200
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::repeat_of_its_key_while_the_other_site_is_gone_is_rejected_at_once(
+#[case::repeat_of_its_key_is_rejected_while_the_other_site_is_down(
     "
     t send KILL
     o3 wait METRICS => svc.gateway.out.up.b=0
@@ -146,18 +149,19 @@
     c6 expect HTTP/1.1 503 & Retry-After
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-fn forwarded_request_with_a_key(#[case] then: &str) {
-    play(&SITES, &format!("{FULL}{FORWARDED}{then}"));
+fn forwarded_request_with_idempotency_key(#[case] then: &str) {
+    run_scenario(&TWO_SITES, &format!("{SITE_A_FULL}{FORWARD_R3}{then}"));
 }
 
+/// Site `a` has no free slot. The request is forwarded, or runs at site `a` later if site `b` did not accept it.
 #[rstest]
 #[case::offer_is_lost(
     "
-    w send cut
+    w send drop
     c3 send request r3 publish-map 8000 3
     o2 wait METRICS => svc.gateway.crossed=1
     s expect log site link down site=b
-    w send sound
+    w send forward
     o3 wait METRICS => svc.gateway.returned=1
     c4 send callback r1 m1 done
     m1 expect r3
@@ -168,19 +172,19 @@
 )]
 #[case::acceptance_is_lost(
     "
-    w send back
+    w send drop-replies
     c3 send request r3 publish-map 8000 3
     m2 expect r3
     m2 send 202
     f9 send callback r3 m2 started
     s expect log site link down site=b
-    w send sound
+    w send forward
     o3 wait METRICS => svc.gateway.resumed=1
     f1 send callback r3 m2 done
     c3 expect 200 & drawn
     o9 wait METRICS => svc.tries.publish-map=0"
 )]
-#[case::other_site_is_slower_than_the_time_left(
+#[case::other_site_misses_the_deadline(
     "
     c3 send request r3 publish-map 700 3
     m2 expect r3
@@ -188,7 +192,7 @@
     c3 expect HTTP/1.1 502
     m2 expect DELETE /jobs/r3"
 )]
-#[case::runs_here_when_its_id_is_in_use_there(
+#[case::runs_locally_if_its_id_is_in_use_at_the_other_site(
     "
     f1 send request r3
     m2 expect r3
@@ -203,7 +207,7 @@
     c5 send callback r3 m1 done
     c3 expect 200 & drawn"
 )]
-#[case::silent_peer_gets_nothing(
+#[case::silent_peer_gets_no_request(
     "
     t send STOP
     s expect log site link down site=b
@@ -213,7 +217,7 @@
     t send CONT
     o3 wait METRICS => svc.gateway.crossed=0"
 )]
-#[case::paused_peer_accepts_nothing(
+#[case::draining_peer_gets_no_request(
     "
     r1 send raw PAUSE\\n
     r1 expect +OK
@@ -223,14 +227,14 @@
     m1 expect r3
     o3 wait METRICS => svc.gateway.crossed=0"
 )]
-fn request_that_finds_no_capacity_here(#[case] then: &str) {
-    play(&SITES, &format!("{FULL}{then}"));
+fn request_without_local_capacity(#[case] then: &str) {
+    run_scenario(&TWO_SITES, &format!("{SITE_A_FULL}{then}"));
 }
 
 #[test]
-fn requests_stay_where_there_is_capacity() {
-    play(
-        &SITES,
+fn request_with_local_capacity_is_not_forwarded() {
+    run_scenario(
+        &TWO_SITES,
         "
         o1 wait METRICS => svc.gateway.out.limit.b=2
         c1 send request r1
@@ -244,14 +248,17 @@
 
 #[rstest]
 #[case::another_protocol("g1 send raw GET / HTTP/1.1\\r\\n\\r\\n", "the other end is no gateway")]
-#[case::a_long_frame("g1 send raw zzzzzzzzzzzz", "the other end is no gateway")]
-fn caller_that_is_no_peer_is_rejected_and_nothing_else_is_affected(#[case] call: &str, #[case] why: &str) {
-    play(
-        &SITES,
+#[case::oversized_frame("g1 send raw zzzzzzzzzzzz", "the other end is no gateway")]
+fn connection_that_is_not_a_peer_is_rejected_without_effect_on_others(
+    #[case] sent: &str,
+    #[case] error: &str,
+) {
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{call}
-            t expect log site link rejected error={why}
-            {FULL}{FORWARDED}
+            "{sent}
+            t expect log site link rejected error={error}
+            {SITE_A_FULL}{FORWARD_R3}
             f1 send callback r3 m2 done
             c3 expect 200 & drawn"
         ),
@@ -259,28 +266,28 @@
 }
 
 #[test]
-fn unreadable_secret_changes_nothing() {
-    play(
-        &SITES,
+fn reload_with_an_unreadable_secret_changes_nothing() {
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{FULL}
+            "{SITE_A_FULL}
             s send operator secret-file \" => secret-file \"/nowhere
             s send HUP
             s expect log the configuration is not reloaded
-            {FORWARDED}
+            {FORWARD_R3}
             f1 send callback r3 m2 done
             c3 expect 200 & drawn"
         ),
     );
 }
 
-/// The secret of one side changes: no link comes up any more, and requests stay.
+/// The secret of one site changes. New site links fail the handshake, and requests are not forwarded any more.
 #[test]
-fn wrong_secret_keeps_the_sites_apart() {
-    play(
-        &SITES,
+fn sites_with_different_secrets_do_not_connect() {
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{FULL}
+            "{SITE_A_FULL}
             s send operator .secret\" => .kdl\"
             s send HUP
             s expect log the configuration is reloaded
@@ -295,13 +302,14 @@
     );
 }
 
-/// The receiver removes its peer from its settings: what it has accepted is answered, and then its link is closed.
+/// Site `b` removes site `a` from its settings. It still answers the requests that it has accepted, then closes the
+/// link.
 #[test]
-fn receiver_that_removes_its_peer_answers_what_it_has_accepted() {
-    play(
-        &SITES,
+fn receiver_answers_accepted_requests_after_it_removes_its_peer() {
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{FULL}{FORWARDED}
+            "{SITE_A_FULL}{FORWARD_R3}
             t send operator peer \"a\" => peer \"c\"
             t send HUP
             t expect log the configuration is reloaded
@@ -313,14 +321,14 @@
     );
 }
 
-/// The sender's process is replaced while a request of it is forwarded: the old one waits for its end, the new one has
-/// links of its own.
+/// The scheduler of site `a` is replaced while one of its requests is forwarded. The predecessor keeps its link until
+/// the request is answered, and the successor opens its own.
 #[test]
 fn upgrade_of_the_sender_answers_forwarded_requests() {
-    play(
-        &SITES,
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{FULL}{FORWARDED}
+            "{SITE_A_FULL}{FORWARD_R3}
             s2 send START
             s expect log a successor takes over
             d expect new GET /v1/endpoints
@@ -336,14 +344,14 @@
     );
 }
 
-/// The receiver's process is replaced while it has a request of another site: the old one keeps it to its end, and
-/// callbacks that reach the new one are passed on to it.
+/// The scheduler of site `b` is replaced while it runs a forwarded request. The predecessor keeps the request until
+/// it is answered, and callbacks that reach the successor are passed on to the predecessor.
 #[test]
-fn upgrade_of_the_receiver_answers_what_it_has_accepted() {
-    play(
-        &SITES,
+fn upgrade_of_the_receiver_answers_accepted_requests() {
+    run_scenario(
+        &TWO_SITES,
         &format!(
-            "{FULL}{FORWARDED}
+            "{SITE_A_FULL}{FORWARD_R3}
             t2 send START
             t expect log a successor takes over
             e expect new GET /v1/endpoints
--- a/tests/server/gossip.rs
+++ b/tests/server/gossip.rs
@@ -1,26 +1,28 @@
-//! Gossip between schedulers, as far as one of them shows it: whose messages it accepts, and that it serves whatever
-//! arrives. Several at a time are in the fault-injection tests.
+//! Gossip as seen by one scheduler: which datagrams it accepts, and that it serves requests whatever arrives. The
+//! fault-injection tests run several schedulers.
 
 use rstest::rstest;
 
-use crate::scenario::{play, NOTES};
+use crate::scenario::{run_scenario, GOSSIP};
 
+/// Datagrams from unknown senders, of invalid length or in an unknown format reach the gossip socket. They must
+/// neither be applied nor stop the gossip.
 #[rstest]
-#[case::from_a_stranger("x send datagram 8")]
+#[case::from_an_unknown_sender("x send datagram 8")]
 #[case::empty("n1 send datagram 0")]
-#[case::too_long("n1 send datagram 300")]
-#[case::in_another_format("n1 send datagram 8")]
-fn ignores_and_counts_a_datagram_that_is_no_gossip_message(#[case] sent: &str) {
-    play(
-        &NOTES,
+#[case::oversized("n1 send datagram 300")]
+#[case::in_an_unknown_format("n1 send datagram 8")]
+fn invalid_datagram_is_ignored_and_counted(#[case] sent: &str) {
+    run_scenario(
+        &GOSSIP,
         &format!(
-            "n1 expect note
+            "n1 expect gossip
             {sent}
             s wait notes_ignored 1
             c1 send request r1
             m1 expect r1
             m1 send 202
-            n1 expect note
+            n1 expect gossip
             c2 send callback r1 m1 done
             c1 expect 200
             s wait notes_sent 2"
@@ -28,12 +30,13 @@
     );
 }
 
-/// The settings of one deployment are replaced by those of another and back, while a request is in flight.
+/// A reload replaces the settings of one deployment by those of another and back while a request is in flight. The
+/// request must be answered, and gossip must stop and resume with the settings.
 #[test]
 fn applies_the_settings_of_another_deployment_on_sighup() {
-    play(
-        &NOTES,
-        r#"n1 expect note
+    run_scenario(
+        &GOSSIP,
+        r#"n1 expect gossip
         c1 send request r1
         m1 expect r1
         m1 send 202
@@ -50,7 +53,7 @@
         s send config "second_copies":false,"may_cancel" => "peer_messages":true,"probes":true,"may_cancel"
         s send config "fields":["eps"] => "fields":["queue","x0"]
         s send HUP
-        n1 expect note
+        n1 expect gossip
         c1 send request r2
         m1 expect r2
         m1 send 202
--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -1,18 +1,18 @@
-//! The upgrade: a successor takes over from the process that serves.
+//! Upgrades: a successor takes over from the serving process.
 
 use rstest::rstest;
 
-use crate::scenario::{play, PLAIN};
+use crate::scenario::{run_scenario, DEFAULT};
 
-/// An endpoint list has come.
-const KNOWN: &str = "
+/// The scheduler receives an endpoint list.
+const LIST_RECEIVED: &str = "
     d expect GET /v1/endpoints
     d send 200 Transfer-Encoding: chunked
     d send full m1:active
     s wait pool_updates 1
 ";
 
-/// Starts the successor and waits until it serves, which it does once its own endpoint list has come.
+/// Starts the successor and waits until it serves, which requires its own endpoint list.
 const UPGRADE: &str = "
     s2 send START
     s expect log a successor takes over
@@ -25,8 +25,10 @@
     o1 wait STATUS => -ERR replaced
 ";
 
+/// A request, a connection or the result of a callback could be lost, or a request run twice, when connections and
+/// requests migrate to the successor.
 #[rstest]
-#[case::idle_connections_are_handed_on(
+#[case::idle_connections_are_handed_over(
     "
     c1 send request r1
     m1 expect r1
@@ -68,7 +70,7 @@
     c4 send callback r2 m1 done
     c2 expect 200 & drawn"
 )]
-#[case::the_client_of_a_migrated_request_may_leave(
+#[case::client_of_a_migrated_request_disconnects(
     "
     c1 send request r1
     m1 expect r1
@@ -79,7 +81,7 @@
     c1 close
     m1 expect new DELETE /jobs/r1"
 )]
-#[case::a_request_being_sent_is_migrated_once_the_worker_has_accepted_it(
+#[case::request_is_migrated_once_the_worker_has_accepted_it(
     "
     c1 send request r1
     m1 expect r1",
@@ -91,7 +93,7 @@
     c3 send callback r1 m1 done
     c1 expect drawn"
 )]
-#[case::attempts_of_a_migrated_request_stay_counted(
+#[case::attempts_of_a_migrated_request_are_retained(
     "
     c1 send request r1
     m1 expect r1
@@ -108,7 +110,7 @@
     c1 expect HTTP/1.1 503
     p3 wait METRICS => svc.tries.draw-map=1"
 )]
-#[case::an_id_open_at_the_predecessor_is_in_use(
+#[case::id_in_flight_at_the_predecessor_is_rejected(
     "
     c1 send request r1
     m1 expect r1
@@ -122,7 +124,7 @@
     c4 send request r1
     m1 expect new r1"
 )]
-#[case::silent_connections_are_served_by_the_successor(
+#[case::unused_connections_are_served_by_the_successor(
     "
     c1 send raw ",
     "
@@ -131,7 +133,7 @@
     c1 send GET /ready HTTP/1.1||
     c1 expect HTTP/1.1 200"
 )]
-#[case::the_predecessor_serves_again_if_the_successor_dies(
+#[case::predecessor_serves_again_if_the_successor_dies(
     "",
     "
     s2 send KILL
@@ -146,7 +148,7 @@
     d expect new GET /v1/endpoints
     p3 wait STATUS => +OK serving"
 )]
-#[case::operators_cannot_change_a_replaced_process(
+#[case::replaced_process_rejects_operator_commands(
     "",
     "
     o2 send raw PAUSE\\n
@@ -156,16 +158,16 @@
     c1 send GET /ready HTTP/1.1||
     c1 expect 503"
 )]
-fn a_new_process_takes_over(#[case] before: &str, #[case] after: &str) {
-    play(&PLAIN, &format!("{KNOWN}{before}{UPGRADE}{after}"));
+fn successor_takes_over(#[case] before: &str, #[case] after: &str) {
+    run_scenario(&DEFAULT, &format!("{LIST_RECEIVED}{before}{UPGRADE}{after}"));
 }
 
-/// The second upgrade begins while the first predecessor is still finishing: a request that cannot be migrated yet, as
-/// its worker has not answered, goes from the first process to the third.
+/// The second upgrade begins while the first predecessor still has a request that it cannot migrate, since its worker
+/// has not responded yet. The request later migrates from the first process to the third.
 #[test]
-fn a_second_upgrade_goes_like_the_first() {
-    play(
-        &PLAIN,
+fn request_migrates_across_two_overlapping_upgrades() {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "d expect GET /v1/endpoints
             d send 200 Transfer-Encoding: chunked
@@ -199,14 +201,14 @@
     );
 }
 
-/// It knows only the stable frames: idle connections are closed, and requests are finished here, also by callbacks
-/// that come in there.
+/// A successor of another build reads only the stable frames. Idle connections are closed, and the predecessor
+/// finishes its requests, also with callbacks that reach the successor.
 #[test]
-fn a_process_of_another_build_takes_over_and_no_request_is_lost() {
-    play(
-        &PLAIN,
+fn successor_of_another_build_takes_over_without_losing_requests() {
+    run_scenario(
+        &DEFAULT,
         &format!(
-            "{KNOWN}
+            "{LIST_RECEIVED}
         c1 send request r1
         m1 expect r1
         m1 send 202
@@ -214,7 +216,7 @@
         c2 expect HTTP/1.1 200
         v expect 0
         v expect 2
-        v send other
+        v send unknown
         v send serving
         s expect log of another build
         o1 wait STATUS => -ERR replaced
@@ -234,11 +236,11 @@
     );
 }
 
-/// A file that a killed process left behind is no process.
+/// A killed process leaves its handover socket file behind. The next process must start without a predecessor.
 #[test]
-fn a_stale_socket_file_is_passed_over() {
-    play(
-        &PLAIN,
+fn stale_handover_socket_is_ignored() {
+    run_scenario(
+        &DEFAULT,
         "s send KILL
         s expect exit killed
         s2 send START
--- a/tests/server/lifecycle.rs
+++ b/tests/server/lifecycle.rs
@@ -1,13 +1,15 @@
-//! Start and stop.
+//! Startup errors and graceful shutdown.
 
 use std::process::Command;
 
 use rstest::rstest;
 
-use crate::scenario::{play, PLAIN};
+use crate::scenario::{run_scenario, DEFAULT};
 
+/// SIGTERM must not lose a request that has been admitted or a callback that it waits for. The process exits with
+/// status 0 once all requests are answered.
 #[rstest]
-#[case::with_nothing_to_do(
+#[case::without_requests(
     "s send TERM
     s expect exit 0
     s expect log stopped counters=
@@ -42,7 +44,7 @@
     s expect exit 0
     s expect log rejected_at_door 1"
 )]
-#[case::a_message_that_began_in_time_is_admitted_though_it_ends_late(
+#[case::message_begun_before_the_signal_is_admitted(
     "c1 send raw POST /draw-map/a HTTP/1.1\\r\\nX-Request-Id: r1\\r\\nX-Tenant: acme\\r\\n
     c2 send GET /ready HTTP/1.1||
     c2 expect 200
@@ -55,7 +57,7 @@
     c1 expect 200 & Connection: close & drawn
     s expect exit 0"
 )]
-#[case::a_discovery_that_moves_meanwhile_is_followed(
+#[case::new_discovery_address_is_applied_while_stopping(
     "d expect new since=41
     d send 200 Transfer-Encoding: chunked
     c1 send request r1
@@ -72,15 +74,15 @@
     s expect exit 0"
 )]
 fn stops_gracefully(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+    run_scenario(&DEFAULT, scenario);
 }
 
 #[rstest]
-#[case::no_file("/nonexistent", "cannot read /nonexistent")]
-#[case::no_json("Cargo.toml", "not JSON")]
-fn logs_why_it_cannot_start(#[case] path: &str, #[case] why: &str) {
+#[case::missing_file("/nonexistent", "cannot read /nonexistent")]
+#[case::invalid_json("Cargo.toml", "not JSON")]
+fn logs_the_error_that_prevents_startup(#[case] path: &str, #[case] error: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_chutesaddle")).env("NODE_CONFIG", path).output().unwrap();
     assert!(!output.status.success());
     let log = String::from_utf8_lossy(&output.stderr);
-    assert!(log.contains(why), "{log}");
+    assert!(log.contains(error), "{log}");
 }
--- a/tests/server/main.rs
+++ b/tests/server/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler as a program, spoken to over sockets. Scenarios are grouped by the module they test.
+//! Network tests: the scheduler runs as a process and is tested over sockets. Scenarios are grouped by the module
+//! that they test; `scenario` describes their language.
 
 mod attempts;
 mod build;
--- a/tests/server/operator_interface.rs
+++ b/tests/server/operator_interface.rs
@@ -1,25 +1,26 @@
-//! The operator interface: its commands, the metrics, and the drain.
+//! The operator interface: commands, metrics and draining.
 
 use rstest::rstest;
 
-use crate::scenario::{play, World, PLAIN};
+use crate::scenario::{run_scenario, Environment, DEFAULT};
 
 #[rstest]
 #[case::status("raw STATUS\\n", "+OK serving")]
 #[case::status_with_a_carriage_return("raw STATUS\\r\\n", "+OK serving")]
 #[case::metrics("raw METRICS\\n", "+OK & svc.ok.draw-map=0 & svc.tries.publish-map=0")]
-#[case::resume_of_one_that_serves("raw RESUME\\n", "+OK serving")]
-#[case::unknown("raw REBOOT\\n", "-ERR")]
-#[case::nothing("raw \\n", "-ERR")]
-fn a_command_gets_one_answer_and_a_close(#[case] call: &str, #[case] answer: &str) {
-    play(&PLAIN, &format!("o1 send {call}\no1 expect {answer}"));
+#[case::resume_while_serving("raw RESUME\\n", "+OK serving")]
+#[case::unknown_command("raw REBOOT\\n", "-ERR")]
+#[case::empty_command("raw \\n", "-ERR")]
+fn command_gets_one_answer_and_the_connection_is_closed(#[case] command: &str, #[case] answer: &str) {
+    run_scenario(&DEFAULT, &format!("o1 send {command}\no1 expect {answer}"));
 }
 
+/// A command may be split over segments. One without a line end must not be buffered without limit.
 #[test]
-fn a_command_may_come_in_pieces_and_has_a_bound() {
+fn command_may_arrive_in_pieces_and_is_bounded() {
     let long = "x".repeat(300);
-    play(
-        &PLAIN,
+    run_scenario(
+        &DEFAULT,
         &format!(
             "o1 send raw STA
             o2 send raw {long}
@@ -31,19 +32,22 @@
     );
 }
 
-/// More operators than the interface serves send nothing, and a crowd of clients has taken every connection.
+/// More stalled operators than the interface serves at once, and clients that occupy every client connection, must
+/// not keep another operator from being answered.
 #[test]
-fn stalled_operators_and_a_crowd_of_clients_keep_no_operator_out() {
+fn operator_is_served_despite_stalled_operators_and_exhausted_client_connections() {
     let mut scenario: String =
         (1..=9).map(|n| format!("c{n} send request r{n}\ns wait transactions_taken {n}\n")).collect();
     scenario += &(10..40).map(|n| format!("c{n} send raw POST /dr\n")).collect::<String>();
     scenario += &(1..=12).map(|n| format!("o{n} send raw STAT\n")).collect::<String>();
     scenario += "o20 send raw STATUS\\n\no20 expect +OK\no1 expect eof\n";
-    play(&World { sockets: 20, ..PLAIN }, &scenario);
+    run_scenario(&Environment { max_sockets: 20, ..DEFAULT }, &scenario);
 }
 
+/// Each event must be counted once, and only when it has happened: an attempt whose bytes were never sent does not
+/// count.
 #[rstest]
-#[case::served_and_active(
+#[case::served_and_active_requests(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -55,7 +59,7 @@
     o1 wait METRICS => svc.tries.draw-map=1
     o1 wait METRICS => svc.ok.publish-map=0"
 )]
-#[case::rejected_after_its_attempts(
+#[case::request_rejected_after_its_attempts(
     "c1 send request r1 publish-map
     m1 expect r1
     m1 send 500
@@ -67,7 +71,7 @@
     o1 wait METRICS => svc.shed.publish-map=1
     o1 wait METRICS => svc.tries.publish-map=3"
 )]
-#[case::an_id_in_use(
+#[case::id_in_use(
     "c1 send request r1
     m1 expect r1
     c2 send request r1
@@ -75,7 +79,7 @@
     o1 wait METRICS => svc.errors.draw-map=1
     o1 wait METRICS => svc.active=1"
 )]
-#[case::rejected_on_arrival(
+#[case::request_rejected_on_arrival(
     "c9 send request r9
     m1 expect r9
     m1 send 202
@@ -87,7 +91,7 @@
     c2 expect HTTP/1.1 503 & Retry-After
     o1 wait METRICS => svc.shed.publish-map=1"
 )]
-#[case::nothing_is_an_attempt_before_its_last_byte_is_written(
+#[case::attempt_only_once_its_last_byte_is_written(
     "m1 close listener
     c1 send request r1 draw-map 600
     c1 expect 503
@@ -96,20 +100,22 @@
     o1 wait METRICS => svc.shed.draw-map=1
     o1 wait METRICS => svc.pool_ejected=1"
 )]
-#[case::the_endpoint_list(
+#[case::endpoint_list_size(
     "o1 wait METRICS => svc.pool_size=1
     d expect GET /v1/endpoints
     d send 200 Transfer-Encoding: chunked
     d send full m1:active m2:leaving
     o1 wait METRICS => svc.pool_size=2
-    d send some m2:left
+    d send diff m2:left
     o1 wait METRICS => svc.pool_size=1
     o1 wait METRICS => svc.pool_ejected=0"
 )]
-fn metrics_count_what_happened(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+fn metrics_count_requests_attempts_and_workers(#[case] scenario: &str) {
+    run_scenario(&DEFAULT, scenario);
 }
 
+/// PAUSE must fail the readiness check and close idle connections but lose no request. RESUME undoes it, unless the
+/// process is stopping.
 #[rstest]
 #[case::requests_in_flight_are_finished(
     "c1 send request r1
@@ -136,7 +142,7 @@
     c4 expect Connection: close & drawn
     o3 wait STATUS => -ERR drained"
 )]
-#[case::later_ones_are_rejected(
+#[case::idle_scheduler_is_drained_at_once(
     "o1 send raw PAUSE\\n
     o1 expect +OK
     o2 wait STATUS => -ERR drained
@@ -144,7 +150,7 @@
     o3 send raw PAUSE\\n
     o3 expect +OK drained"
 )]
-#[case::resume_takes_clients_again(
+#[case::resume_accepts_clients_again(
     "o1 send raw PAUSE\\n
     o1 expect +OK
     o2 wait STATUS => drained
@@ -160,7 +166,7 @@
     c1 send request r2
     m1 expect r2"
 )]
-#[case::nothing_takes_back_a_stop(
+#[case::stop_cannot_be_undone(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -176,6 +182,6 @@
     c1 expect drawn
     s expect exit 0"
 )]
-fn an_operator_drains_the_scheduler(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+fn operator_drains_the_scheduler(#[case] scenario: &str) {
+    run_scenario(&DEFAULT, scenario);
 }
--- a/tests/server/races.rs
+++ b/tests/server/races.rs
@@ -1,21 +1,23 @@
-//! Races: a close, a signal or a timeout at the same moment as something else. The order of the two events is forced
-//! by what each party waits for. The table of them is `docs/races.md`.
+//! Races between a close, a signal or a timeout and another event. Each scenario forces the order of the two events
+//! by what its actors wait for. `docs/races.md` lists the races.
 
 use rstest::rstest;
 
-use crate::scenario::{play, PLAIN};
+use crate::scenario::{run_scenario, DEFAULT};
 
-/// More than the scheduler reads ahead behind a request that waits.
-fn unread() -> String {
+/// More bytes than the scheduler reads ahead after a request that is still unanswered.
+fn unread_bytes() -> String {
     format!("raw POST /draw-map/b HTTP/1.1\\r\\nX-Pad: {}", "x".repeat(64 * 1024))
 }
 
+/// The close arrives after more bytes than the scheduler reads ahead, so reading alone would not show it. The request
+/// must still be cancelled.
 #[rstest]
 #[case::after_the_worker_accepted_the_request("m1 send 202", "m1 expect DELETE /jobs/r1")]
 #[case::before_the_worker_answered("", "m1 expect eof")]
-fn client_that_closes_behind_unread_bytes_has_disconnected(#[case] before: &str, #[case] given_up: &str) {
-    play(
-        &PLAIN,
+fn close_after_unread_bytes_cancels_the_request(#[case] before: &str, #[case] cancellation: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "c1 send request r1
             m1 expect r1
@@ -23,36 +25,40 @@
             c1 send {}
             c1 close
             s wait clients_left 1
-            {given_up}",
-            unread()
+            {cancellation}",
+            unread_bytes()
         ),
     );
 }
 
+/// As above, for a request that waits because its only worker is draining. It must not run when the worker is active
+/// again.
 #[test]
-fn close_behind_unread_bytes_ends_a_request_that_no_worker_can_run() {
-    play(
-        &PLAIN,
+fn close_after_unread_bytes_drops_a_queued_request() {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "d expect new since=41
             d send 200 Transfer-Encoding: chunked
-            d send some m1:leaving
+            d send diff m1:leaving
             s wait pool_updates 1
             c1 send request r1
             c1 send {}
             c1 close
             s wait clients_left 1
-            d send some m1:active
+            d send diff m1:active
             m1 expect silence",
-            unread()
+            unread_bytes()
         ),
     );
 }
 
+/// A client sends further requests while the scheduler closes its idle connection. The client must see an orderly
+/// close and no reset, and the late requests must not be admitted.
 #[test]
-fn request_that_crosses_the_close_of_its_idle_connection_meets_no_reset() {
-    play(
-        &PLAIN,
+fn request_sent_while_its_idle_connection_closes_causes_no_reset() {
+    run_scenario(
+        &DEFAULT,
         "c1 send request r1
         m1 expect r1
         m1 send 202
@@ -75,10 +81,12 @@
     );
 }
 
+/// Unread bytes after the request would make the close a reset, which destroys a response that the client has not
+/// read.
 #[test]
-fn last_answer_before_the_exit_survives_bytes_behind_its_request() {
-    play(
-        &PLAIN,
+fn last_response_before_exit_survives_unread_bytes() {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "c1 send request r1
             m1 expect r1
@@ -91,17 +99,18 @@
             c1 expect fin
             c1 close
             s expect exit 0",
-            unread()
+            unread_bytes()
         ),
     );
 }
 
-/// A client's time runs while its request waits behind another one on the same connection: the worker is told what is
-/// left of it. Discovery is silent here, so that its loss shows that 1.9 s have passed.
+/// The deadline of a pipelined request counts from its arrival, not from when the previous request on the connection
+/// is answered: the worker receives the remaining time. Discovery is silent here, so the `discovery lost` line shows
+/// that 1.9 s have passed.
 #[test]
-fn pipelined_request_states_no_more_time_than_its_client_waits() {
-    play(
-        &PLAIN,
+fn deadline_of_a_pipelined_request_includes_its_wait() {
+    run_scenario(
+        &DEFAULT,
         "c1 send request r1 draw-map 8000
         m1 expect r1
         m1 send 202
@@ -117,6 +126,8 @@
     );
 }
 
+/// SIGTERM arrives before the worker has accepted the request, followed by another event. The request must be
+/// answered before the process exits.
 #[rstest]
 #[case::second_sigterm(
     "s send TERM
@@ -130,13 +141,13 @@
 )]
 #[case::worker_that_closes_before_its_answer("m1 close\nm1 expect new r1\nm1 send 202")]
 #[case::endpoint_list_in_which_its_worker_drains(
-    "d send some m1:leaving
+    "d send diff m1:leaving
     s wait pool_updates 1
     m1 send 202"
 )]
 fn accepted_request_is_answered_though_sigterm_is_followed_by(#[case] next: &str) {
-    play(
-        &PLAIN,
+    run_scenario(
+        &DEFAULT,
         &format!(
             "d expect new since=41
             d send 200 Transfer-Encoding: chunked
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,16 +1,17 @@
-//! SIGHUP: the configuration is reloaded while the scheduler serves.
+//! Reload: SIGHUP applies a changed configuration while the scheduler serves.
 
 use rstest::rstest;
 
-use crate::scenario::{play, PLAIN};
+use crate::scenario::{run_scenario, DEFAULT};
 
-/// The new address numbers its lists in its own way; what still comes from the old address is ignored.
+/// The discovery address changes. The versions of the new address are independent of those of the old one, so the
+/// first poll starts at 0. Lists that still arrive from the old address are ignored.
 #[rstest]
-#[case::by_increments("false")]
-#[case::by_a_complete_snapshot("true")]
-fn discovery_is_followed_to_its_new_address(#[case] full: &str) {
-    play(
-        &PLAIN,
+#[case::incremental_update("false")]
+#[case::complete_snapshot("true")]
+fn watch_moves_to_the_new_discovery_address(#[case] full: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             r#"d expect new since=41
             d send 200 Transfer-Encoding: chunked
@@ -34,13 +35,14 @@
     );
 }
 
+/// An invalid configuration file must neither be applied in part nor stop the process.
 #[rstest]
-#[case::no_json("s send config {\"name\" => {{\"name\"", "not JSON")]
-#[case::no_address("s send config {d} => nowhere", "no usable \"discovery\"")]
-#[case::no_number("s send config \"slo_s\":3 => \"slo_s\":\"soon\"", "cannot read value \"soon\"")]
-fn an_invalid_file_changes_nothing(#[case] change: &str, #[case] why: &str) {
-    play(
-        &PLAIN,
+#[case::invalid_json("s send config {\"name\" => {{\"name\"", "not JSON")]
+#[case::unusable_address("s send config {d} => nowhere", "no usable \"discovery\"")]
+#[case::non_numeric_setting("s send config \"slo_s\":3 => \"slo_s\":\"soon\"", "cannot read value \"soon\"")]
+fn invalid_file_changes_nothing(#[case] change: &str, #[case] error: &str) {
+    run_scenario(
+        &DEFAULT,
         &format!(
             "c1 send request r1
             m1 expect r1
@@ -48,7 +50,7 @@
             {change}
             s send HUP
             s expect log the configuration is not reloaded
-            s expect log {why}
+            s expect log {error}
             c2 send callback r1 m1 done
             c1 expect 200
             s send TERM
@@ -57,8 +59,10 @@
     );
 }
 
+/// Settings change while requests are in flight or the process is stopping. Requests keep their class and are
+/// answered.
 #[rstest]
-#[case::a_setting(
+#[case::changed_setting(
     "s send config \"max_retry_after_s\":2 => \"max_retry_after_s\":1
     s send HUP
     s expect log the configuration is reloaded
@@ -66,7 +70,7 @@
     c1 send request r1 draw-map 900
     c1 expect 503 & Retry-After: 1.000"
 )]
-#[case::a_class_more_and_another_order(
+#[case::additional_class_in_front_of_the_others(
     "c1 send request r1
     m1 expect r1
     s send config \"grades\":[{ => \"grades\":[{\"name\":\"paint-map\",\"effect\":\"repeatable\"},{
@@ -95,7 +99,7 @@
     c7 send request r7
     c7 expect 503 & Retry-After: 0.500"
 )]
-#[case::what_cannot_change(
+#[case::keys_that_need_a_restart_are_logged(
     "s send config \"draw-map\" => \"sketch\"
     s send config \"listen\":\"127.0.0.1:0\" => \"listen\":\"127.0.0.1:1\"
     s send HUP
@@ -103,7 +107,7 @@
     c1 send request r1
     m1 expect r1"
 )]
-#[case::many_signals_and_a_drain(
+#[case::repeated_signals_while_stopping(
     "c1 send request r1
     m1 expect r1
     m1 send 202
@@ -117,6 +121,6 @@
     c1 expect 200
     s expect exit 0"
 )]
-fn a_reload_applies_the_file(#[case] scenario: &str) {
-    play(&PLAIN, scenario);
+fn reload_applies_the_file(#[case] scenario: &str) {
+    run_scenario(&DEFAULT, scenario);
 }
--- a/tests/server/scenario/config.rs
+++ b/tests/server/scenario/config.rs
@@ -1,32 +1,32 @@
-//! The platform's configuration, as the scenarios have it.
+//! The platform configuration of the scenarios.
 
 use std::collections::HashMap;
 use std::net::UdpSocket;
 
-use super::{discovery, World};
+use super::{discovery, Environment};
 
-/// The version of the endpoint list in the configuration.
-pub(super) const KNOWN_VERSION: u64 = 41;
+/// Version of the endpoint list in the configuration.
+pub(super) const INITIAL_LIST_VERSION: u64 = 41;
 
-/// The configuration of the scheduler, or of that of the site `a`.
-pub(super) fn of_scheduler(
-    world: &World,
+/// The configuration of the scheduler under test. With two sites it is the one of site `a`.
+pub(super) fn scheduler_config(
+    environment: &Environment,
     addresses: &HashMap<String, String>,
     datagrams: &HashMap<String, UdpSocket>,
 ) -> String {
-    let mut config = plain(world, addresses);
-    if world.notes {
+    let mut config = base_config(environment, addresses);
+    if environment.gossip {
         config = with_gossip(&config, &datagrams["n1"].local_addr().unwrap().to_string());
     }
-    if world.sites {
-        // Progress is no matter here: without it, no request is moved.
+    if environment.two_sites {
+        // The workers report no progress. A longer interval keeps running requests from being retried as overdue.
         config = config.replace(r#""progress_s":1"#, r#""progress_s":30"#);
     }
     config
 }
 
-/// The configuration of the site `b`, which has the discovery `e` and the worker `m2`.
-pub(super) fn of_other_site(config: &str, addresses: &HashMap<String, String>) -> String {
+/// The configuration of site `b`, with discovery `e` and the worker `m2`.
+pub(super) fn other_site_config(config: &str, addresses: &HashMap<String, String>) -> String {
     config
         .replacen("n1", "n2", 1)
         .replace(&addresses["d"], &addresses["e"])
@@ -34,7 +34,7 @@
         .replace(&addresses["m1"], &addresses["m2"])
 }
 
-fn plain(world: &World, addresses: &HashMap<String, String>) -> String {
+fn base_config(environment: &Environment, addresses: &HashMap<String, String>) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","ops":"127.0.0.1:0","discovery":"{}","seed":"1f","limits":{{"sockets":{}}},
             "known":{},"settings":{{"membership_mode":"{}","areas":["a","b"],"kinds":["k"],"balancers":1,"tick_s":0.005,
@@ -46,10 +46,10 @@
             "contract":{{"cold_share":0.13,"warm_within_s":24,"fall_multiple":3,"overload_for_s":3}},
             "specifics":{{"tells_start":true,"progress_s":1,"report_x0":"free_slots"}}}}}}"#,
         addresses["d"],
-        world.sockets,
-        discovery::list(KNOWN_VERSION, true, world.known, addresses),
-        if world.agent { "pushed" } else { "on_request" },
-        world.conn_idle_s,
+        environment.max_sockets,
+        discovery::endpoint_list(INITIAL_LIST_VERSION, true, environment.initial_workers, addresses),
+        if environment.pushed_lists { "pushed" } else { "on_request" },
+        environment.worker_idle_timeout_s,
     )
 }
 
--- a/tests/server/scenario/gossip.rs
+++ b/tests/server/scenario/gossip.rs
@@ -1,29 +1,33 @@
-//! The other scheduler `n1` and the stranger `x`, as far as datagrams go.
+//! Datagrams of the second scheduler `n1` and of the unknown sender `x`.
 
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use super::{same, text_of, until, Step, PATIENCE};
+use super::{error_text, expect_equal, poll_until, StepResult, STEP_TIMEOUT};
 
-/// Longer than the longest gap between two gossip messages.
-const SILENCE: Duration = Duration::from_millis(700);
-/// The longest gossip message.
-const MAX_BYTES: usize = 256;
+/// Longer than the longest interval between two gossip messages.
+const QUIET_PERIOD: Duration = Duration::from_millis(700);
+/// Maximum size of a gossip message.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-/// `datagram N`: so many zero bytes.
-pub(super) fn send(socket: &UdpSocket, text: &str, to: String) -> Step {
-    let length = text.strip_prefix("datagram ").and_then(|length| length.parse().ok()).ok_or("a length")?;
-    socket.send_to(&vec![0; length], to).map_err(text_of)?;
+/// `datagram N`: sends N zero bytes.
+pub(super) fn send(socket: &UdpSocket, text: &str, to: String) -> StepResult {
+    let length = text
+        .strip_prefix("datagram ")
+        .and_then(|length| length.parse().ok())
+        .ok_or("expected `datagram N`")?;
+    socket.send_to(&vec![0; length], to).map_err(error_text)?;
     Ok(())
 }
 
-/// `note` or `silence`.
-pub(super) fn expect(socket: &UdpSocket, text: &str) -> Step {
+/// `gossip`: a message of valid size arrives. `silence`: no more messages arrive.
+pub(super) fn expect(socket: &UdpSocket, text: &str) -> StepResult {
     if text == "silence" {
-        socket.set_read_timeout(Some(SILENCE)).unwrap();
-        return until(|| socket.recv(&mut [0; 300]).is_err().then_some(())).ok_or("it goes on".into());
+        socket.set_read_timeout(Some(QUIET_PERIOD)).unwrap();
+        return poll_until(|| socket.recv(&mut [0; 300]).is_err().then_some(()))
+            .ok_or("gossip messages keep arriving".into());
     }
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
-    let length = socket.recv(&mut [0; 300]).map_err(text_of)?;
-    same(if length <= MAX_BYTES { text } else { "more than 256 bytes" }, "note")
+    socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    let length = socket.recv(&mut [0; 300]).map_err(error_text)?;
+    expect_equal(if length <= MAX_MESSAGE_BYTES { text } else { "more than 256 bytes" }, "gossip")
 }
--- a/tests/server/scenario/mod.rs
+++ b/tests/server/scenario/mod.rs
@@ -1,45 +1,81 @@
-//! The one helper of the network tests: starts the scheduler, plays the parties around it, and reads
-//! scenarios in a small language. A line is `ACTOR VERB TEXT`; the verbs are send, expect, close, wait.
+//! Test harness of the network tests. It starts the scheduler as a process, simulates the clients, workers and other
+//! services around it, and runs scenarios written in a small language.
 //!
-//! | module | what it plays |
+//! A scenario has one step a line, `ACTOR VERB TEXT`. Steps run in order; the first that fails fails the test. The
+//! verbs are `send`, `expect`, `close` and `wait`:
+//!
+//! ```text
+//! c1 send request r1              a client sends the request r1
+//! m1 expect r1                    the worker m1 receives a message that contains "r1"
+//! m1 send 202                     the worker accepts it
+//! c2 send callback r1 m1 done     the worker's callback arrives on another connection
+//! c1 expect HTTP/1.1 200 & drawn  the client receives the result
+//! ```
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | `stage` | a whole scenario: which step belongs to which actor |
-//! | `process` | the scheduler's processes, their log and their signals |
-//! | `connection` | connections of clients, workers and discovery |
-//! | `operator` | operators' commands, and the operator's file |
+//! | `stage` | the runner: dispatches each step to its actor |
+//! | `process` | scheduler processes, their logs and signals |
+//! | `connection` | TCP connections of clients, workers and discovery |
+//! | `operator` | operator commands and the operator file |
 //! | `discovery` | endpoint lists |
-//! | `config` | the platform's configuration |
-//! | `gossip` | the other scheduler, as far as datagrams go |
-//! | `site_wire` | the wire between two sites |
+//! | `config` | the platform configuration |
+//! | `gossip` | UDP datagrams of another scheduler |
+//! | `site_wire` | the proxy on the site link |
+//!
+//! # Actors
+//!
+//! | actor | role |
+//! | --- | --- |
+//! | `s` | the scheduler under test |
+//! | `s2`, `s3` | further processes with the same configuration, started by `s2 send START` |
+//! | `c1`, `c2` .. | connections to `s`, of clients and of workers that send callbacks |
+//! | `m1`, `m2` | workers; each uses the connection that it accepted last |
+//! | `d`, `d2` | discovery services; each uses the connection that it accepted last |
+//! | `o1` .., `p1` .., `q1` .. | operators of `s`, `s2` and `s3`; an answer is everything up to the end of the connection |
+//! | `v` | a process of another build that replaces `s`; it knows only the stable handover frames |
+//! | `n1`, `x` | with [`GOSSIP`]: the second scheduler, and a sender that is not in the configuration |
+//! | `t`, `t2` | with [`TWO_SITES`]: the scheduler of site `b`, and a process that replaces it; `s` is at site `a` |
+//! | `e`, `m2` | with [`TWO_SITES`]: discovery and the worker of site `b` |
+//! | `f1` .., `r1` .., `u1` .. | with [`TWO_SITES`]: connections to `t`, operators of `t` and of `t2` |
+//! | `g1` .. | with [`TWO_SITES`]: connections to the gateway of `t` |
+//! | `w` | with [`TWO_SITES`]: the proxy through which site `a` connects to site `b` |
 //!
-//! Actors: `c1`, `c2` .. are connections to the scheduler, of clients and of workers that send callbacks; `m1`,
-//! `m2` .. are workers, `d` and `d2` are discovery, each with the connection it accepted last; `o1`, `o2` ..
-//! are operators, whose answer reaches to the end; `s` is the scheduler itself. `s2` and `s3`
-//! are further processes of it, which `s2 send START` starts beside it; `p1`, `p2` .. and `q1`, `q2` .. are
-//! operators of these.
+//! # `send`
 //!
-//! - `send TEXT`: a message; `|` ends a line of the head, `||` the head. `raw TEXT` is sent as it stands,
-//!   with `\r` and `\n`. Short forms: `request ID CLASS MS HEADERS`, `callback ID FROM STATE RESULT`, `202 HEADERS`,
-//!   and of discovery `line TEXT`, `full m1:active` and `some m1:leaving:-5` (started 5 s ago). `s send TERM`
-//!   signals the scheduler, `s send config OLD => NEW` changes its file; `{d2}` stands for an address.
+//! | actor | text | meaning |
+//! | --- | --- | --- |
+//! | connections | `LINE\|HEADER\|HEADER\|\|BODY` | an HTTP message: `\|` ends a line, `\|\|` ends the head |
+//! | | `raw TEXT` | the bytes of `TEXT`, with `\r` and `\n` as escapes; `raw` alone only opens the connection |
+//! | | `request ID CLASS DEADLINE_MS KEY` | a request; defaults: `draw-map 8000 1` |
+//! | | `callback ID FROM STATE FIELDS` | a callback; `FIELDS` are JSON members, by default `"result":"drawn"` |
+//! | | `202 HEADERS` | a response with this status |
+//! | `d`, `d2`, `e` | `full m1:active`, `diff m1:leaving:-5` | a complete snapshot, an incremental update; m1 started 5 s ago |
+//! | | `line TEXT` | one line of an endpoint list; `{m1}` is replaced by the address of `m1` |
+//! | `s`, `t` and their replacements | `TERM`, `HUP`, `KILL` .. | a signal |
+//! | `s` | `config OLD => NEW` | replaces text in the configuration file; `{d2}` is replaced by the address of `d2` |
+//! | `s`, `t` | `operator OLD => NEW` | replaces text in the operator file |
+//! | `n1`, `x` | `datagram N` | a datagram of N zero bytes |
+//! | `v` | `serving`, `callback ID FROM`, `unknown` | a handover frame; `unknown`: of a format that the scheduler does not know |
+//! | `w` | `forward`, `drop`, `drop-replies`, `reset` | what the proxy does with data from now on; `reset` closes all connections once |
 //!
-//! In [`NOTES`] the scheduler is number 0 of two that send each other gossip. `n1` is the other one and `x` a stranger;
-//! `send datagram N` sends so many zero bytes, `n1 expect note` waits for what the scheduler
-//! broadcasts, and `n1 expect silence` until it broadcasts nothing any more.
+//! # `expect`
 //!
-//! `v` is a process of another build that replaces the scheduler, as far as stable frames go: `v send serving`,
-//! `v send callback ID FROM`, `v send other`, and `v expect KIND` of a frame.
+//! | actor | text | meaning |
+//! | --- | --- | --- |
+//! | connections | `PART & not PART` | the next message contains, or does not contain, each part |
+//! | | `new TEXT` | the same on a new connection |
+//! | | `eof`, `fin` | the connection is closed; `fin`: without a reset |
+//! | | `silence` | no data and no new connection has arrived |
+//! | processes | `exit CODE`, `exit killed`, `log TEXT` | the process exits, or has logged the text |
+//! | `n1` | `gossip`, `silence` | a gossip message arrives; messages stop |
+//! | `v` | `KIND` | a handover frame of this kind arrives |
 //!
-//! In [`SITES`] the scheduler is the site `a`, and `t` is that of the site `b` (`t2`: one that replaces it), with
-//! the discovery `e`, the worker `m2`, clients `f1` .. and operators `r1` .. (of `t2`: `u1` ..). `w` is the wire on
-//! which `a` dials `b`: `w send cut`, `back` (nothing comes back), `reset`, `sound`. `g1` .. call at the gateway of
-//! `b`. `s send operator OLD => NEW` (or `t`) changes the operator's file.
+//! # `close` and `wait`
 //!
-//! - `expect TEXT`: the next message holds each part, parts set apart by ` & ` (`not PART`: does not hold it); `expect new TEXT`: on a new
-//!   connection. Also `eof`, `fin` (the same, without a reset), `silence` (nothing has come), and for the scheduler `exit 0`, `exit killed` and `log TEXT`.
-//! - `close`: the connection; `close listener`: the listener as well.
-//! - `wait COUNTER N`: until the scheduler has counted that far; of an operator, `wait CALL => PART`: until an
-//!   answer to that call holds the part.
+//! - `close` closes the actor's connection, `close listener` its listener too.
+//! - `s wait COUNTER N` waits until the counter has reached N.
+//! - `o1 wait COMMAND => PART` repeats an operator command until its answer contains the part.
 
 mod config;
 mod connection;
@@ -52,85 +88,85 @@
 
 use std::time::{Duration, Instant};
 
-use stage::Stage;
+use stage::ScenarioRunner;
 
-/// No verdict depends on it: what is expected comes at once, or the test fails after this.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Wait between two looks at something that is expected.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Limit for each step. Only a failing test waits this long: what is expected arrives at once.
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which an expected condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a scenario starts with.
-pub(crate) struct World {
-    /// The workers known at the start, as in `d send full`.
-    pub known: &'static str,
-    /// Descriptors that its configuration allows.
-    pub sockets: usize,
-    /// Descriptors that the system allows it.
-    pub descriptors: u32,
-    /// When workers close idle connections, in seconds.
-    pub conn_idle_s: f64,
-    /// Lists are pushed: discovery is an agent on the scheduler's machine, which is asked often while it is silent.
-    pub agent: bool,
-    /// There is a second scheduler, as far as gossip goes.
-    pub notes: bool,
-    /// There is a second site, and a gateway between the two.
-    pub sites: bool,
+/// The environment in which a scenario starts.
+pub(crate) struct Environment {
+    /// The workers of the endpoint list in the configuration, in the notation of `d send full`.
+    pub initial_workers: &'static str,
+    /// Descriptor budget in the configuration (`limits.sockets`).
+    pub max_sockets: usize,
+    /// Descriptor limit of the operating system (`ulimit -n`).
+    pub descriptor_limit: u32,
+    /// Idle time after which workers close connections, in seconds.
+    pub worker_idle_timeout_s: f64,
+    /// Endpoint lists are pushed: discovery is an agent on the scheduler's machine and is polled often while silent.
+    pub pushed_lists: bool,
+    /// Adds a second scheduler, of which only the gossip exists.
+    pub gossip: bool,
+    /// Adds a second site and a gateway between the two.
+    pub two_sites: bool,
 }
 
-/// Two workers, of which the first takes work.
-pub(crate) const PLAIN: World = World {
-    known: "m1:active",
-    sockets: 1024,
-    descriptors: 1024,
-    conn_idle_s: 60.0,
-    agent: false,
-    notes: false,
-    sites: false,
+/// One scheduler, with the worker `m1` in its endpoint list. `m2` listens too but is not listed.
+pub(crate) const DEFAULT: Environment = Environment {
+    initial_workers: "m1:active",
+    max_sockets: 1024,
+    descriptor_limit: 1024,
+    worker_idle_timeout_s: 60.0,
+    pushed_lists: false,
+    gossip: false,
+    two_sites: false,
 };
 
-/// One of two schedulers that send each other gossip.
-pub(crate) const NOTES: World = World { notes: true, ..PLAIN };
+/// Scheduler 0 of two that gossip.
+pub(crate) const GOSSIP: Environment = Environment { gossip: true, ..DEFAULT };
 
 /// Two sites, each with a worker.
-pub(crate) const SITES: World = World { sites: true, ..PLAIN };
+pub(crate) const TWO_SITES: Environment = Environment { two_sites: true, ..DEFAULT };
 
-/// What a step has come to; the error says why the scenario fails.
-type Step = Result<(), String>;
+/// The result of a step. The error says why the scenario fails.
+type StepResult = Result<(), String>;
 
-/// Plays a scenario and fails where it does not come out as written.
-pub(crate) fn play(world: &World, scenario: &str) {
-    let mut stage = Stage::new(world);
+/// Runs a scenario. Panics at the first step that fails, and at the end if a process has panicked.
+pub(crate) fn run_scenario(environment: &Environment, scenario: &str) {
+    let mut runner = ScenarioRunner::new(environment);
     for (number, line) in scenario.lines().map(str::trim).enumerate().filter(|(_, line)| !line.is_empty()) {
         let mut words = line.splitn(3, ' ');
         let mut word = || words.next().unwrap_or_default();
         let (actor, verb, text) = (word(), word(), word());
-        stage
+        runner
             .step(actor, verb, text)
-            .unwrap_or_else(|why| panic!("line {}, {line:?}: {why}\nlog:\n{}", number + 1, stage.logs()));
+            .unwrap_or_else(|why| panic!("line {}, {line:?}: {why}\nlog:\n{}", number + 1, runner.logs()));
     }
-    let log = stage.logs();
+    let log = runner.logs();
     assert!(!log.contains("panicked"), "{log}");
 }
 
-/// What `look` finds, as soon as it finds something; `None` after [`PATIENCE`].
-fn until<T>(mut look: impl FnMut() -> Option<T>) -> Option<T> {
-    let end = Instant::now() + PATIENCE;
+/// Calls `check` until it returns a value. Returns `None` after [`STEP_TIMEOUT`].
+fn poll_until<T>(mut check: impl FnMut() -> Option<T>) -> Option<T> {
+    let end = Instant::now() + STEP_TIMEOUT;
     loop {
-        match look() {
-            None if Instant::now() < end => std::thread::sleep(LOOK_INTERVAL),
+        match check() {
+            None if Instant::now() < end => std::thread::sleep(POLL_INTERVAL),
             found => return found,
         }
     }
 }
 
-fn same(got: &str, wanted: &str) -> Step {
-    if got == wanted {
+fn expect_equal(actual: &str, expected: &str) -> StepResult {
+    if actual == expected {
         Ok(())
     } else {
-        Err(format!("got {got:?}"))
+        Err(format!("expected {expected:?}, got {actual:?}"))
     }
 }
 
-fn text_of(error: impl ToString) -> String {
+fn error_text(error: impl ToString) -> String {
     error.to_string()
 }
--- a/tests/server/scenario/operator.rs
+++ b/tests/server/scenario/operator.rs
@@ -1,13 +1,13 @@
-//! Operators: their commands, and the operator's file.
+//! Operator commands and the operator file.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// The first letters of actors that are operators: their answers reach to the end of the connection.
-pub(super) const OPERATORS: [char; 5] = ['o', 'p', 'q', 'r', 'u'];
+/// First letters of the operators' actor names. Their answers reach to the end of the connection.
+pub(super) const OPERATOR_PREFIXES: [char; 5] = ['o', 'p', 'q', 'r', 'u'];
 
-/// The process whose operators begin with this letter.
-pub(super) fn process_of(operator: &str) -> &'static str {
+/// The process that this operator connects to.
+pub(super) fn process_for(operator: &str) -> &'static str {
     match operator.as_bytes()[0] {
         b'o' => "s",
         b'p' => "s2",
@@ -17,8 +17,8 @@
     }
 }
 
-/// Sends a command, and returns the answer.
-pub(super) fn command(address: &str, line: &str) -> Option<String> {
+/// Sends a command and returns its answer.
+pub(super) fn send_command(address: &str, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.write_all(format!("{line}\n").as_bytes()).ok()?;
     let mut text = String::new();
@@ -26,7 +26,7 @@
     Some(text)
 }
 
-/// Writes an operator's file beside a configuration: requests are forwarded as soon as no slot is free.
+/// Writes the operator file of a configuration. Its settings forward requests as soon as no slot is free.
 pub(super) fn write_file(config: &str, site: &str, peer: &str, connect: &str) {
     let secret = format!("{config}.secret");
     std::fs::write(&secret, "a secret for two sites\n").unwrap();
