--- a/tests/server/scenario/gossip.rs
+++ b/tests/server/scenario/gossip.rs
@@ -5,7 +5,7 @@
 
 use super::{error_text, expect_equal, poll_until, StepResult, STEP_TIMEOUT};
 
-/// Longer than the longest interval between two gossip messages.
+/// No message for this long means that gossip has stopped. Longer than the longest interval between two messages.
 const QUIET_PERIOD: Duration = Duration::from_millis(700);
 /// Maximum size of a gossip message.
 const MAX_MESSAGE_BYTES: usize = 256;
--- a/tests/server/scenario/mod.rs
+++ b/tests/server/scenario/mod.rs
@@ -1,7 +1,7 @@
 //! Test harness of the network tests. It starts the scheduler as a process, simulates the clients, workers and other
 //! services around it, and runs scenarios written in a small language.
 //!
-//! A scenario has one step a line, `ACTOR VERB TEXT`. Steps run in order; the first that fails fails the test. The
+//! A scenario has one step per line, `ACTOR VERB TEXT`. Steps run in order, and the first failure ends the test. The
 //! verbs are `send`, `expect`, `close` and `wait`:
 //!
 //! ```text
@@ -12,6 +12,9 @@
 //! c1 expect HTTP/1.1 200 & drawn  the client receives the result
 //! ```
 //!
+//! The first `send` or `expect` of an actor opens its connection: actors with a listener accept one, the others
+//! connect.
+//!
 //! | module | contents |
 //! | --- | --- |
 //! | `stage` | the runner: dispatches each step to its actor |
@@ -28,14 +31,14 @@
 //! | actor | role |
 //! | --- | --- |
 //! | `s` | the scheduler under test |
-//! | `s2`, `s3` | further processes with the same configuration, started by `s2 send START` |
+//! | `s2`, `s3` | successors of `s` with the same configuration, started by `s2 send START` |
 //! | `c1`, `c2` .. | connections to `s`, of clients and of workers that send callbacks |
 //! | `m1`, `m2` | workers; each uses the connection that it accepted last |
 //! | `d`, `d2` | discovery services; each uses the connection that it accepted last |
 //! | `o1` .., `p1` .., `q1` .. | operators of `s`, `s2` and `s3`; an answer is everything up to the end of the connection |
 //! | `v` | a process of another build that replaces `s`; it knows only the stable handover frames |
 //! | `n1`, `x` | with [`GOSSIP`]: the second scheduler, and a sender that is not in the configuration |
-//! | `t`, `t2` | with [`TWO_SITES`]: the scheduler of site `b`, and a process that replaces it; `s` is at site `a` |
+//! | `t`, `t2` | with [`TWO_SITES`]: the scheduler of site `b` and its successor; `s` is the scheduler of site `a` |
 //! | `e`, `m2` | with [`TWO_SITES`]: discovery and the worker of site `b` |
 //! | `f1` .., `r1` .., `u1` .. | with [`TWO_SITES`]: connections to `t`, operators of `t` and of `t2` |
 //! | `g1` .. | with [`TWO_SITES`]: connections to the gateway of `t` |
@@ -46,18 +49,21 @@
 //! | actor | text | meaning |
 //! | --- | --- | --- |
 //! | connections | `LINE\|HEADER\|HEADER\|\|BODY` | an HTTP message: `\|` ends a line, `\|\|` ends the head |
-//! | | `raw TEXT` | the bytes of `TEXT`, with `\r` and `\n` as escapes; `raw` alone only opens the connection |
-//! | | `request ID CLASS DEADLINE_MS KEY` | a request; defaults: `draw-map 8000 1` |
+//! | | `raw TEXT` | the bytes of `TEXT`, with the escapes `\r` and `\n`; `raw` alone only opens the connection |
+//! | | `request ID CLASS DEADLINE_MS KEY` | a request; defaults: `draw-map 8000 1`; `\|` and more headers may follow the key |
 //! | | `callback ID FROM STATE FIELDS` | a callback; `FIELDS` are JSON members, by default `"result":"drawn"` |
 //! | | `202 HEADERS` | a response with this status |
-//! | `d`, `d2`, `e` | `full m1:active`, `diff m1:leaving:-5` | a complete snapshot, an incremental update; m1 started 5 s ago |
+//! | `d`, `d2`, `e` | `full m1:active m2:active` | a complete snapshot of the endpoint list |
+//! | | `diff m1:leaving:-5` | an incremental update; here m1 drains and was started 5 s ago |
 //! | | `line TEXT` | one line of an endpoint list; `{m1}` is replaced by the address of `m1` |
-//! | `s`, `t` and their replacements | `TERM`, `HUP`, `KILL` .. | a signal |
+//! | `s`, `t`, `s2` .. | `TERM`, `HUP`, `KILL` .. | a signal |
 //! | `s` | `config OLD => NEW` | replaces text in the configuration file; `{d2}` is replaced by the address of `d2` |
 //! | `s`, `t` | `operator OLD => NEW` | replaces text in the operator file |
 //! | `n1`, `x` | `datagram N` | a datagram of N zero bytes |
-//! | `v` | `serving`, `callback ID FROM`, `unknown` | a handover frame; `unknown`: of a format that the scheduler does not know |
-//! | `w` | `forward`, `drop`, `drop-replies`, `reset` | what the proxy does with data from now on; `reset` closes all connections once |
+//! | `v` | `serving`, `callback ID FROM` | a stable handover frame |
+//! | | `unknown` | a handover frame of a format that the scheduler does not know |
+//! | `w` | `forward`, `drop`, `drop-replies` | how the proxy treats data from now on; `drop-replies` drops the data from site `b` |
+//! | | `reset` | closes the connections that are open now |
 //!
 //! # `expect`
 //!
@@ -68,12 +74,12 @@
 //! | | `eof`, `fin` | the connection is closed; `fin`: without a reset |
 //! | | `silence` | no data and no new connection has arrived |
 //! | processes | `exit CODE`, `exit killed`, `log TEXT` | the process exits, or has logged the text |
-//! | `n1` | `gossip`, `silence` | a gossip message arrives; messages stop |
+//! | `n1` | `gossip`, `silence` | a gossip message arrives; no more messages arrive |
 //! | `v` | `KIND` | a handover frame of this kind arrives |
 //!
 //! # `close` and `wait`
 //!
-//! - `close` closes the actor's connection, `close listener` its listener too.
+//! - `close` closes the actor's connection, `close listener` also its listener.
 //! - `s wait COUNTER N` waits until the counter has reached N.
 //! - `o1 wait COMMAND => PART` repeats an operator command until its answer contains the part.
 
@@ -90,7 +96,7 @@
 
 use stage::ScenarioRunner;
 
-/// Limit for each step. Only a failing test waits this long: what is expected arrives at once.
+/// Time limit for each step. Only a failing test reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which an expected condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -107,7 +113,7 @@
     pub worker_idle_timeout_s: f64,
     /// Endpoint lists are pushed: discovery is an agent on the scheduler's machine and is polled often while silent.
     pub pushed_lists: bool,
-    /// Adds a second scheduler, of which only the gossip exists.
+    /// Adds a second scheduler that consists only of its gossip socket, `n1`.
     pub gossip: bool,
     /// Adds a second site and a gateway between the two.
     pub two_sites: bool,
