--- a/tests/server/handover.rs
+++ b/tests/server/handover.rs
@@ -25,8 +25,7 @@
     o1 wait STATUS => -ERR replaced
 ";
 
-/// A request, a connection or the result of a callback could be lost, or a request run twice, when connections and
-/// requests migrate to the successor.
+/// Connections and requests migrate to the successor. No request or callback may be lost, and no request may run twice.
 #[rstest]
 #[case::idle_connections_are_handed_over(
     "
