--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -167,7 +167,7 @@
     fn handle_list(&mut self, list: &mut [u8]) {
         tracing::trace!(line = %list.escape_ascii(), "endpoint list received");
         let tape = simd_json::to_tape(list);
-        let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::read(&tape.as_value())) else {
+        let Some(update) = tape.ok().and_then(|tape| EndpointListUpdate::parse(&tape.as_value())) else {
             return self.count_malformed("line");
         };
         if update.unreadable_entries > 0 {
--- a/src/server/engine/endpoint_list.rs
+++ b/src/server/engine/endpoint_list.rs
@@ -64,7 +64,7 @@
             .workers
             .entry(id)
             .or_insert_with(|| Rc::new(WorkerEndpoint::new(entry.name, address, Rc::clone(&self.connector))));
-        worker.update(address, active, entry.started_s);
+        worker.update(address, active, entry.started_at_s);
     }
 
     /// Merges the learned state of another process, which uses different worker IDs.
@@ -108,7 +108,7 @@
         zone: index(&settings.zones, &entry.zone).map_or(u16::MAX, |zone| zone as u16),
         cell: entry.cell,
         kind: index(&settings.worker_kinds, &entry.kind).unwrap_or(settings.worker_kinds.len()),
-        started_at_s: entry.started_s,
+        started_at_s: entry.started_at_s,
         weight: entry.weight,
     }
 }
