--- a/crates/gateway/src/forwarded_request/tests.rs
+++ b/crates/gateway/src/forwarded_request/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn request(stage: Stage, idempotency: Idempotency, shares_keys: bool) -> ForwardedRequest {
+fn request(stage: ForwardingStage, idempotency: Idempotency, shares_keys: bool) -> ForwardedRequest {
     ForwardedRequest {
         request: Some(LocalRequestId(1)),
         site: SiteId(0),
@@ -18,39 +18,44 @@
     }
 }
 
-fn keyed() -> Idempotency {
+fn with_key() -> Idempotency {
     Idempotency::WithKey { key: Bytes::from_static(b"k"), window: Duration::from_secs(40) }
 }
 
 #[test]
-fn returns_to_scheduler_only_what_cannot_have_run() {
-    for stage in [Stage::Sent, Stage::Accepted, Stage::InDoubt] {
+fn returns_to_scheduler_only_requests_that_cannot_have_run() {
+    for stage in [ForwardingStage::Sent, ForwardingStage::Accepted, ForwardingStage::InDoubt] {
         for transition in [
             Transition::LinkDown,
             Transition::PeerRestarted,
             Transition::DeadlineNear,
             Transition::Status(RemoteStatus::OutcomeForgotten),
         ] {
-            let decision = request(stage, keyed(), false).apply(transition);
+            let decision = request(stage, with_key(), false).apply(transition);
             assert_ne!(decision, Decision::ReturnToScheduler, "{stage:?}");
         }
     }
     for transition in [Transition::LinkDown, Transition::PeerRestarted, Transition::DeadlineNear] {
-        assert_eq!(request(Stage::Unsent, keyed(), false).apply(transition), Decision::ReturnToScheduler);
+        assert_eq!(
+            request(ForwardingStage::Unsent, with_key(), false).apply(transition),
+            Decision::ReturnToScheduler
+        );
     }
     assert_eq!(
-        request(Stage::InDoubt, keyed(), false).apply(Transition::Status(RemoteStatus::NeverReceived)),
+        request(ForwardingStage::InDoubt, with_key(), false)
+            .apply(Transition::Status(RemoteStatus::NeverReceived)),
         Decision::ReturnToScheduler
     );
 }
 
 #[test]
-fn rejects_what_may_have_run_only_where_a_repeat_is_harmless() {
-    let end =
-        |idempotency, shares| request(Stage::InDoubt, idempotency, shares).apply(Transition::PeerRestarted);
-    let answer = |answer| Decision::Answer { answer, outcome_received: false };
-    assert_eq!(end(Idempotency::Idempotent, false), answer(ForwardedAnswer::Rejected));
-    assert_eq!(end(keyed(), true), answer(ForwardedAnswer::Rejected));
-    assert_eq!(end(keyed(), false), answer(ForwardedAnswer::Failed));
-    assert_eq!(end(Idempotency::NonIdempotent, true), answer(ForwardedAnswer::Failed));
+fn rejects_requests_that_may_have_run_only_if_a_retry_is_harmless() {
+    let answer_after_restart = |idempotency, shares_keys| {
+        request(ForwardingStage::InDoubt, idempotency, shares_keys).apply(Transition::PeerRestarted)
+    };
+    let decision = |answer| Decision::Answer { answer, outcome_received: false };
+    assert_eq!(answer_after_restart(Idempotency::Idempotent, false), decision(ForwardedAnswer::Rejected));
+    assert_eq!(answer_after_restart(with_key(), true), decision(ForwardedAnswer::Rejected));
+    assert_eq!(answer_after_restart(with_key(), false), decision(ForwardedAnswer::Failed));
+    assert_eq!(answer_after_restart(Idempotency::NonIdempotent, true), decision(ForwardedAnswer::Failed));
 }
