--- a/tests/server/main.rs
+++ b/tests/server/main.rs
@@ -2,7 +2,6 @@
 //! that they test; `scenario` describes their language.
 
 mod attempts;
-mod build;
 mod clients;
 mod discovery;
 mod gateway;
@@ -10,6 +9,7 @@
 mod handover;
 mod lifecycle;
 mod operator_interface;
+mod other_build;
 mod races;
 mod reload;
 mod scenario;
--- a/tests/server/scenario/mod.rs
+++ b/tests/server/scenario/mod.rs
@@ -17,14 +17,14 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | `stage` | the runner: dispatches each step to its actor |
+//! | `runner` | executes a scenario: dispatches each step to its actor |
 //! | `process` | scheduler processes, their logs and signals |
 //! | `connection` | TCP connections of clients, workers and discovery |
 //! | `operator` | operator commands and the operator file |
 //! | `discovery` | endpoint lists |
 //! | `config` | the platform configuration |
 //! | `gossip` | UDP datagrams of another scheduler |
-//! | `site_wire` | the proxy on the site link |
+//! | `site_link_proxy` | the proxy on the site link |
 //!
 //! # Actors
 //!
@@ -89,12 +89,12 @@
 mod gossip;
 mod operator;
 mod process;
-mod site_wire;
-mod stage;
+mod runner;
+mod site_link_proxy;
 
 use std::time::{Duration, Instant};
 
-use stage::ScenarioRunner;
+use runner::ScenarioRunner;
 
 /// Time limit for each step. Only a failing test reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(10);
--- a/tests/server/scenario/stage.rs
+++ b/tests/server/scenario/runner.rs
@@ -10,11 +10,11 @@
 use super::connection::{encode_message, Connection};
 use super::operator::OPERATOR_PREFIXES;
 use super::process::Scheduler;
-use super::site_wire::SiteLinkProxy;
+use super::site_link_proxy::SiteLinkProxy;
 use super::{
     config, discovery, error_text, gossip, operator, poll_until, Environment, StepResult, STEP_TIMEOUT,
 };
-use crate::build::OtherBuild;
+use crate::other_build::OtherBuild;
 
 /// The state of a running scenario.
 pub(super) struct ScenarioRunner {
