--- a/tests/server/main.rs
+++ b/tests/server/main.rs
@@ -1,7 +1,7 @@
-//! The scheduler as a program, spoken to over sockets. Scenarios are grouped by the module they test.
+//! Network tests: the scheduler runs as a process and is tested over sockets. Scenarios are grouped by the module
+//! that they test; `scenario` describes their language.
 
 mod attempts;
-mod build;
 mod clients;
 mod discovery;
 mod gateway;
@@ -9,6 +9,7 @@
 mod handover;
 mod lifecycle;
 mod operator_interface;
+mod other_build;
 mod races;
 mod reload;
 mod scenario;
